--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -10,7 +10,7 @@
 from bench.daemons import Control, measure_daemons
 from bench.slopes import Slope, measure_all
 from bench.spreading import Spread, measure_fleet
-from calicopath_core.claims.executors import GroupPlan
+from calicopath_core.claims.executors import GroupingConfig
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -24,8 +24,8 @@
 PEAK_FACTOR = 5
 FLEETS = (8, 32, 128, 400)
 DAEMONS = (1, 2, 4, 8)
-TODAY = GroupPlan()
-LARGE = GroupPlan(shards=64, slot_s=1, write_interval_s=0.2)
+TODAY = GroupingConfig()
+LARGE = GroupingConfig(shards=64, slot_s=1, write_interval_s=0.2)
 CLAIMS = (
     (8, 50.0, TODAY, False),
     (8, 50.0, TODAY, True),
--- a/bench/claiming.py
+++ b/bench/claiming.py
@@ -9,10 +9,10 @@
 
 from calicopath_core.claims.executors import (
     ClaimExecutor,
-    ClaimPeers,
+    ShardOwners,
     ForwardingExecutor,
     GroupId,
-    GroupPlan,
+    GroupingConfig,
     LocalExecutor,
 )
 from calicopath_core.claims.keys import parse_key
@@ -48,7 +48,7 @@
     cpu_us: float
 
 
-async def measure(boxes: int, rate: float, plan: GroupPlan, forwarding: bool) -> Claiming:
+async def measure(boxes: int, rate: float, plan: GroupingConfig, forwarding: bool) -> Claiming:
     """Claim and record at a total rate, spread over boxes."""
     state = StoreState()
     registries = new_registries(state, boxes, plan, forwarding=forwarding)
@@ -91,23 +91,23 @@
         state.counts['read'] / SECONDS,
         conflicts / SECONDS,
         refused,
-        sum(writer.written_bytes for writer in writers) / SECONDS / plan.shards / 1000,
+        sum(writer.total_written_bytes for writer in writers) / SECONDS / plan.shards / 1000,
         1000 * waits[int(0.99 * (len(waits) - 1))] if waits else 0.0,
         1e6 * cpu / count,
     )
 
 
-class OnePeer(ClaimPeers):
+class OnePeer(ShardOwners):
     """Let the first box own every shard, a network's latency away."""
 
     def __init__(self, *, owner: LocalExecutor) -> None:
         self.owner_executor = owner
 
-    def owner(self, shard: int) -> str | None:
+    def owner_address(self, shard: int) -> str | None:
         """Name the owner."""
         return 'owner'
 
-    async def ask(self, address: str, group: GroupId, op: Op) -> OpResult:
+    async def forward(self, address: str, group: GroupId, op: Op) -> OpResult:
         """Carry an operation out over there."""
         await asyncio.sleep(NETWORK_S)
         result = await self.owner_executor.execute(group, op)
@@ -116,7 +116,7 @@
 
 
 def new_registries(
-    state: StoreState, boxes: int, plan: GroupPlan, *, forwarding: bool
+    state: StoreState, boxes: int, plan: GroupingConfig, *, forwarding: bool
 ) -> list[ClaimRegistry]:
     """Return the boxes' registries, writing by themselves or through one owner."""
     found: list[ClaimRegistry] = []
@@ -125,11 +125,11 @@
         local = LocalExecutor(
             store=FakeStore(state=state, latency_s=STORE_LATENCY_S),
             clock=VirtualClock(),
-            plan=plan,
+            grouping=plan,
         )
         executor: ClaimExecutor = local
         if forwarding and found:
-            executor = ForwardingExecutor(local=local, peers=OnePeer(owner=found[0].local))
+            executor = ForwardingExecutor(local=local, shard_owners=OnePeer(owner=found[0].local))
         found.append(
             ClaimRegistry(
                 local=local,
@@ -140,6 +140,6 @@
     return found
 
 
-def measure_claims(boxes: int, rate: float, plan: GroupPlan, forwarding: bool) -> Claiming:
+def measure_claims(boxes: int, rate: float, plan: GroupingConfig, forwarding: bool) -> Claiming:
     """Measure on virtual time."""
     return run_virtual(measure(boxes, rate, plan, forwarding))
--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -206,7 +206,7 @@
         if self.claim_owner is None:
             self.claim_owner = local
             return local
-        return ForwardingExecutor(local=local, peers=OnePeer(owner=self.claim_owner))
+        return ForwardingExecutor(local=local, shard_owners=OnePeer(owner=self.claim_owner))
 
     def new_id(self) -> str:
         """Return a fresh identifier."""
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -55,7 +55,7 @@
     def listen(self, handler: Callable[[bytes], None]) -> None:
         """Ignore the handler."""
 
-    def renew(self, address: str) -> None:
+    def drop_connection(self, address: str) -> None:
         """Do nothing: there is no connection."""
 
 
@@ -167,7 +167,7 @@
     control = Control()
     found = updates(*objects)
     control.view.apply_all(found)
-    control.gossip.push_fresh()
+    control.gossip.push_updates()
     for number in range(1, 200):
         control.members.on_heard(member(number), 0.0, direct=True)
     versions = iter(range(2, 10**9))
@@ -175,7 +175,7 @@
     def change(index: int) -> None:
         update = found[index]
         control.view.apply(ViewUpdate(update.key, next(versions), update.spec))
-        control.gossip.push_fresh()
+        control.gossip.push_updates()
 
     endpoint_s = timed(lambda: change(len(TEMPLATES)), 300)
     pipeline_s = timed(lambda: change(len(found) - 1), 300)
@@ -201,7 +201,7 @@
         Slope(f'time to receive a heartbeat, {count} boxes', 1e6 * receive_s, 'us'),
         Slope(f'time to choose the role, {count} boxes', 1e6 * relay_s, 'us'),
         Slope('size of a heartbeat', len(heartbeat), 'B'),
-        Slope('time of an idle tick', 1e6 * timed(control.gossip.push_fresh, 1000), 'us'),
+        Slope('time of an idle tick', 1e6 * timed(control.gossip.push_updates, 1000), 'us'),
     ]
 
 
--- a/packages/core/calicopath_core/claims/executors.py
+++ b/packages/core/calicopath_core/claims/executors.py
@@ -26,7 +26,7 @@
 DEFAULT_WRITE_INTERVAL_S = 0.05
 
 
-class GroupPlan(NamedTuple):
+class GroupingConfig(NamedTuple):
     """Say how claims are grouped; all but the write interval must be the same on every box.
 
     Keys made within `slot_s` seconds share a group, so that old groups are never written again. A
@@ -81,18 +81,18 @@
         *,
         store: ObjectStore,
         clock: Clock,
-        plan: GroupPlan = GroupPlan(),  # noqa: B008 - a tuple of constants
+        grouping: GroupingConfig = GroupingConfig(),  # noqa: B008 - a tuple of constants
     ) -> None:
         self.store = store
         self.clock = clock
-        self.plan = plan
+        self.grouping = grouping
         self.writers: OrderedDict[GroupId, GroupWriter] = OrderedDict()
 
     def group(self, key: ClaimKey) -> GroupId:
         """Return the group of a key."""
         digest = hashlib.blake2b(str(key).encode(), digest_size=8).digest()
         return GroupId(
-            int.from_bytes(digest, 'big') % self.plan.shards, key.time_ms // self.plan.slot_ms
+            int.from_bytes(digest, 'big') % self.grouping.shards, key.time_ms // self.grouping.slot_ms
         )
 
     def writer(self, group: GroupId) -> GroupWriter:
@@ -104,7 +104,7 @@
             self.close_expired(group)
         self.writers.move_to_end(group)
         for name in list(self.writers)[: max(0, len(self.writers) - MAX_WRITERS)]:
-            if self.writers[name].idle:
+            if self.writers[name].is_idle:
                 del self.writers[name]
         return found
 
@@ -114,8 +114,8 @@
             key=group.key,
             store=self.store,
             clock=self.clock,
-            max_bytes=self.plan.max_bytes,
-            write_interval_s=self.plan.write_interval_s,
+            max_bytes=self.grouping.max_bytes,
+            write_interval_s=self.grouping.write_interval_s,
         )
 
     def close_expired(self, group: GroupId) -> None:
@@ -123,16 +123,16 @@
 
         A box whose clock is wrong closes nothing of today: the slot comes from the callers' keys.
         """
-        old = GroupId(group.shard, group.slot - self.plan.retention_slots)
-        if old not in self.writers:
-            self.writers[old] = self.new_writer(old)
-        end_ms = (old.slot + 1) * self.plan.slot_ms - 1
-        self.writers[old].submit(CloseOp(end_ms), persistent=True)
+        expired = GroupId(group.shard, group.slot - self.grouping.retention_slots)
+        if expired not in self.writers:
+            self.writers[expired] = self.new_writer(expired)
+        end_ms = (expired.slot + 1) * self.grouping.slot_ms - 1
+        self.writers[expired].submit(CloseOp(end_ms), persistent=True)
 
     async def flush(self, timeout_s: float) -> bool:
         """Wait until every operation is carried out; return whether that was in time."""
         deadline = self.clock.monotonic() + timeout_s
-        while not all(writer.idle for writer in self.writers.values()):
+        while not all(writer.is_idle for writer in self.writers.values()):
             if self.clock.monotonic() >= deadline:
                 return False
             await asyncio.sleep(FLUSH_POLL_S)
@@ -143,15 +143,15 @@
         return await self.writer(group).submit(op, persistent=persistent)
 
 
-class ClaimPeers(ABC):
+class ShardOwners(ABC):
     """Reach the boxes that batch other shards."""
 
     @abstractmethod
-    def owner(self, shard: int) -> str | None:
+    def owner_address(self, shard: int) -> str | None:
         """Return the address of the box that batches a shard, or nothing if it is this one."""
 
     @abstractmethod
-    async def ask(self, address: str, group: GroupId, op: Op) -> OpResult:
+    async def forward(self, address: str, group: GroupId, op: Op) -> OpResult:
         """Let another box carry an operation out; raise `StoreUnavailable`."""
 
 
@@ -164,27 +164,27 @@
 
     OWNER_TIMEOUT_S = 0.3
 
-    def __init__(self, *, local: LocalExecutor, peers: ClaimPeers) -> None:
+    def __init__(self, *, local: LocalExecutor, shard_owners: ShardOwners) -> None:
         self.local = local
-        self.peers = peers
-        self.passed_over = 0
+        self.shard_owners = shard_owners
+        self.owner_timeouts = 0
 
     async def execute(self, group: GroupId, op: Op, *, persistent: bool = False) -> OpResult:
         """Ask the owner; write by ourselves if it does not answer."""
-        address = self.peers.owner(group.shard)
+        address = self.shard_owners.owner_address(group.shard)
         if address is None:
             return await self.local.execute(group, op, persistent=persistent)
         try:
             async with asyncio.timeout(self.OWNER_TIMEOUT_S):
-                return await self.peers.ask(address, group, op)
+                return await self.shard_owners.forward(address, group, op)
         except TimeoutError:
-            self.passed_over += 1
+            self.owner_timeouts += 1
         except asyncio.CancelledError:
-            self.undo(group, op, persistent=persistent)
+            self.clean_up_cancelled(group, op, persistent=persistent)
             raise
         return await self.local.execute(group, op, persistent=persistent)
 
-    def undo(self, group: GroupId, op: Op, *, persistent: bool) -> None:
+    def clean_up_cancelled(self, group: GroupId, op: Op, *, persistent: bool) -> None:
         """Leave nothing behind of a claim given up on; carry out what must be all the same."""
         if isinstance(op, ClaimOp):
             self.local.writer(group).submit(ReleaseOp(op.key, op.nonce), persistent=True)
--- a/packages/core/calicopath_core/claims/forwarding.py
+++ b/packages/core/calicopath_core/claims/forwarding.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from calicopath_core.claims.executors import ClaimPeers, GroupId, LocalExecutor
+from calicopath_core.claims.executors import ShardOwners, GroupId, LocalExecutor
 from calicopath_core.claims.operations import Op, OpResult, StoredClaim
 from calicopath_core.routing.selectors import rendezvous_weight
 from calicopath_core.store.base import StoreError, StoreUnavailable
@@ -40,27 +40,27 @@
     error: str
 
 
-class PeerClaims(ClaimPeers):
+class GossipShardOwners(ShardOwners):
     """Choose each shard's owner by rendezvous hashing over the live boxes."""
 
     def __init__(self, *, gossip: Gossip, local: LocalExecutor, clock: Clock) -> None:
         self.gossip = gossip
         self.local = local
         self.clock = clock
-        self.numbers = itertools.count(1)
+        self.request_numbers = itertools.count(1)
         self.pending: dict[int, asyncio.Future[OpResult]] = {}
-        self.serving: set[asyncio.Task[None]] = set()
+        self.serve_tasks: set[asyncio.Task[None]] = set()
         self.owners: dict[int, str | None] = {}
-        self.owners_at = -OWNER_REFRESH_S
-        gossip.handle(OpRequest, self.on_request)
-        gossip.handle(OpReply, self.on_reply)
+        self.owners_refreshed_at = -OWNER_REFRESH_S
+        gossip.register_handler(OpRequest, self.on_request)
+        gossip.register_handler(OpReply, self.on_reply)
 
-    def owner(self, shard: int) -> str | None:
+    def owner_address(self, shard: int) -> str | None:
         """Return the address of a shard's owner, or nothing if this box is it."""
         now = self.clock.monotonic()
-        if now - self.owners_at >= OWNER_REFRESH_S:
+        if now - self.owners_refreshed_at >= OWNER_REFRESH_S:
             self.owners.clear()
-            self.owners_at = now
+            self.owners_refreshed_at = now
         if shard not in self.owners:
             self.owners[shard] = self.choose_owner(shard, now)
         return self.owners[shard]
@@ -76,9 +76,9 @@
         best = max([own, *boxes], key=lambda info: rendezvous_weight(info.name, str(shard)))
         return None if best is own else best.address
 
-    async def ask(self, address: str, group: GroupId, op: Op) -> OpResult:
+    async def forward(self, address: str, group: GroupId, op: Op) -> OpResult:
         """Send an operation and wait for its reply."""
-        number = next(self.numbers)
+        number = next(self.request_numbers)
         future: asyncio.Future[OpResult] = asyncio.get_running_loop().create_future()
         self.pending[number] = future
         own = self.gossip.members.own
@@ -92,8 +92,8 @@
     def on_request(self, message: OpRequest) -> None:
         """Carry out another box's operation."""
         task = asyncio.get_running_loop().create_task(self.serve(message))
-        self.serving.add(task)
-        task.add_done_callback(self.serving.discard)
+        self.serve_tasks.add(task)
+        task.add_done_callback(self.serve_tasks.discard)
 
     async def serve(self, message: OpRequest) -> None:
         """Write the operation with whatever else waits, and reply."""
--- a/packages/core/calicopath_core/claims/operations.py
+++ b/packages/core/calicopath_core/claims/operations.py
@@ -120,13 +120,13 @@
 Op = ClaimOp | RecordOp | ReleaseOp | CloseOp
 
 
-def joined(found: GroupValue, known: GroupValue) -> GroupValue:
+def merge_groups(stored: GroupValue, known: GroupValue) -> GroupValue:
     """Return a group in which everything counts as claimed that does in either of two."""
-    claims = {**known['claims'], **found['claims']}
+    claims = {**known['claims'], **stored['claims']}
     for key, claim in known['claims'].items():
         if claim['state'] == ClaimState.ANSWERED.value:
             claims[key] = claim
-    value = GroupValue(threshold_ms=found['threshold_ms'], claims=claims)
+    value = GroupValue(threshold_ms=stored['threshold_ms'], claims=claims)
     raise_threshold(value, known['threshold_ms'])
     return value
 
--- a/packages/core/calicopath_core/claims/tests/claim_case.py
+++ b/packages/core/calicopath_core/claims/tests/claim_case.py
@@ -5,7 +5,7 @@
 import itertools
 from typing import Any
 
-from calicopath_core.claims.executors import GroupId, GroupPlan, LocalExecutor
+from calicopath_core.claims.executors import GroupId, GroupingConfig, LocalExecutor
 from calicopath_core.claims.keys import ClaimKey, parse_key
 from calicopath_core.claims.registry import ClaimRegistry
 from testkit.fake_store import FakeStore, StoreState
@@ -18,18 +18,18 @@
     return parse_key('towpath', 'act', uuid7(made_s, number), made_s)
 
 
-def new_registry(state: StoreState, box: str = 'a', **options: float) -> ClaimRegistry:
+def new_registry(state: StoreState, box: str = 'a', **grouping: float) -> ClaimRegistry:
     """Return one box's registry, with a single shard."""
     numbers = itertools.count()
     local = LocalExecutor(
         store=FakeStore(state=state),
         clock=VirtualClock(),
-        plan=GroupPlan(shards=1, **options),  # type: ignore[arg-type]
+        grouping=GroupingConfig(shards=1, **grouping),  # type: ignore[arg-type]
     )
     return ClaimRegistry(local=local, executor=local, new_nonce=lambda: f'{box}{next(numbers)}')
 
 
-def link(registry: ClaimRegistry) -> FakeStore:
+def fake_store(registry: ClaimRegistry) -> FakeStore:
     """Return a registry's link to the store."""
     store = registry.local.store
     assert isinstance(store, FakeStore)
@@ -38,5 +38,5 @@
 
 def group_value(state: StoreState, claim_key: ClaimKey) -> dict[str, Any]:
     """Return the store's own copy of a key's group."""
-    group = GroupId(0, claim_key.time_ms // GroupPlan().slot_ms)
+    group = GroupId(0, claim_key.time_ms // GroupingConfig().slot_ms)
     return state.objects[group.key].value
--- a/packages/core/calicopath_core/claims/tests/claims_tests.py
+++ b/packages/core/calicopath_core/claims/tests/claims_tests.py
@@ -9,7 +9,7 @@
 
 from calicopath_core.claims.keys import InvalidKey, parse_key
 from calicopath_core.claims.registry import Granted, Taken
-from calicopath_core.claims.tests.claim_case import group_value, key, link, new_registry
+from calicopath_core.claims.tests.claim_case import group_value, key, fake_store, new_registry
 from calicopath_core.store.base import StoreUnavailable
 from testkit.cases import VirtualCase
 from testkit.fake_store import StoreState, WriteFate
@@ -59,7 +59,7 @@
                 state = StoreState()
                 registry = new_registry(state)
                 fates = iter([fate])
-                link(registry).fate = lambda key, fates=fates: next(fates, WriteFate.DONE)  # type: ignore[misc]
+                fake_store(registry).fate = lambda key, fates=fates: next(fates, WriteFate.DONE)  # type: ignore[misc]
                 self.assertIsInstance(await registry.claim(key(), 'body', 2), Granted)
 
         self.run_virtual(scenario())
@@ -134,11 +134,11 @@
                 state.down = True
                 return WriteFate.LOST_AFTER
 
-            link(registry).fate = fate
+            fake_store(registry).fate = fate
             with self.assertRaises(StoreUnavailable):
                 await registry.claim(key(), 'body', 0.5)
             self.assertTrue(group_value(state, key())['claims'])
-            link(registry).fate = lambda key: WriteFate.DONE
+            fake_store(registry).fate = lambda key: WriteFate.DONE
             state.down = False
             await asyncio.sleep(1)
             self.assertFalse(group_value(state, key())['claims'])
@@ -298,7 +298,7 @@
             tasks = []
             for box, number, pause_s, fate in steps:
                 fates = iter([fate])
-                link(boxes[box]).fate = lambda key, fates=fates: next(fates, WriteFate.DONE)  # type: ignore[misc]
+                fake_store(boxes[box]).fate = lambda key, fates=fates: next(fates, WriteFate.DONE)  # type: ignore[misc]
                 tasks.append(asyncio.create_task(attempt(box, number)))
                 await asyncio.sleep(pause_s)
             await asyncio.gather(*tasks)
--- a/packages/core/calicopath_core/claims/tests/forwarding_tests.py
+++ b/packages/core/calicopath_core/claims/tests/forwarding_tests.py
@@ -6,10 +6,10 @@
 from typing import TYPE_CHECKING
 
 from calicopath_core.claims.executors import (
-    ClaimPeers,
+    ShardOwners,
     ForwardingExecutor,
     GroupId,
-    GroupPlan,
+    GroupingConfig,
     LocalExecutor,
 )
 from calicopath_core.claims.registry import ClaimRegistry, Granted, Taken
@@ -22,7 +22,7 @@
     from calicopath_core.claims.operations import Op, OpResult
 
 
-class FakePeers(ClaimPeers):
+class FakePeers(ShardOwners):
     """Let one registry's executor own every shard, over a line that may be cut."""
 
     def __init__(self, *, owner: LocalExecutor) -> None:
@@ -30,11 +30,11 @@
         self.lose_request = False
         self.lose_reply = False
 
-    def owner(self, shard: int) -> str | None:
+    def owner_address(self, shard: int) -> str | None:
         """Name the owner."""
         return 'owner'
 
-    async def ask(self, address: str, group: GroupId, op: Op) -> OpResult:
+    async def forward(self, address: str, group: GroupId, op: Op) -> OpResult:
         """Carry the operation out over there, unless the line is cut."""
         if not self.lose_request:
             result = await self.owner_executor.execute(group, op)
@@ -52,7 +52,7 @@
         boxes = []
         for number in range(count):
             box = new_registry(state, f'box{number}-')
-            box.executor = ForwardingExecutor(local=box.local, peers=peers)
+            box.executor = ForwardingExecutor(local=box.local, shard_owners=peers)
             boxes.append(box)
         return boxes, peers
 
@@ -67,7 +67,7 @@
 
             results = await asyncio.gather(*(claim(number) for number in range(400)))
             self.assertTrue(all(isinstance(item, Granted) for item in results))
-            self.assertLessEqual(state.counts['write'], 2.0 / GroupPlan().write_interval_s + 2)
+            self.assertLessEqual(state.counts['write'], 2.0 / GroupingConfig().write_interval_s + 2)
 
         self.run_virtual(scenario())
 
--- a/packages/core/calicopath_core/crashes/fate.py
+++ b/packages/core/calicopath_core/crashes/fate.py
@@ -14,32 +14,32 @@
     from calicopath_core.fleet.replicas import Replica, ReplicaTable
     from calicopath_core.structure.endpoints import Endpoint
 
-DOUBT_S = 1.5
+PORT_WATCH_S = 1.5
 """How long a replica whose port is still open is watched: a process that ends closes its callers'
 connections and its port one after the other."""
 
-LAPSE_S = 8.0
+ENTRY_WATCH_S = 8.0
 """How long the entry of a replica that says nothing is watched: it goes after three heartbeats of
 1.2 s, which boxes hear some 100 ms later."""
 
-LAPSE_CHECK_S = 0.2
+ENTRY_POLL_S = 0.2
 
 
-class Fate(ABC):
+class CrashProbe(ABC):
     """Tell what became of one replica; `name` is what it goes by."""
 
     name: str
 
     @abstractmethod
-    async def has_ended(self) -> bool:
+    async def has_crashed(self) -> bool:
         """Tell at once whether it has ended, as far as that can be seen by now."""
 
     @abstractmethod
-    async def ends_soon(self) -> bool:
+    async def confirm_crash(self) -> bool:
         """Tell, after some seconds if need be, whether it had ended after all."""
 
 
-class ReplicaFate(Fate):
+class ReplicaCrashProbe(CrashProbe):
     """Tell what became of a replica that announces itself in the store."""
 
     def __init__(self, *, reach: ReplicaReach, replicas: ReplicaTable, replica: Replica) -> None:
@@ -48,32 +48,32 @@
         self.replica = replica
         self.name = replica.id
 
-    async def has_ended(self) -> bool:
+    async def has_crashed(self) -> bool:
         """Tell whether its port refuses connections."""
         return await self.reach.reach(self.replica, 0.0) is Reach.REFUSED
 
-    async def ends_soon(self) -> bool:
+    async def confirm_crash(self) -> bool:
         """Tell whether its port refuses connections soon, or its entry goes while it is silent."""
-        found = await self.reach.reach(self.replica, DOUBT_S)
+        found = await self.reach.reach(self.replica, PORT_WATCH_S)
         if found is not Reach.SILENT:
             return found is Reach.REFUSED
-        return await self.lapses()
+        return await self.entry_expires()
 
-    async def lapses(self) -> bool:
+    async def entry_expires(self) -> bool:
         """Tell whether its entry goes without its having said that it leaves."""
         loop = asyncio.get_running_loop()
-        ends_at = loop.time() + LAPSE_S
+        ends_at = loop.time() + ENTRY_WATCH_S
         while loop.time() < ends_at:
             known = self.replicas.replicas.get(self.replica.id)
             if self.replicas.leaves(known or self.replica):
                 return False
             if known is None or self.replicas.has_ended(known):
                 return True
-            await asyncio.sleep(LAPSE_CHECK_S)
+            await asyncio.sleep(ENTRY_POLL_S)
         return False
 
 
-class EndpointFate(Fate):
+class EndpointCrashProbe(CrashProbe):
     """Tell what became of an endpoint that operators have added; one that is silent may live."""
 
     def __init__(self, *, reach: EndpointReach, endpoint: Endpoint) -> None:
@@ -81,10 +81,10 @@
         self.endpoint = endpoint
         self.name = endpoint.name
 
-    async def has_ended(self) -> bool:
+    async def has_crashed(self) -> bool:
         """Tell whether its port refuses connections."""
         return await self.reach.reach(self.endpoint, 0.0) is Reach.REFUSED
 
-    async def ends_soon(self) -> bool:
+    async def confirm_crash(self) -> bool:
         """Tell whether its port refuses connections soon."""
-        return await self.reach.reach(self.endpoint, DOUBT_S) is Reach.REFUSED
+        return await self.reach.reach(self.endpoint, PORT_WATCH_S) is Reach.REFUSED
--- a/packages/core/calicopath_core/crashes/guard.py
+++ b/packages/core/calicopath_core/crashes/guard.py
@@ -7,17 +7,17 @@
 
 from calicopath_core.backends.base import ConnectionBroken
 from calicopath_core.crashes.suspects import (
-    End,
+    Crash,
     SuspectKey,
-    end_with_request,
+    add_request,
     keys_of,
-    name_of_end,
+    new_crash_id,
 )
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from calicopath_core.crashes.fate import Fate
+    from calicopath_core.crashes.fate import CrashProbe
     from calicopath_core.crashes.ledger import CrashLedger
     from calicopath_core.crashes.sharing import CrashSharing
 
@@ -37,26 +37,26 @@
 
     def is_suspect(self, content: str, service: str) -> bool:
         """Tell whether replicas of a service have ended under a request since it last survived."""
-        return self.ledger.is_suspect(keys_of(content, service).own)
+        return self.ledger.is_suspect(keys_of(content, service).exact)
 
     def blocked_s(self, content: str, services: Iterable[str]) -> float | None:
         """Return how long a request is not sent on yet, nothing if it may be."""
         return self.ledger.blocked_s(content, services)
 
-    def tell(self, address: str, content: str, services: Iterable[str]) -> None:
+    def send_evidence(self, address: str, content: str, services: Iterable[str]) -> None:
         """Tell a box what blocks a request."""
-        found = {key for service in services for key in keys_of(content, service).all}
-        keys = [key for key in self.ledger.blocked if key in found]
-        self.sharing.send(address, self.sharing.news_of(keys))
+        request_keys = {key for service in services for key in keys_of(content, service).all}
+        keys = [key for key in self.ledger.blocked if key in request_keys]
+        self.sharing.send(address, self.sharing.news_for(keys))
 
     async def on_failed(
         self,
         contents: Iterable[str],
         service: str,
-        fate: Fate,
+        probe: CrashProbe,
         error: Exception,
         *,
-        began: float,
+        run_started_at: float,
         answered: bool,
     ) -> None:
         """Note whether a replica has ended under requests that it ran.
@@ -68,31 +68,31 @@
         replica lives. What can't be seen at once is watched while the requests go on; a replica
         that is silent may be without power.
         """
-        end = End(self.ledger.clock.monotonic(), began)
-        name = name_of_end(fate.name, self.ledger.clock.wall())
-        ends: dict[SuspectKey, str] = {}
+        crash = Crash(self.ledger.clock.monotonic(), run_started_at)
+        crash_id = new_crash_id(probe.name, self.ledger.clock.wall())
+        crash_ids: dict[SuspectKey, str] = {}
         for content in contents:
             keys = keys_of(content, service)
-            ends[keys.own] = name
+            crash_ids[keys.exact] = crash_id
             if not answered:
-                ends.update(dict.fromkeys(keys.alike, end_with_request(name, keys.own.content)))
-        if isinstance(error, ConnectionBroken) and await fate.has_ended():
-            self.note(ends, end)
+                crash_ids.update(dict.fromkeys(keys.common, add_request(crash_id, keys.exact.content)))
+        if isinstance(error, ConnectionBroken) and await probe.has_crashed():
+            self.record_crash(crash_ids, crash)
             return
-        task = asyncio.get_running_loop().create_task(self.watch(ends, end, fate))
+        task = asyncio.get_running_loop().create_task(self.record_if_confirmed(crash_ids, crash, probe))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def watch(self, ends: dict[SuspectKey, str], end: End, fate: Fate) -> None:
+    async def record_if_confirmed(self, crash_ids: dict[SuspectKey, str], crash: Crash, probe: CrashProbe) -> None:
         """Note the end of a replica that shows later."""
-        if await fate.ends_soon():
-            self.note(ends, end)
+        if await probe.confirm_crash():
+            self.record_crash(crash_ids, crash)
 
-    def note(self, ends: dict[SuspectKey, str], end: End) -> None:
+    def record_crash(self, crash_ids: dict[SuspectKey, str], crash: Crash) -> None:
         """Note the end of a replica that was at work on some requests, and tell of it."""
-        news = [key for key, name in ends.items() if self.ledger.on_ended(key, name, end)]
-        if news:
-            self.sharing.report(news)
+        changed = [key for key, name in crash_ids.items() if self.ledger.on_crash(key, name, crash)]
+        if changed:
+            self.sharing.report(changed)
 
     def on_survived(self, content: str, service: str) -> None:
         """Note that a replica has run a request to its end."""
@@ -104,9 +104,9 @@
     def release(self, content: str, *, who: str) -> list[SuspectKey]:
         """Let a request go as an operator asks, at every service; return where it was blocked."""
         services = {key.service for key in self.ledger.blocked}
-        named = {key for service in services for key in keys_of(content, service).all}
-        named |= {SuspectKey(content, service) for service in services}
-        keys = [key for key in self.ledger.blocked if key in named]
+        matching = {key for service in services for key in keys_of(content, service).all}
+        matching |= {SuspectKey(content, service) for service in services}
+        keys = [key for key in self.ledger.blocked if key in matching]
         for key in keys:
             self.ledger.on_survived(key, f'operator {who}')
         self.sharing.report(keys)
--- a/packages/core/calicopath_core/crashes/keeping.py
+++ b/packages/core/calicopath_core/crashes/keeping.py
@@ -20,21 +20,21 @@
     from calicopath_core.crashes.ledger import CrashLedger
     from calicopath_core.crashes.sharing import CrashSharing
 
-LOOK_S = 0.3
+WRITE_POLL_S = 0.3
 """How often it is looked whether there is anything to write."""
 
-READ_LOOK_S = 0.02
+READ_POLL_S = 0.02
 """How often it is looked whether it is this box's turn to read: callers wait for that."""
 
-FIRST_PAUSE_S = 1.0
-LONGEST_PAUSE_S = 8.0
+MIN_RETRY_DELAY_S = 1.0
+MAX_RETRY_DELAY_S = 8.0
 """How long a failed call is waited out; doubled each time."""
 
-MAX_KEPT = 500
+MAX_STORED = 500
 """Blocked requests kept, the newest: 100 KB of the megabyte that a value may have."""
 
 
-class KeptRequest(NamedTuple):
+class StoredRequest(NamedTuple):
     """Hold a blocked request and when which replicas ended under it, in seconds since 1970."""
 
     content: str
@@ -42,7 +42,7 @@
     ended: dict[str, float]
 
 
-class BlockedKeeper:
+class BlockedRequestPersister:
     """Read and write what is blocked while it is this box's turn.
 
     `read` and `write` raise a `CalicopathError` if the store does not do it. `write` returns the
@@ -57,8 +57,8 @@
         ledger: CrashLedger,
         sharing: CrashSharing,
         is_due: Callable[[], bool],
-        read: Callable[[], Awaitable[tuple[KeptRequest, ...]]],
-        write: Callable[[tuple[KeptRequest, ...]], Awaitable[int]],
+        read: Callable[[], Awaitable[tuple[StoredRequest, ...]]],
+        write: Callable[[tuple[StoredRequest, ...]], Awaitable[int]],
         era: Callable[[], int],
         on_failed: Callable[[Exception], None],
     ) -> None:
@@ -76,48 +76,48 @@
 
     async def run(self) -> None:
         """Read once and write what changes, until cancelled."""
-        pause_s = FIRST_PAUSE_S
+        retry_delay_s = MIN_RETRY_DELAY_S
         while True:
-            await asyncio.sleep(LOOK_S if self.sharing.complete else READ_LOOK_S)
+            await asyncio.sleep(WRITE_POLL_S if self.sharing.complete else READ_POLL_S)
             if not self.is_due():
                 continue
             try:
                 await self.step()
-                pause_s = FIRST_PAUSE_S
+                retry_delay_s = MIN_RETRY_DELAY_S
             except CalicopathError as error:
                 self.on_failed(error)
-                await asyncio.sleep(pause_s)
-                pause_s = min(LONGEST_PAUSE_S, 2 * pause_s)
+                await asyncio.sleep(retry_delay_s)
+                retry_delay_s = min(MAX_RETRY_DELAY_S, 2 * retry_delay_s)
 
     async def step(self) -> None:
         """Do what is due."""
         if not self.has_read:
             self.written_era = self.era()
-            kept = await self.read()
+            stored = await self.read()
             self.has_read = True
-            self.written = frozenset((item.content, item.service) for item in kept)
-            news = self.ledger.merge([self.evidence_of(item) for item in kept], 'store')
-            self.sharing.report(news)
+            self.written = frozenset((item.content, item.service) for item in stored)
+            changed = self.ledger.merge([self.evidence_from(item) for item in stored], 'store')
+            self.sharing.report(changed)
             self.sharing.on_complete()
         blocked = frozenset((key.content, key.service) for key in self.ledger.blocked)
         if blocked != self.written or self.written_era < self.era():
-            self.written_era = await self.write(self.kept())
+            self.written_era = await self.write(self.requests_to_store())
             self.written = blocked
 
-    def evidence_of(self, kept: KeptRequest) -> Evidence:
+    def evidence_from(self, stored: StoredRequest) -> Evidence:
         """Return what is kept with ages; the time of day may have jumped meanwhile."""
         now = self.clock.wall()
-        ages = {name: max(0.0, now - at) for name, at in kept.ended.items()}
-        ended = {name: (age_s, age_s) for name, age_s in ages.items()}
-        return Evidence(kept.content, kept.service, ended, None)
+        ages = {name: max(0.0, now - at) for name, at in stored.ended.items()}
+        crash_ages_s = {name: (age_s, age_s) for name, age_s in ages.items()}
+        return Evidence(stored.content, stored.service, crash_ages_s, None)
 
-    def kept(self) -> tuple[KeptRequest, ...]:
+    def requests_to_store(self) -> tuple[StoredRequest, ...]:
         """Return what is to be kept."""
         now = self.clock.wall()
         newest = sorted(self.ledger.blocked.values(), key=lambda item: -item.until)
         found = []
-        for item in newest[:MAX_KEPT]:
-            evidence = self.ledger.evidence_of(item.key)
-            ended = {name: now - age_s for name, (age_s, _) in evidence.ended_s.items()}
-            found.append(KeptRequest(evidence.content, evidence.service, ended))
+        for item in newest[:MAX_STORED]:
+            evidence = self.ledger.evidence_for(item.key)
+            crashed_at = {name: now - age_s for name, (age_s, _) in evidence.crash_ages_s.items()}
+            found.append(StoredRequest(evidence.content, evidence.service, crashed_at))
         return tuple(found)
--- a/packages/core/calicopath_core/crashes/messages.py
+++ b/packages/core/calicopath_core/crashes/messages.py
@@ -19,8 +19,8 @@
 
     content: str
     service: str
-    ended_s: dict[str, tuple[float, float]]
-    survived_s: float | None
+    crash_ages_s: dict[str, tuple[float, float]]
+    survival_age_s: float | None
 
 
 class CrashNews(News, frozen=True, tag='cr'):
--- a/packages/core/calicopath_core/crashes/sharing.py
+++ b/packages/core/calicopath_core/crashes/sharing.py
@@ -19,7 +19,7 @@
 MAX_EVIDENCE = 500
 """Requests told of in one message: 60 KB."""
 
-INCOMPLETE_MARK = '?'
+INCOMPLETE_PREFIX = '?'
 """Begins the digest of a box that does not know what is kept, so that those that do tell it."""
 
 
@@ -46,25 +46,25 @@
         )
         self.ledger = ledger
         self.complete = complete
-        self.listeners: Callable[[], Iterable[str]] = list
+        self.waiting_boxes: Callable[[], Iterable[str]] = list
 
     def digest(self) -> str:
         """Return what is alike at boxes that share the same evidence."""
         digest = self.ledger.digest()
-        return digest if self.complete else INCOMPLETE_MARK + digest
+        return digest if self.complete else INCOMPLETE_PREFIX + digest
 
     def holds(self, key: SuspectKey) -> bool:
         """Tell whether a request is still suspect."""
         return key in self.ledger.suspects
 
-    def news_of(self, keys: Iterable[SuspectKey]) -> CrashNews:
+    def news_for(self, keys: Iterable[SuspectKey]) -> CrashNews:
         """Return the evidence on some requests."""
-        evidence = [self.ledger.evidence_of(key) for key in keys]
+        evidence = [self.ledger.evidence_for(key) for key in keys]
         return CrashNews(
             sender=self.own_address, evidence=tuple(evidence[:MAX_EVIDENCE]), whole=False
         )
 
-    def everything(self, *, whole: bool) -> CrashNews:
+    def full_news(self, *, whole: bool) -> CrashNews:
         """Return all evidence that is shared."""
         evidence = self.ledger.shared()[:MAX_EVIDENCE]
         return CrashNews(
@@ -73,27 +73,27 @@
 
     def merge(self, news: CrashNews) -> list[SuspectKey]:
         """Join another box's evidence; return on which requests that was news."""
-        found = self.ledger.merge(news.evidence, news.sender)
+        changed = self.ledger.merge(news.evidence, news.sender)
         if news.whole and news.complete:
             # After the evidence is joined, which those that wait for this box's word are told.
             self.on_complete()
-        return found
+        return changed
 
     def on_complete(self) -> None:
         """Note that this box knows what is kept, and tell those that wait for it."""
         if self.complete:
             return
         self.complete = True
-        for address in self.listeners():
-            self.send_whole(address)
+        for address in self.waiting_boxes():
+            self.send_full_news(address)
 
-    def lacks(self, news: CrashNews) -> bool:
+    def knows_more_than(self, news: CrashNews) -> bool:
         """Tell whether this box shares something that is not in another's news."""
-        told = {(item.content, item.service): item for item in news.evidence}
+        received = {(item.content, item.service): item for item in news.evidence}
         for item in self.ledger.shared():
-            other = told.get((item.content, item.service))
-            if other is None or item.ended_s.keys() - other.ended_s.keys():
+            other = received.get((item.content, item.service))
+            if other is None or item.crash_ages_s.keys() - other.crash_ages_s.keys():
                 return True
-            if item.survived_s is not None and other.survived_s is None:
+            if item.survival_age_s is not None and other.survival_age_s is None:
                 return True
         return False
--- a/packages/core/calicopath_core/crashes/suspects.py
+++ b/packages/core/calicopath_core/crashes/suspects.py
@@ -16,15 +16,15 @@
 import math
 from typing import NamedTuple
 
-LIMIT = 3
+CRASH_LIMIT = 3
 """Moments at which replicas ended under a request before none is given it any more. The users allow
 three; with two, a request that is beside the cause twice in a row would be blocked."""
 
-MOMENT_S = 0.1
+SIMULTANEOUS_S = 0.1
 """Ends within this time are one event, of runs that had begun before the first of them: boxes hear
 of one end within 5 ms of each other, a busy one some time later."""
 
-SAME_END_S = 1.0
+SAME_CRASH_S = 1.0
 """Ends of one replica within this time are one: a box may notice it late. One that comes back under
 its name and ends again later has ended twice."""
 
@@ -32,20 +32,20 @@
 """How long a request is blocked for after the third end, doubled with each further one."""
 
 MAX_BLOCK_S = 3 * 3600.0
-KEEP_S = 6 * 3600.0
+CRASH_RETENTION_S = 6 * 3600.0
 """How long an end is remembered."""
 
-SURVIVAL_KEEP_S = 60.0
+SURVIVAL_RETENTION_S = 60.0
 """How long it is remembered that a request survived: longer than any box has older word of it."""
 
-CONTENT_MARK = '.'
-PROMPT_MARK = '~'
-REQUEST_MARK = '#'
+CONTENT_SEPARATOR = '.'
+PROMPT_PREFIX = '~'
+REQUEST_SEPARATOR = '#'
 
-MAX_ENDED = 16
+MAX_CRASHES = 16
 """Ends remembered for one request; the same ones at every box, those first by name."""
 
-LEAST_KINDS = 2
+MIN_DISTINCT_REQUESTS = 2
 """Different requests under which replicas must have ended before all that are alike are blocked."""
 
 
@@ -59,11 +59,11 @@
     service: str
 
 
-class End(NamedTuple):
+class Crash(NamedTuple):
     """Say when a replica ended and when the run had begun that it took along."""
 
     at: float
-    began: float
+    run_started_at: float
 
 
 class Suspect:
@@ -75,105 +75,105 @@
     """
 
     def __init__(self) -> None:
-        self.ended: dict[str, End] = {}
+        self.crashes: dict[str, Crash] = {}
         self.survived_at = -math.inf
 
-    def add(self, name: str, end: End) -> bool:
+    def add_crash(self, crash_id: str, crash: Crash) -> bool:
         """Note a replica's end; tell whether that is news."""
-        if name in self.ended:
+        if crash_id in self.crashes:
             return False
-        self.ended[name] = end
-        if len(self.ended) > MAX_ENDED:
-            del self.ended[max(self.ended)]
-        return name in self.ended
+        self.crashes[crash_id] = crash
+        if len(self.crashes) > MAX_CRASHES:
+            del self.crashes[max(self.crashes)]
+        return crash_id in self.crashes
 
-    def survive(self, at: float) -> bool:
+    def add_survival(self, at: float) -> bool:
         """Note that the request was run to its end; tell whether that is news."""
-        ends = self.ended.values()
-        news = at > self.survived_at and any(end.at > self.survived_at for end in ends)
+        crashes = self.crashes.values()
+        is_new = at > self.survived_at and any(crash.at > self.survived_at for crash in crashes)
         self.survived_at = max(self.survived_at, at)
-        return news
+        return is_new
 
-    def moments(self) -> list[float]:
+    def crash_times(self) -> list[float]:
         """Return when replicas have ended under the request since it last survived, in order."""
-        found: list[float] = []
-        last_of: dict[str, float] = {}
-        for end, name in sorted((end, name) for name, end in self.ended.items()):
+        times: list[float] = []
+        last_crash_at: dict[str, float] = {}
+        for crash, name in sorted((crash, name) for name, crash in self.crashes.items()):
             replica = replica_of(name)
-            again = end.at - last_of.get(replica, -math.inf) <= SAME_END_S
-            if end.at <= self.survived_at or again:
+            is_repeat = crash.at - last_crash_at.get(replica, -math.inf) <= SAME_CRASH_S
+            if crash.at <= self.survived_at or is_repeat:
                 continue
-            last_of[replica] = end.at
-            if not found or end.at - found[-1] > MOMENT_S or end.began >= found[-1]:
-                found.append(end.at)
-        return found
+            last_crash_at[replica] = crash.at
+            if not times or crash.at - times[-1] > SIMULTANEOUS_S or crash.run_started_at >= times[-1]:
+                times.append(crash.at)
+        return times
 
-    def kinds(self) -> set[str]:
+    def distinct_requests(self) -> set[str]:
         """Return under which requests replicas have ended, where that is told of what is alike."""
-        ends = self.ended.items()
-        return {request_of(name) for name, end in ends if end.at > self.survived_at}
+        crashes = self.crashes.items()
+        return {request_of(name) for name, crash in crashes if crash.at > self.survived_at}
 
-    def blocked_until(self, least_kinds: int = 1) -> float | None:
+    def blocked_until(self, min_distinct_requests: int = 1) -> float | None:
         """Return until when the request is not sent on, nothing if it is."""
-        moments = self.moments()
-        if len(moments) < LIMIT or len(self.kinds()) < least_kinds:
+        times = self.crash_times()
+        if len(times) < CRASH_LIMIT or len(self.distinct_requests()) < min_distinct_requests:
             return None
-        return moments[-1] + min(MAX_BLOCK_S, BLOCK_S * 2.0 ** (len(moments) - LIMIT))
+        return times[-1] + min(MAX_BLOCK_S, BLOCK_S * 2.0 ** (len(times) - CRASH_LIMIT))
 
-    def forgotten_at(self) -> float:
+    def expires_at(self) -> float:
         """Return when nothing of this has to be remembered any more."""
-        newest = max((end.at for end in self.ended.values()), default=-math.inf)
+        newest = max((crash.at for crash in self.crashes.values()), default=-math.inf)
         if newest <= self.survived_at:
-            return self.survived_at + SURVIVAL_KEEP_S
-        return newest + KEEP_S
+            return self.survived_at + SURVIVAL_RETENTION_S
+        return newest + CRASH_RETENTION_S
 
 
-def name_of_end(replica: str, wall: float) -> str:
+def new_crash_id(replica: str, wall_s: float) -> str:
     """Return what names an end of a replica; `wall` is in seconds since 1970."""
-    return f'{replica}@{int(wall)}'
+    return f'{replica}@{int(wall_s)}'
 
 
-def replica_of(end: str) -> str:
+def replica_of(crash_id: str) -> str:
     """Return the replica that an end is of."""
-    return end.partition('@')[0]
+    return crash_id.partition('@')[0]
 
 
-def end_with_request(end: str, content: str) -> str:
+def add_request(crash_id: str, content: str) -> str:
     """Return what names an end where it is told of what is alike: with the request that ran."""
-    return f'{end}{REQUEST_MARK}{content}'
+    return f'{crash_id}{REQUEST_SEPARATOR}{content}'
 
 
-def request_of(end: str) -> str:
+def request_of(crash_id: str) -> str:
     """Return the request with which an end is told; nothing where it is told of a request."""
-    return end.partition(REQUEST_MARK)[2]
+    return crash_id.partition(REQUEST_SEPARATOR)[2]
 
 
-def content_name(path: str, body: str, prompt: str = '') -> str:
+def request_fingerprint(path: str, body: str, prompt: str = '') -> str:
     """Return what names a request, by digests: path with caller, body, prompt with caller."""
-    return CONTENT_MARK.join((path, body, prompt) if prompt else (path, body))
+    return CONTENT_SEPARATOR.join((path, body, prompt) if prompt else (path, body))
 
 
 class RequestKeys(NamedTuple):
     """Hold the key of a request at one service, and those of what it has in common with others."""
 
-    own: SuspectKey
-    alike: tuple[SuspectKey, ...]
+    exact: SuspectKey
+    common: tuple[SuspectKey, ...]
 
     @property
     def all(self) -> tuple[SuspectKey, ...]:
         """Return every key under which the request may be blocked."""
-        return (self.own, *self.alike)
+        return (self.exact, *self.common)
 
 
 def keys_of(content: str, service: str) -> RequestKeys:
     """Return the keys of a request at one service, by its content's name."""
-    path, body, prompt = ([*content.split(CONTENT_MARK), '', ''])[:3]
-    alike = [SuspectKey(path, service)]
+    path, body, prompt = ([*content.split(CONTENT_SEPARATOR), '', ''])[:3]
+    common = [SuspectKey(path, service)]
     if prompt:
-        alike.append(SuspectKey(f'{PROMPT_MARK}{prompt}', service))
-    return RequestKeys(SuspectKey(content_name(path, body), service), tuple(alike))
+        common.append(SuspectKey(f'{PROMPT_PREFIX}{prompt}', service))
+    return RequestKeys(SuspectKey(request_fingerprint(path, body), service), tuple(common))
 
 
-def is_alike(content: str) -> bool:
+def is_common(content: str) -> bool:
     """Tell whether this names what is alike in requests, not one request."""
-    return CONTENT_MARK not in content
+    return CONTENT_SEPARATOR not in content
--- a/packages/core/calicopath_core/crashes/tests/gossip_tests.py
+++ b/packages/core/calicopath_core/crashes/tests/gossip_tests.py
@@ -7,7 +7,7 @@
 
 from calicopath_core.crashes.guard import CrashGuard
 from calicopath_core.crashes.sharing import CrashSharing
-from calicopath_core.crashes.suspects import End, SuspectKey
+from calicopath_core.crashes.suspects import Crash, SuspectKey
 from calicopath_core.membership.gossip import PUSH_FANOUT
 from testkit.cases import VirtualCase
 from testkit.fleet import PeerBox, PeerFleet
@@ -45,7 +45,7 @@
             await fleet.start()
             for number, name in enumerate(list(guards)[:3]):
                 now = guards[name].ledger.clock.monotonic()
-                guards[name].note({KEY: f'r{number}@{number}'}, End(now, now - 0.1))
+                guards[name].record_crash({KEY: f'r{number}@{number}'}, Crash(now, now - 0.1))
                 await asyncio.sleep(0.5)
             await asyncio.sleep(within_s)
             blocked = [bool(guard.blocked_s('c.b', ['drafting'])) for guard in guards.values()]
--- a/packages/core/calicopath_core/crashes/tests/ledger_tests.py
+++ b/packages/core/calicopath_core/crashes/tests/ledger_tests.py
@@ -17,14 +17,14 @@
 from calicopath_core.crashes.sharing import CrashSharing
 from calicopath_core.crashes.suspects import (
     BLOCK_S,
-    KEEP_S,
-    MAX_ENDED,
-    MOMENT_S,
-    SAME_END_S,
-    SURVIVAL_KEEP_S,
-    End,
+    CRASH_RETENTION_S,
+    MAX_CRASHES,
+    SIMULTANEOUS_S,
+    SAME_CRASH_S,
+    SURVIVAL_RETENTION_S,
+    Crash,
     SuspectKey,
-    name_of_end,
+    new_crash_id,
     replica_of,
 )
 from calicopath_core.membership.sharing import REPEAT_S
@@ -32,7 +32,7 @@
 from testkit.ledgers import new_ledger
 
 KEY = SuspectKey('c.b', 'engine')
-APART_S = 2 * MOMENT_S
+APART_S = 2 * SIMULTANEOUS_S
 RUN_S = 5.0
 
 
@@ -40,13 +40,13 @@
     """Let replicas end under a request, one after the other."""
     for replica in replicas:
         now = ledger.clock.monotonic()
-        ledger.on_ended(key, name_of_end(replica, ledger.clock.wall()), End(now, now - RUN_S))
+        ledger.on_crash(key, new_crash_id(replica, ledger.clock.wall()), Crash(now, now - RUN_S))
         await asyncio.sleep(APART_S)
 
 
-def now_end(ledger: CrashLedger) -> End:
+def now_end(ledger: CrashLedger) -> Crash:
     """Return an end of this moment."""
-    return End(ledger.clock.monotonic(), ledger.clock.monotonic() - RUN_S)
+    return Crash(ledger.clock.monotonic(), ledger.clock.monotonic() - RUN_S)
 
 
 class Counting(VirtualCase):
@@ -64,7 +64,7 @@
         async def scenario() -> None:
             ledger = new_ledger()
             await ended(ledger, 'r1', 'r1', 'r1')
-            end = next(iter(ledger.suspects[KEY].ended))
+            end = next(iter(ledger.suspects[KEY].crashes))
             for number in range(5):
                 ledger.merge(
                     [Evidence('c.b', 'engine', {end: (number / 1000, 1.0)}, None)], f'b{number}'
@@ -78,7 +78,7 @@
             ledger = new_ledger()
             for _ in range(2):
                 await ended(ledger, 'r1')
-                await asyncio.sleep(SAME_END_S)
+                await asyncio.sleep(SAME_CRASH_S)
             self.assertIsNone(ledger.blocked_s('c.b', ['engine']))
             await ended(ledger, 'r1')
             self.assertIsNotNone(ledger.blocked_s('c.b', ['engine']))
@@ -103,7 +103,7 @@
         async def scenario() -> None:
             ledger = new_ledger()
             for number in range(6):
-                ledger.on_ended(KEY, f'r{number}', now_end(ledger))
+                ledger.on_crash(KEY, f'r{number}', now_end(ledger))
             self.assertIsNone(ledger.blocked_s('c.b', ['engine']))
 
         self.run_virtual(scenario())
@@ -113,8 +113,8 @@
             ledger = new_ledger()
             for number in range(3):
                 now = ledger.clock.monotonic()
-                await asyncio.sleep(MOMENT_S / 4)
-                ledger.on_ended(KEY, f'r{number}', End(ledger.clock.monotonic(), now + 1e-6))
+                await asyncio.sleep(SIMULTANEOUS_S / 4)
+                ledger.on_crash(KEY, f'r{number}', Crash(ledger.clock.monotonic(), now + 1e-6))
             self.assertIsNotNone(ledger.blocked_s('c.b', ['engine']))
 
         self.run_virtual(scenario())
@@ -150,7 +150,7 @@
             await asyncio.sleep(BLOCK_S)
             ledger.expire()
             self.assertIsNone(ledger.blocked_s('c.b', ['engine']))
-            observer.on_let_go.assert_called_once_with(KEY, 'time')
+            observer.on_unblocked.assert_called_once_with(KEY, 'time')
             await ended(ledger, 'r4')
             self.assertAlmostEqual(2 * BLOCK_S, ledger.blocked_s('c.b', ['engine']) or 0, delta=1)
 
@@ -161,13 +161,13 @@
             ledger = new_ledger()
             await ended(ledger, 'r1', 'r2', 'r3')
             for number in range(2 * MAX_SUSPECTS):
-                ledger.on_ended(SuspectKey(f'c{number}.b', 'engine'), 'r9', now_end(ledger))
+                ledger.on_crash(SuspectKey(f'c{number}.b', 'engine'), 'r9', now_end(ledger))
             self.assertEqual(MAX_SUSPECTS, len(ledger.suspects))
             self.assertIsNotNone(ledger.blocked_s('c.b', ['engine']))
-            for number in range(3 * MAX_ENDED):
-                ledger.on_ended(KEY, f's{number}', now_end(ledger))
-            self.assertEqual(MAX_ENDED, len(ledger.suspects[KEY].ended))
-            await asyncio.sleep(KEEP_S + SURVIVAL_KEEP_S)
+            for number in range(3 * MAX_CRASHES):
+                ledger.on_crash(KEY, f's{number}', now_end(ledger))
+            self.assertEqual(MAX_CRASHES, len(ledger.suspects[KEY].crashes))
+            await asyncio.sleep(CRASH_RETENTION_S + SURVIVAL_RETENTION_S)
             ledger.expire()
             self.assertEqual({}, ledger.suspects)
 
@@ -229,16 +229,16 @@
     def test_own_news_are_repeated_for_a_while_in_case_they_were_lost(self) -> None:
         async def scenario() -> None:
             box, hub, sent = self.pair()
-            box.ledger.on_ended(KEY, 'r1', now_end(box.ledger))
+            box.ledger.on_crash(KEY, 'r1', now_end(box.ledger))
             box.report([KEY])
             sent.clear()
             await asyncio.sleep(0.4)
-            box.tell_hubs()
+            box.notify_hubs()
             hub.on_news(sent[0][1])
             sent.clear()
-            self.assertEqual({'r1'}, set(hub.ledger.suspects[KEY].ended))
+            self.assertEqual({'r1'}, set(hub.ledger.suspects[KEY].crashes))
             await asyncio.sleep(REPEAT_S)
-            box.tell_hubs()
+            box.notify_hubs()
             self.assertEqual([], sent)
 
         self.run_virtual(scenario())
@@ -267,12 +267,12 @@
             first, relay, sent = self.pair()
             await ended(first.ledger, 'r1', 'r2', 'r3')
             relay.complete = False
-            relay.listeners = lambda: ['subscriber']
-            relay.on_news(first.everything(whole=True))
+            relay.waiting_boxes = lambda: ['subscriber']
+            relay.on_news(first.full_news(whole=True))
             self.assertTrue(relay.complete)
             ((address, news),) = sent
             self.assertEqual(('subscriber', True), (address, news.complete))
-            told = [set(map(replica_of, item.ended_s)) for item in news.evidence]
+            told = [set(map(replica_of, item.crash_ages_s)) for item in news.evidence]
             self.assertEqual([{'r1', 'r2', 'r3'}], told)
 
         self.run_virtual(scenario())
--- a/packages/core/calicopath_core/exchanges/content.py
+++ b/packages/core/calicopath_core/exchanges/content.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from calicopath_core.crashes.suspects import content_name
+from calicopath_core.crashes.suspects import request_fingerprint
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -27,10 +27,10 @@
     path = digest_of([exchange.path.encode(), caller])
     body = digest_of([exchange.body])
     if exchange.prompt is None:
-        return content_name(path, body)
+        return request_fingerprint(path, body)
     # What is expected to come out is a guess, which may differ with each try.
     prompt = msgspec.structs.replace(exchange.prompt, tokens_out=0)
-    return content_name(path, body, digest_of([msgspec.msgpack.encode(prompt), caller]))
+    return request_fingerprint(path, body, digest_of([msgspec.msgpack.encode(prompt), caller]))
 
 
 def digest_of(parts: Iterable[bytes]) -> str:
--- a/packages/core/calicopath_core/exchanges/plain.py
+++ b/packages/core/calicopath_core/exchanges/plain.py
@@ -12,7 +12,7 @@
     NotStarted,
     WrongAnswer,
 )
-from calicopath_core.crashes.fate import ReplicaFate
+from calicopath_core.crashes.fate import ReplicaCrashProbe
 from calicopath_core.exchanges.context import (
     RETRY_SOON_S,
     STATUS_BAD_GATEWAY,
@@ -96,10 +96,10 @@
     """Find out whether a replica has ended, before the request is sent once more."""
     ran = not isinstance(error, NotStarted | WrongAnswer)
     if ran and not ticket.expired(context.clock.monotonic()):
-        fate = ReplicaFate(reach=context.caller, replicas=context.replicas, replica=replica)
+        fate = ReplicaCrashProbe(reach=context.caller, replicas=context.replicas, replica=replica)
         contents = [ticket.content]
         await context.crashes.on_failed(
-            contents, ticket.service, fate, error, began=ticket.sent_at, answered=answered
+            contents, ticket.service, fate, error, run_started_at=ticket.sent_at, answered=answered
         )
 
 
--- a/packages/core/calicopath_core/execution/attempts.py
+++ b/packages/core/calicopath_core/execution/attempts.py
@@ -11,7 +11,7 @@
     NotStarted,
     WrongAnswer,
 )
-from calicopath_core.crashes.fate import EndpointFate
+from calicopath_core.crashes.fate import EndpointCrashProbe
 from calicopath_core.execution.requests import CallResult
 from calicopath_core.execution.run import Run, StageFailed
 from calicopath_core.routing.pools import NoEndpoint, NoRoom, Slot, Ticket
@@ -133,9 +133,9 @@
 ) -> None:
     """Find out whether an endpoint has ended, before the request is sent once more."""
     if isinstance(error, ConnectionBroken):
-        fate = EndpointFate(reach=context.backends.reach, endpoint=slot.endpoint)
+        fate = EndpointCrashProbe(reach=context.backends.reach, endpoint=slot.endpoint)
         await context.crashes.on_failed(
-            [run.content], service, fate, error, began=run.sent_at, answered=answered
+            [run.content], service, fate, error, run_started_at=run.sent_at, answered=answered
         )
 
 
--- a/packages/core/calicopath_core/execution/run.py
+++ b/packages/core/calicopath_core/execution/run.py
@@ -5,7 +5,7 @@
 import hashlib
 from typing import TYPE_CHECKING
 
-from calicopath_core.crashes.suspects import content_name
+from calicopath_core.crashes.suspects import request_fingerprint
 from calicopath_core.exceptions import CalicopathError
 from calicopath_core.structure.calls import CallId, StageInput
 from calicopath_core.structure.stages import StageKind
@@ -71,7 +71,7 @@
         """Return what names what is asked: pipeline and workspace, then the body."""
         asked = f'{self.plan.workspace}/{self.plan.pipeline}'.encode()
         pipeline = hashlib.blake2b(asked, digest_size=NAME_BYTES).hexdigest()
-        return content_name(pipeline, self.request.body)
+        return request_fingerprint(pipeline, self.request.body)
 
     @property
     def repeatable(self) -> bool:
--- a/packages/core/calicopath_core/fleet/leaving_sharing.py
+++ b/packages/core/calicopath_core/fleet/leaving_sharing.py
@@ -61,11 +61,11 @@
         """Tell whether a replica's word is kept."""
         return key in self.leaving.words
 
-    def news_of(self, keys: Iterable[str]) -> LeavingNews:
+    def news_for(self, keys: Iterable[str]) -> LeavingNews:
         """Return the words of some replicas."""
         return self.message(keys, whole=False)
 
-    def everything(self, *, whole: bool) -> LeavingNews:
+    def full_news(self, *, whole: bool) -> LeavingNews:
         """Return all words that are shared."""
         return self.message(self.leaving.shared(), whole=whole)
 
@@ -91,7 +91,7 @@
             )
         ]
 
-    def lacks(self, news: LeavingNews) -> bool:
+    def knows_more_than(self, news: LeavingNews) -> bool:
         """Tell whether this box shares a word that is not in another's news."""
         told = {word.replica: word.lost_address for word in news.words}
         held = self.leaving.words
--- a/packages/core/calicopath_core/fleet/store.py
+++ b/packages/core/calicopath_core/fleet/store.py
@@ -13,7 +13,7 @@
 from calicopath_core.scheduling.election import BoxAddress
 
 if TYPE_CHECKING:
-    from calicopath_core.crashes.keeping import KeptRequest
+    from calicopath_core.crashes.keeping import StoredRequest
     from calicopath_core.fleet.positions import Position
 
 Record = Deployment | Replica | BoxAddress | Evacuation
@@ -86,11 +86,11 @@
         """
 
     @abstractmethod
-    async def read_blocked(self) -> tuple[KeptRequest, ...]:
+    async def read_blocked(self) -> tuple[StoredRequest, ...]:
         """Return the requests that are kept as blocked; raise `FleetStoreError`."""
 
     @abstractmethod
-    async def write_blocked(self, kept: tuple[KeptRequest, ...]) -> int:
+    async def write_blocked(self, kept: tuple[StoredRequest, ...]) -> int:
         """Keep these requests as blocked, whatever was there.
 
         Return the store's era or raise `FleetStoreError`.
--- a/packages/core/calicopath_core/fleet/tests/gate_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/gate_tests.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from calicopath_core.crashes.fate import ReplicaFate
+from calicopath_core.crashes.fate import ReplicaCrashProbe
 from calicopath_core.exchanges.messages import ReplicaReach
 from calicopath_core.fleet.backoffs import KEEP_S, MAX_BACKOFF_S, SPREAD_S, TRIAL_S
 from calicopath_core.fleet.leaving import KEEP_S as WORD_KEEP_S
@@ -176,8 +176,8 @@
                 gate.on_notice(FIRST, LEAVES)
                 if goes:
                     gate.replicas.remove('i', 0.0)
-                fate = ReplicaFate(reach=Silent(), replicas=gate.replicas, replica=FIRST)
-                self.assertFalse(await fate.lapses())
+                fate = ReplicaCrashProbe(reach=Silent(), replicas=gate.replicas, replica=FIRST)
+                self.assertFalse(await fate.entry_expires())
 
         self.play(work)
 
--- a/packages/core/calicopath_core/membership/buckets.py
+++ b/packages/core/calicopath_core/membership/buckets.py
@@ -10,12 +10,12 @@
 if TYPE_CHECKING:
     from calicopath_core.store.view import ConfigView, ViewUpdate
 
-BUCKETS = 256
+BUCKET_COUNT = 256
 
 
 def bucket_of(key: str) -> int:
     """Return the bucket of a key."""
-    return zlib.crc32(key.encode()) % BUCKETS
+    return zlib.crc32(key.encode()) % BUCKET_COUNT
 
 
 class BucketIndex:
@@ -23,8 +23,8 @@
 
     def __init__(self, *, view: ConfigView) -> None:
         self.view = view
-        self.digests = [0] * BUCKETS
-        self.versions: list[dict[str, int]] = [{} for _ in range(BUCKETS)]
+        self.digests = [0] * BUCKET_COUNT
+        self.versions: list[dict[str, int]] = [{} for _ in range(BUCKET_COUNT)]
         view.listeners.append(self.on_updates)
 
     def on_updates(self, updates: list[ViewUpdate]) -> None:
@@ -51,6 +51,6 @@
         """Return the versions held in some buckets."""
         found: dict[str, int] = {}
         for bucket in buckets:
-            if 0 <= bucket < BUCKETS:
+            if 0 <= bucket < BUCKET_COUNT:
                 found.update(self.versions[bucket])
         return found
--- a/packages/core/calicopath_core/membership/gossip.py
+++ b/packages/core/calicopath_core/membership/gossip.py
@@ -47,18 +47,18 @@
 PUSH_DELAY_S = 0.05
 """How long new objects are gathered before they are passed on together."""
 
-RECENT_TOLD = 16
+MAX_RECENT_VERSIONS = 16
 """Objects taken in last of which every heartbeat tells the versions."""
 
-NEAR_TOLD = 8
-FAR_TOLD = 4
+LOCAL_MEMBERS_SENT = 8
+REMOTE_MEMBERS_SENT = 4
 """Boxes of the own and of other failure domains that one heartbeat tells of. The own domain's
 must be heard of often, since its relays are chosen among them."""
 
 MAX_PUSH_ENTRIES = 200
 MAX_WANTED = 2000
 MAX_VERSIONS = 5000
-DIGESTS_REMEMBERED = 64
+MAX_RECENT_DIGESTS = 64
 REPAIR_INTERVAL_S = 1.0
 """Least time between two repairs with whomever, so that a burst of changes is not repaired."""
 
@@ -71,7 +71,7 @@
         self.sent_bytes = 0
         self.received: Counter[str] = Counter()
         self.received_bytes = 0
-        self.bad = 0
+        self.undecodable = 0
         self.repaired = 0
 
 
@@ -96,11 +96,11 @@
         self.is_ready = is_ready
         self.index = BucketIndex(view=view)
         self.counts = GossipCounts()
-        self.fresh: dict[str, ViewUpdate] = {}
-        self.recent: OrderedDict[str, int] = OrderedDict()
-        self.recent_digests: deque[int] = deque(maxlen=DIGESTS_REMEMBERED)
-        self.next_heartbeat = 0.0
-        self.next_repair = 0.0
+        self.unsent_updates: dict[str, ViewUpdate] = {}
+        self.recent_versions: OrderedDict[str, int] = OrderedDict()
+        self.recent_digests: deque[int] = deque(maxlen=MAX_RECENT_DIGESTS)
+        self.next_heartbeat_at = 0.0
+        self.next_repair_at = 0.0
         self.contact_at: float | None = None
         self.agreed_with_ready_peer = False
         self.handlers: dict[type[msgspec.Struct], Callable[[Any], None]] = {
@@ -110,29 +110,29 @@
             BucketVersions: self.on_versions,
             Want: self.on_want,
         }
-        self.crashes: CrashSharing | None = None
+        self.crash_sharing: CrashSharing | None = None
         self.decoder = MessageDecoder(types=self.handlers)
         view.listeners.append(self.on_updates)
         transport.listen(self.on_data)
 
-    def handle(self, kind: type[T], handler: Callable[[T], None]) -> None:
+    def register_handler(self, kind: type[T], handler: Callable[[T], None]) -> None:
         """Let others exchange messages of their own over the same connections."""
         self.handlers[kind] = handler
         self.decoder = MessageDecoder(types=self.handlers)
 
-    def share_crashes(self, crashes: CrashSharing) -> None:
+    def share_crashes(self, crash_sharing: CrashSharing) -> None:
         """Carry what boxes know of requests under which endpoints have ended."""
-        self.crashes = crashes
-        self.handle(CrashNews, crashes.on_news)
+        self.crash_sharing = crash_sharing
+        self.register_handler(CrashNews, crash_sharing.on_news)
 
     def on_updates(self, updates: list[ViewUpdate]) -> None:
         """Remember what the view has newly taken in, to pass it on."""
         for update in updates:
-            self.fresh[update.key] = update
-            self.recent[update.key] = update.version
-            self.recent.move_to_end(update.key)
-        while len(self.recent) > RECENT_TOLD:
-            self.recent.popitem(last=False)
+            self.unsent_updates[update.key] = update
+            self.recent_versions[update.key] = update.version
+            self.recent_versions.move_to_end(update.key)
+        while len(self.recent_versions) > MAX_RECENT_VERSIONS:
+            self.recent_versions.popitem(last=False)
         self.recent_digests.append(self.view.digest)
 
     def on_contact(self, at: float) -> None:
@@ -140,7 +140,7 @@
         if self.contact_at is None or at > self.contact_at:
             self.contact_at = at
 
-    def contact_age(self) -> float | None:
+    def contact_age_s(self) -> float | None:
         """Return the seconds since the platform was heard of, by us or through others."""
         if self.contact_at is None:
             return None
@@ -152,22 +152,22 @@
 
     def tick(self) -> None:
         """Pass on what is new, and send a heartbeat when one is due."""
-        self.push_fresh()
+        self.push_updates()
         now = self.clock.monotonic()
-        if now >= self.next_heartbeat:
+        if now >= self.next_heartbeat_at:
             # Spread over the second, so that boxes started together do not stay in step.
-            self.next_heartbeat = now + HEARTBEAT_S * self.rng.uniform(0.8, 1.2)
+            self.next_heartbeat_at = now + HEARTBEAT_S * self.rng.uniform(0.8, 1.2)
             self.members.forget_silent(now)
             self.send_heartbeats(now)
-            if self.crashes is not None:
-                self.crashes.tell_hubs()
+            if self.crash_sharing is not None:
+                self.crash_sharing.notify_hubs()
 
-    def push_fresh(self) -> None:
+    def push_updates(self) -> None:
         """Send new objects to a few boxes."""
-        if not self.fresh:
+        if not self.unsent_updates:
             return
-        entries = [Entry(item.key, item.version, item.spec) for item in self.fresh.values()]
-        self.fresh.clear()
+        entries = [Entry(item.key, item.version, item.spec) for item in self.unsent_updates.values()]
+        self.unsent_updates.clear()
         now = self.clock.monotonic()
         for member in self.members.sample(PUSH_FANOUT, now, self.rng):
             self.send_entries(member.info.address, entries)
@@ -180,31 +180,31 @@
 
     def send_heartbeats(self, now: float) -> None:
         """Tell a few boxes that we live, what we hold and whom we know."""
-        own = msgspec.structs.replace(self.members.own, beat=self.members.own.beat + 1)
+        own = msgspec.structs.replace(self.members.own, heartbeat_number=self.members.own.heartbeat_number + 1)
         self.members.own = own
         chosen = self.members.sample(HEARTBEAT_FANOUT, now, self.rng)
         heartbeat = Heartbeat(
             sender=own,
             digest=self.view.digest,
-            contact_age_s=self.contact_age(),
+            contact_age_s=self.contact_age_s(),
             ready=self.is_ready(),
-            recent=dict(self.recent),
-            members=self.members_told(now),
-            crashes=self.crashes.ledger.digest() if self.crashes is not None else '',
+            recent=dict(self.recent_versions),
+            members=self.members_to_send(now),
+            crashes=self.crash_sharing.ledger.digest() if self.crash_sharing is not None else '',
         )
         for member in chosen:
             self.send(member.info.address, heartbeat)
 
-    def members_told(self, now: float) -> list[MemberInfo]:
+    def members_to_send(self, now: float) -> list[MemberInfo]:
         """Return a few boxes heard of lately, most of them of the own failure domain."""
-        near: list[MemberInfo] = []
-        far: list[MemberInfo] = []
+        local: list[MemberInfo] = []
+        remote: list[MemberInfo] = []
         for member in self.members.live(now):
             if member.heard_at is not None:
-                own_domain = member.info.failure_domain == self.members.own.failure_domain
-                (near if own_domain else far).append(member.info)
-        told = self.rng.sample(near, min(NEAR_TOLD, len(near)))
-        return told + self.rng.sample(far, min(FAR_TOLD, len(far)))
+                is_local = member.info.failure_domain == self.members.own.failure_domain
+                (local if is_local else remote).append(member.info)
+        chosen = self.rng.sample(local, min(LOCAL_MEMBERS_SENT, len(local)))
+        return chosen + self.rng.sample(remote, min(REMOTE_MEMBERS_SENT, len(remote)))
 
     def send(self, address: str, message: msgspec.Struct) -> None:
         """Send and count a message."""
@@ -219,7 +219,7 @@
         try:
             message = self.decoder.decode(data)
         except BadMessage:
-            self.counts.bad += 1
+            self.counts.undecodable += 1
             return
         self.counts.received[type(message).__name__] += 1
         self.handlers[type(message)](message)
@@ -238,21 +238,21 @@
             self.members.on_heard(info, now, direct=False)
         if message.contact_age_s is not None:
             self.on_contact(now - message.contact_age_s)
-        if self.crashes is not None:
-            self.crashes.on_digest(message.sender.address, message.crashes)
+        if self.crash_sharing is not None:
+            self.crash_sharing.on_digest(message.sender.address, message.crashes)
         if message.digest == self.view.digest:
             self.agreed_with_ready_peer = self.agreed_with_ready_peer or message.ready
             return
-        if self.exchange_recent(message):
+        if self.request_recent(message):
             return
-        if message.digest in self.recent_digests or now < self.next_repair:
+        if message.digest in self.recent_digests or now < self.next_repair_at:
             # The other box is a little behind, and pushes are on their way.
             return
-        self.next_repair = now + REPAIR_INTERVAL_S
+        self.next_repair_at = now + REPAIR_INTERVAL_S
         digests = BucketDigests(self.members.own, self.is_ready(), self.index.digests)
         self.send(message.sender.address, digests)
 
-    def exchange_recent(self, message: Heartbeat) -> bool:
+    def request_recent(self, message: Heartbeat) -> bool:
         """Ask for what the other box took in lately and we lack; return whether there is any."""
         wanted = [
             key for key, version in message.recent.items() if version > self.view.version(key)
--- a/packages/core/calicopath_core/membership/members.py
+++ b/packages/core/calicopath_core/membership/members.py
@@ -18,9 +18,9 @@
 """A box not heard of for this long, by anybody, counts as failed."""
 
 FORGET_AFTER_S = 60.0
-RELAYS_A_DOMAIN = 2
-NEAR_NEIGHBOURS = 24
-FAR_NEIGHBOURS = 16
+RELAYS_PER_DOMAIN = 2
+MAX_LOCAL_NEIGHBOURS = 24
+MAX_REMOTE_NEIGHBOURS = 16
 """Boxes of the own and of other failure domains with which this box talks: few enough to keep
 connections open, enough for the whole to hang together whoever fails."""
 
@@ -32,9 +32,9 @@
     decides which boxes are neighbours.
     """
 
-    def __init__(self, *, own: str, info: MemberInfo, heard_at: float | None, now: float) -> None:
+    def __init__(self, *, own_name: str, info: MemberInfo, heard_at: float | None, now: float) -> None:
         self.rank = rank(info.name)
-        self.distance = rank('|'.join(sorted((own, info.name))))
+        self.distance = rank('|'.join(sorted((own_name, info.name))))
         self.info = info
         self.heard_at = heard_at
         self.known_since = now
@@ -68,7 +68,7 @@
         for name, info in listed.items():
             member = self.members.get(name)
             if member is None or (member.heard_at is None and member.info != info):
-                self.members[name] = Member(own=self.own.name, info=info, heard_at=None, now=now)
+                self.members[name] = Member(own_name=self.own.name, info=info, heard_at=None, now=now)
         for name in list(self.members):
             if name not in listed and not self.members[name].is_live(now):
                 del self.members[name]
@@ -84,11 +84,11 @@
         self.expects_others = True
         member = self.members.get(info.name)
         if member is None:
-            self.members[info.name] = Member(own=self.own.name, info=info, heard_at=now, now=now)
+            self.members[info.name] = Member(own_name=self.own.name, info=info, heard_at=now, now=now)
             return True
-        restarted = direct and info.started_ms != member.info.started_ms
-        newer = (info.started_ms, info.beat) > (member.info.started_ms, member.info.beat)
-        if not newer and not restarted:
+        has_restarted = direct and info.started_ms != member.info.started_ms
+        is_newer = (info.started_ms, info.heartbeat_number) > (member.info.started_ms, member.info.heartbeat_number)
+        if not is_newer and not has_restarted:
             return False
         member.info = info
         member.heard_at = now
@@ -98,10 +98,10 @@
         """Return the boxes that are believed to be alive."""
         return [member for member in self.members.values() if member.is_live(now)]
 
-    def heard_within(self, seconds: float, now: float) -> bool:
+    def heard_within(self, window_s: float, now: float) -> bool:
         """Tell whether any other box gave a sign of life lately."""
         return any(
-            member.heard_at is not None and now - member.heard_at < seconds
+            member.heard_at is not None and now - member.heard_at < window_s
             for member in self.members.values()
         )
 
@@ -114,21 +114,21 @@
 
     def sample(self, count: int, now: float, rng: random.Random) -> list[Member]:
         """Return a few live neighbours, most of them of the own failure domain."""
-        near, far = self.neighbours(now)
-        far_count = min(len(far), max(1, count // 3, count - len(near)))
-        near_count = min(len(near), count - far_count)
-        return rng.sample(near, near_count) + rng.sample(far, far_count)
+        local, remote = self.neighbours(now)
+        remote_count = min(len(remote), max(1, count // 3, count - len(local)))
+        local_count = min(len(local), count - remote_count)
+        return rng.sample(local, local_count) + rng.sample(remote, remote_count)
 
     def neighbours(self, now: float) -> tuple[list[Member], list[Member]]:
         """Return the live boxes with which this one talks, of its own domain and of others."""
-        near: list[Member] = []
-        far: list[Member] = []
+        local: list[Member] = []
+        remote: list[Member] = []
         for member in self.live(now):
-            own_domain = member.info.failure_domain == self.own.failure_domain
-            (near if own_domain else far).append(member)
-        near.sort(key=lambda member: member.distance)
-        far.sort(key=lambda member: member.distance)
-        return near[:NEAR_NEIGHBOURS], far[:FAR_NEIGHBOURS]
+            is_local = member.info.failure_domain == self.own.failure_domain
+            (local if is_local else remote).append(member)
+        local.sort(key=lambda member: member.distance)
+        remote.sort(key=lambda member: member.distance)
+        return local[:MAX_LOCAL_NEIGHBOURS], remote[:MAX_REMOTE_NEIGHBOURS]
 
     def is_relay(self, now: float) -> bool:
         """Tell whether this box ranks among its failure domain's relays.
@@ -136,12 +136,12 @@
         Boxes may disagree for a while: then more or fewer of them watch the platform.
         """
         own_rank = rank(self.own.name)
-        before = sum(
+        lower_ranked = sum(
             member.rank < own_rank
             for member in self.live(now)
             if member.info.failure_domain == self.own.failure_domain and not member.info.leaving
         )
-        return before < RELAYS_A_DOMAIN
+        return lower_ranked < RELAYS_PER_DOMAIN
 
 
 def rank(name: str) -> int:
--- a/packages/core/calicopath_core/membership/messages.py
+++ b/packages/core/calicopath_core/membership/messages.py
@@ -42,7 +42,7 @@
     failure_domain: str
     address: str
     started_ms: int
-    beat: int
+    heartbeat_number: int
     leaving: bool
 
 
@@ -114,8 +114,8 @@
     """Decode messages of the types that somebody handles."""
 
     def __init__(self, *, types: Iterable[type[msgspec.Struct]]) -> None:
-        every = functools.reduce(operator.or_, types)
-        self.decoder = msgspec.msgpack.Decoder(every)
+        message_type = functools.reduce(operator.or_, types)
+        self.decoder = msgspec.msgpack.Decoder(message_type)
 
     def decode(self, data: bytes) -> msgspec.Struct:
         """Return the message in some bytes; raise `BadMessage`."""
--- a/packages/core/calicopath_core/membership/roles.py
+++ b/packages/core/calicopath_core/membership/roles.py
@@ -23,24 +23,24 @@
     from calicopath_core.store.base import BoxList, BoxRecord
     from calicopath_core.store.feed import StoreFeed
 
-BOX_LIST_S = 10.0
+BOX_LIST_INTERVAL_S = 10.0
 """How often a relay reads the box list; the others learn of boxes from peers."""
 
-LISTED_BYTES = 120
-MAX_LIST_BYTES_A_SECOND = 4000
+BOX_ENTRY_BYTES = 120
+MAX_LIST_BYTES_PER_S = 4000
 """What reading the box list may cost; a long list is read less often."""
 
 STALE_CONTACT_S = 3.0
 """A box that has heard of no contact with the platform for this long reads it by itself."""
 
-OWN_READ_S = 2.0
-ALONE_S = 1.0
+DIRECT_READ_INTERVAL_S = 2.0
+ALONE_LIST_INTERVAL_S = 1.0
 """How often a box that knows of no other reads the box list."""
 
-ROLE_S = 1.0
+ROLE_INTERVAL_S = 1.0
 
 
-class RoleKeeper:
+class RelayController:
     """Run the parts of membership, and the store feed while this box relays."""
 
     def __init__(
@@ -57,79 +57,79 @@
         self.boxes = boxes
         self.clock = clock
         self.rng = rng
-        self.relaying: asyncio.Task[None] | None = None
+        self.relay_task: asyncio.Task[None] | None = None
         self.feed.on_contact = gossip.on_contact
-        self.own_reads = 0
+        self.direct_reads = 0
 
     @property
     def is_relaying(self) -> bool:
         """Tell whether this box watches the platform."""
-        return self.relaying is not None
+        return self.relay_task is not None
 
     async def run(self) -> None:
         """Keep up with peers and platform until cancelled."""
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self.tick_often())
-                group.create_task(self.choose_role_often())
-                group.create_task(self.list_boxes_often())
-                group.create_task(self.read_when_stale())
+                group.create_task(self.run_gossip())
+                group.create_task(self.run_role_choice())
+                group.create_task(self.run_box_listing())
+                group.create_task(self.run_direct_reads())
         finally:
             await self.stop_relaying()
 
-    async def tick_often(self) -> None:
+    async def run_gossip(self) -> None:
         """Send what is due."""
         while True:
             self.gossip.tick()
             await asyncio.sleep(PUSH_DELAY_S)
 
-    async def choose_role_often(self) -> None:
+    async def run_role_choice(self) -> None:
         """Take up or give up the relay's role, as this box ranks among the live ones."""
         while True:
             if self.gossip.members.is_relay(self.clock.monotonic()):
                 self.start_relaying()
             else:
                 await self.stop_relaying()
-            await asyncio.sleep(ROLE_S)
+            await asyncio.sleep(ROLE_INTERVAL_S)
 
     def start_relaying(self) -> None:
         """Watch the platform."""
-        if self.relaying is None or self.relaying.done():
-            self.relaying = asyncio.get_running_loop().create_task(self.feed.run())
+        if self.relay_task is None or self.relay_task.done():
+            self.relay_task = asyncio.get_running_loop().create_task(self.feed.run())
 
     async def stop_relaying(self) -> None:
         """Stop watching the platform."""
-        relaying, self.relaying = self.relaying, None
-        if relaying is None:
+        relay_task, self.relay_task = self.relay_task, None
+        if relay_task is None:
             return
-        relaying.cancel()
+        relay_task.cancel()
         # The relaying task's own cancellation is a result here; ours must not be swallowed, or
         # this box would never stop.
-        await asyncio.gather(relaying, return_exceptions=True)
+        await asyncio.gather(relay_task, return_exceptions=True)
 
-    async def list_boxes_often(self) -> None:
+    async def run_box_listing(self) -> None:
         """Read the box list at the start, and from time to time while relaying or alone."""
-        interval_s = BOX_LIST_S
+        interval_s = BOX_LIST_INTERVAL_S
         while True:
             alone = not self.gossip.members.live(self.clock.monotonic())
             if self.is_relaying or alone:
                 with contextlib.suppress(StoreError):
                     records = await self.boxes.boxes()
                     self.gossip.members.on_listed(member_infos(records), self.clock.monotonic())
-                    size = len(records) * LISTED_BYTES
-                    interval_s = max(BOX_LIST_S, size / MAX_LIST_BYTES_A_SECOND)
-            await asyncio.sleep(ALONE_S if alone else interval_s * self.rng.uniform(0.5, 1.0))
+                    size = len(records) * BOX_ENTRY_BYTES
+                    interval_s = max(BOX_LIST_INTERVAL_S, size / MAX_LIST_BYTES_PER_S)
+            await asyncio.sleep(ALONE_LIST_INTERVAL_S if alone else interval_s * self.rng.uniform(0.5, 1.0))
 
-    async def read_when_stale(self) -> None:
+    async def run_direct_reads(self) -> None:
         """Read the platform directly while no relay's contact reaches us."""
         while True:
-            age = self.gossip.contact_age()
+            age = self.gossip.contact_age_s()
             if not self.is_relaying and (age is None or age > STALE_CONTACT_S):
-                self.own_reads += 1
+                self.direct_reads += 1
                 with contextlib.suppress(StoreError):
                     await self.feed.relist()
             # Boxes that lose their relays together must not read together.
-            await asyncio.sleep(OWN_READ_S * self.rng.uniform(0.5, 1.5))
+            await asyncio.sleep(DIRECT_READ_INTERVAL_S * self.rng.uniform(0.5, 1.5))
 
 
 def member_infos(records: Iterable[BoxRecord]) -> list[MemberInfo]:
--- a/packages/core/calicopath_core/membership/sharing.py
+++ b/packages/core/calicopath_core/membership/sharing.py
@@ -22,7 +22,7 @@
 REPEAT_S = 1.0
 """How long own news are repeated with each ping: a message may be lost with its connection."""
 
-ANSWER_S = 0.4
+MIN_FULL_SEND_INTERVAL_S = 0.4
 """How often one box is sent everything at most: 300 boxes that lack 2 KB cost a hub 1.5 MB a second
 while they lack it, and nothing at other times."""
 
@@ -53,8 +53,8 @@
         self.hubs = hubs
         self.send = send
         self.forwards = forwards
-        self.fresh: dict[Key, float] = {}
-        self.answered: dict[str, float] = {}
+        self.repeat_until: dict[Key, float] = {}
+        self.next_full_send_at: dict[str, float] = {}
 
     @abstractmethod
     def digest(self) -> str:
@@ -65,11 +65,11 @@
         """Tell whether something is still known of a key."""
 
     @abstractmethod
-    def news_of(self, keys: Iterable[Key]) -> SomeNews:
+    def news_for(self, keys: Iterable[Key]) -> SomeNews:
         """Return a message with what is known of some keys."""
 
     @abstractmethod
-    def everything(self, *, whole: bool) -> SomeNews:
+    def full_news(self, *, whole: bool) -> SomeNews:
         """Return a message with all that is shared."""
 
     @abstractmethod
@@ -77,23 +77,23 @@
         """Join what another box has told; return of which keys that was news."""
 
     @abstractmethod
-    def lacks(self, news: SomeNews) -> bool:
+    def knows_more_than(self, news: SomeNews) -> bool:
         """Tell whether this box shares something that is not in another's news."""
 
     def report(self, keys: Iterable[Key]) -> None:
         """Tell the hubs at once, and repeat it for a while."""
         until = self.clock.monotonic() + self.repeat_s
         for key in keys:
-            self.fresh[key] = until
-        self.tell_hubs()
+            self.repeat_until[key] = until
+        self.notify_hubs()
 
-    def tell_hubs(self) -> None:
+    def notify_hubs(self) -> None:
         """Tell the hubs what is new here."""
         now = self.clock.monotonic()
-        self.fresh = {key: at for key, at in self.fresh.items() if at > now and self.holds(key)}
-        if not self.fresh:
+        self.repeat_until = {key: at for key, at in self.repeat_until.items() if at > now and self.holds(key)}
+        if not self.repeat_until:
             return
-        news = self.news_of(self.fresh)
+        news = self.news_for(self.repeat_until)
         for address in self.hubs():
             if address != self.own_address:
                 self.send(address, news)
@@ -103,20 +103,20 @@
         if digest == self.digest():
             return
         now = self.clock.monotonic()
-        self.answered = {name: at for name, at in self.answered.items() if at > now}
-        if address in self.answered:
+        self.next_full_send_at = {name: at for name, at in self.next_full_send_at.items() if at > now}
+        if address in self.next_full_send_at:
             return
-        self.answered[address] = now + ANSWER_S
-        self.send_whole(address)
+        self.next_full_send_at[address] = now + MIN_FULL_SEND_INTERVAL_S
+        self.send_full_news(address)
 
-    def send_whole(self, address: str) -> None:
+    def send_full_news(self, address: str) -> None:
         """Send all that is shared."""
-        self.send(address, self.everything(whole=True))
+        self.send(address, self.full_news(whole=True))
 
     def on_news(self, news: SomeNews) -> None:
         """Join what another box has told; answer one that told everything and lacks something."""
         keys = self.merge(news)
         if self.forwards and keys:
             self.report(keys)
-        if news.whole and self.lacks(news):
-            self.send(news.sender, self.everything(whole=False))
+        if news.whole and self.knows_more_than(news):
+            self.send(news.sender, self.full_news(whole=False))
--- a/packages/core/calicopath_core/membership/tests/spreading_tests.py
+++ b/packages/core/calicopath_core/membership/tests/spreading_tests.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from calicopath_core.membership.members import RELAYS_A_DOMAIN
+from calicopath_core.membership.members import RELAYS_PER_DOMAIN
 from calicopath_core.membership.messages import Entry, Push, encode
 from testkit.cases import VirtualCase
 from testkit.fleet import PeerFleet
@@ -24,7 +24,7 @@
         async def scenario() -> None:
             fleet = PeerFleet(count=24, domains=4)
             await fleet.start()
-            self.assertEqual(4 * RELAYS_A_DOMAIN, len(fleet.relays()))
+            self.assertEqual(4 * RELAYS_PER_DOMAIN, len(fleet.relays()))
             await fleet.stop()
 
         self.run_virtual(scenario())
@@ -59,7 +59,7 @@
             took = await fleet.in_force(KEY, fleet.put(KEY, 1))
             self.assertLess(took, IN_FORCE_S + 1)
             await asyncio.sleep(10)
-            self.assertEqual(4 * RELAYS_A_DOMAIN, len(fleet.relays()))
+            self.assertEqual(4 * RELAYS_PER_DOMAIN, len(fleet.relays()))
             await fleet.stop()
 
         self.run_virtual(scenario())
@@ -110,7 +110,7 @@
                 fleet.boxes[name].store.cut = True
             versions = [fleet.put(f'config/endpoints/e-{n}', n) for n in range(300)]
             await asyncio.sleep(120)
-            ages = [fleet.boxes[name].gossip.contact_age() or 0.0 for name in cut]
+            ages = [fleet.boxes[name].gossip.contact_age_s() or 0.0 for name in cut]
             self.assertGreater(min(ages), 100)
             fleet.network.blocked = lambda source, target: False
             for name in cut:
@@ -133,8 +133,8 @@
             for _ in range(10):
                 await asyncio.sleep(2)
                 counts.append(len(fleet.relays()))
-            self.assertLessEqual(max(counts), 2 * 3 * RELAYS_A_DOMAIN)
-            self.assertGreaterEqual(min(counts), 3 * RELAYS_A_DOMAIN)
+            self.assertLessEqual(max(counts), 2 * 3 * RELAYS_PER_DOMAIN)
+            self.assertGreaterEqual(min(counts), 3 * RELAYS_PER_DOMAIN)
             await fleet.stop()
 
         self.run_virtual(scenario())
@@ -205,7 +205,7 @@
             rng = random.Random(9)
             for _ in range(200):
                 fleet.boxes['box-0'].gossip.on_data(rng.randbytes(rng.randrange(40)))
-            self.assertEqual(200, fleet.boxes['box-0'].gossip.counts.bad)
+            self.assertEqual(200, fleet.boxes['box-0'].gossip.counts.undecodable)
             await fleet.stop()
 
         self.run_virtual(scenario())
@@ -282,10 +282,10 @@
             for number in range(1000):
                 fleet.put(f'config/endpoints/e-{number}', number)
             await fleet.start()
-            before = sum(box.roles.own_reads for box in fleet.boxes.values())
+            before = sum(box.roles.direct_reads for box in fleet.boxes.values())
             await asyncio.sleep(60)
-            after = sum(box.roles.own_reads for box in fleet.boxes.values())
-            ages = [box.gossip.contact_age() or 0.0 for box in fleet.boxes.values()]
+            after = sum(box.roles.direct_reads for box in fleet.boxes.values())
+            ages = [box.gossip.contact_age_s() or 0.0 for box in fleet.boxes.values()]
             # Now and then the contact takes more than three seconds to come round.
             self.assertLess(after - before, 6)
             self.assertLess(max(ages), IN_FORCE_S)
--- a/packages/core/calicopath_core/membership/transport.py
+++ b/packages/core/calicopath_core/membership/transport.py
@@ -21,5 +21,5 @@
         """Give every message that comes to `handler`."""
 
     @abstractmethod
-    def renew(self, address: str) -> None:
+    def drop_connection(self, address: str) -> None:
         """Give up the connection to a box: it may be silent. The next message opens another."""
--- a/packages/core/calicopath_core/permits/sharing.py
+++ b/packages/core/calicopath_core/permits/sharing.py
@@ -67,11 +67,11 @@
         """Tell whether a replica's word is kept."""
         return key in self.limits.held
 
-    def news_of(self, keys: Iterable[str]) -> LimitNews:
+    def news_for(self, keys: Iterable[str]) -> LimitNews:
         """Return what is known of some replicas."""
         return self.message(keys, whole=False)
 
-    def everything(self, *, whole: bool) -> LimitNews:
+    def full_news(self, *, whole: bool) -> LimitNews:
         """Return what is known of every replica."""
         return self.message(self.limits.held, whole=whole)
 
@@ -93,7 +93,7 @@
         service = self.service_of(word.replica)
         return self.limits.merge(word.replica, service, heard, word.age_s, sender)
 
-    def lacks(self, news: LimitNews) -> bool:
+    def knows_more_than(self, news: LimitNews) -> bool:
         """Tell whether this box knows of a limit that is not in another's news."""
         told = {word.replica for word in news.words}
         held = self.limits.held
--- a/packages/core/calicopath_core/scheduling/rejections.py
+++ b/packages/core/calicopath_core/scheduling/rejections.py
@@ -151,6 +151,6 @@
         if wait_s is None:
             return True
         # The box that passes this on may be the next to schedule, and must refuse it then too.
-        self.crashes.tell(job.place.reply_to, job.place.content, job.place.services)
+        self.crashes.send_evidence(job.place.reply_to, job.place.content, job.place.services)
         self.reject(job, 'crashes-replicas', wait_s)
         return False
--- a/packages/core/calicopath_core/scheduling/stage_calls.py
+++ b/packages/core/calicopath_core/scheduling/stage_calls.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from calicopath_core.backends.base import BackendError, ConnectionBroken, NotStarted
-from calicopath_core.crashes.fate import ReplicaFate
+from calicopath_core.crashes.fate import ReplicaCrashProbe
 from calicopath_core.fleet.notices import Barred
 from calicopath_core.permits.holder import NoLimits, PermitLender
 from calicopath_core.scheduling.freeing import ResultFreeing
@@ -212,10 +212,10 @@
             results = await self.watch.run(replica, calls, expected_s, limit_s)
         except (BackendError, TimeoutError) as error:
             if isinstance(error, ConnectionBroken):
-                fate = ReplicaFate(reach=self.caller, replicas=self.replicas, replica=replica)
+                fate = ReplicaCrashProbe(reach=self.caller, replicas=self.replicas, replica=replica)
                 contents = [job.place.content for job in jobs_of(batch)]
                 await self.crashes.on_failed(
-                    contents, queue.service, fate, error, began=begun, answered=True
+                    contents, queue.service, fate, error, run_started_at=begun, answered=True
                 )
             self.on_call_failed(queue, batch, error, begun)
             return
--- a/packages/daemon/calicopathd/box/box.py
+++ b/packages/daemon/calicopathd/box/box.py
@@ -12,8 +12,8 @@
 from calicopath_clients.engine import HttpEngine
 from calicopath_clients.platform import HttpBoxList, HttpObjectStore
 from calicopath_core.backends.base import Backends
-from calicopath_core.claims.executors import ForwardingExecutor, GroupPlan, LocalExecutor
-from calicopath_core.claims.forwarding import PeerClaims
+from calicopath_core.claims.executors import ForwardingExecutor, GroupingConfig, LocalExecutor
+from calicopath_core.claims.forwarding import GossipShardOwners
 from calicopath_core.claims.registry import ClaimRegistry
 from calicopath_core.clock import LoopClock
 from calicopath_core.crashes.guard import CrashGuard
@@ -29,7 +29,7 @@
 from calicopath_core.membership.gossip import PUSH_FANOUT, Gossip
 from calicopath_core.membership.members import MemberTable
 from calicopath_core.membership.messages import MemberInfo
-from calicopath_core.membership.roles import RoleKeeper
+from calicopath_core.membership.roles import RelayController
 from calicopath_core.routing.pools import ServicePool
 from calicopath_core.routing.registry import PoolRegistry
 from calicopath_core.routing.selectors import ExpectedCompletionSelector
@@ -72,7 +72,7 @@
         )
         self.transport = ZmqTransport(address=settings.peer_listen)
         self.gossip = self.new_gossip()
-        self.roles = RoleKeeper(
+        self.roles = RelayController(
             gossip=self.gossip,
             feed=self.feed,
             boxes=HttpBoxList(url=settings.platform, session=session),
@@ -89,8 +89,8 @@
             reach=HttpReach(),
         )
         self.local_claims = self.new_local_claims()
-        peers = PeerClaims(gossip=self.gossip, local=self.local_claims, clock=self.clock)
-        self.forwarding = ForwardingExecutor(local=self.local_claims, peers=peers)
+        peers = GossipShardOwners(gossip=self.gossip, local=self.local_claims, clock=self.clock)
+        self.forwarding = ForwardingExecutor(local=self.local_claims, shard_owners=peers)
         self.executor = self.new_executor()
 
     def new_gossip(self) -> Gossip:
@@ -102,7 +102,7 @@
             failure_domain=settings.failure_domain,
             address=address,
             started_ms=int(self.clock.wall() * 1000),
-            beat=0,
+            heartbeat_number=0,
             leaving=False,
         )
         members = MemberTable(own=own)
@@ -161,13 +161,13 @@
 
     def new_local_claims(self) -> LocalExecutor:
         """Return what this box writes of claims, for itself and for others."""
-        plan = GroupPlan(
+        plan = GroupingConfig(
             shards=self.settings.claim_shards,
             slot_s=self.settings.claim_slot_s,
             retention_s=self.settings.claim_retention_h * SECONDS_AN_HOUR,
             write_interval_s=self.settings.claim_write_interval_s,
         )
-        return LocalExecutor(store=self.store, clock=self.clock, plan=plan)
+        return LocalExecutor(store=self.store, clock=self.clock, grouping=plan)
 
     def new_pool(self, service: str) -> ServicePool:
         """Return the pool of a service that has appeared."""
@@ -199,7 +199,7 @@
 
         A box that knows of no others has only the platform, whose outage it serves through.
         """
-        age = self.gossip.contact_age()
+        age = self.gossip.contact_age_s()
         limit_s = self.settings.isolation_s
         if age is not None and age <= limit_s:
             return False
@@ -230,7 +230,7 @@
             'ready': self.ready(),
             'leaving': self.lifecycle.leaving,
             'relaying': self.roles.is_relaying,
-            'contact_age_s': self.gossip.contact_age(),
+            'contact_age_s': self.gossip.contact_age_s(),
             'config_digest': f'{self.view.digest:016x}',
             'objects': len(self.view.entries),
             'in_progress': self.lifecycle.in_progress,
--- a/packages/daemon/calicopathd/box/monitor.py
+++ b/packages/daemon/calicopathd/box/monitor.py
@@ -53,7 +53,7 @@
 
     def check_platform(self) -> None:
         """Report when the platform was lost or is back."""
-        age = self.box.gossip.contact_age()
+        age = self.box.gossip.contact_age_s()
         lost = age is None or age > LOST_AFTER_S
         if lost and not self.platform_lost and self.synced:
             events.emit(log, events.PLATFORM_LOST, contact_age_s=age)
@@ -67,7 +67,7 @@
         if ready and not self.ready:
             events.emit(log, events.READY, objects=len(self.box.view.entries))
         if self.ready and not ready and not self.box.lifecycle.leaving:
-            events.emit(log, events.NOT_READY, contact_age_s=self.box.gossip.contact_age())
+            events.emit(log, events.NOT_READY, contact_age_s=self.box.gossip.contact_age_s())
         self.ready = ready
 
     def check_ejections(self) -> None:
@@ -87,7 +87,7 @@
     def set_figures(self) -> None:
         """Set the gauges."""
         box = self.box
-        age = box.gossip.contact_age()
+        age = box.gossip.contact_age_s()
         box.metrics.set_state(
             ready=float(self.ready),
             relaying=float(box.roles.is_relaying),
@@ -97,11 +97,11 @@
             contact_age_seconds=-1.0 if age is None else age,
             peer_sent_bytes=box.gossip.counts.sent_bytes,
             peer_received_bytes=box.gossip.counts.received_bytes,
-            peer_bad_messages=box.gossip.counts.bad,
+            peer_bad_messages=box.gossip.counts.undecodable,
             peer_dropped_messages=box.transport.dropped,
             peer_repaired_objects=box.gossip.counts.repaired,
-            own_reads=box.roles.own_reads,
-            claim_owners_passed_over=box.forwarding.passed_over,
+            own_reads=box.roles.direct_reads,
+            claim_owners_passed_over=box.forwarding.owner_timeouts,
             ejections=self.ejections,
             loop_lag_seconds=box.lag.value_s,
         )
--- a/packages/daemon/calicopathd/crashlog.py
+++ b/packages/daemon/calicopathd/crashlog.py
@@ -14,7 +14,7 @@
 
     from aioprometheus.collectors import Counter
 
-    from calicopath_core.crashes.ledger import Blocked
+    from calicopath_core.crashes.ledger import Block
     from calicopath_core.crashes.suspects import SuspectKey
 
 log = structlog.get_logger(__name__)
@@ -46,7 +46,7 @@
             source=source,
         )
 
-    def on_blocked(self, blocked: Blocked, now: float) -> None:
+    def on_blocked(self, blocked: Block, now: float) -> None:
         """Note that a request is not sent on any more."""
         self.counters.blocked.inc({'service': blocked.key.service})
         events.emit(
@@ -58,8 +58,8 @@
             for_s=round(blocked.until - now),
         )
 
-    def on_let_go(self, key: SuspectKey, why: str) -> None:
+    def on_unblocked(self, key: SuspectKey, reason: str) -> None:
         """Note that a request is sent on again."""
         events.emit(
-            log, events.REQUEST_LET_GO, content=key.content, service=key.service, reason=why
+            log, events.REQUEST_LET_GO, content=key.content, service=key.service, reason=reason
         )
--- a/packages/daemon/calicopathd/gateway/box.py
+++ b/packages/daemon/calicopathd/gateway/box.py
@@ -12,7 +12,7 @@
 
 from calicopath_core.clock import SuspensionClock
 from calicopath_core.crashes.guard import CrashGuard
-from calicopath_core.crashes.keeping import BlockedKeeper
+from calicopath_core.crashes.keeping import BlockedRequestPersister
 from calicopath_core.crashes.ledger import CrashLedger
 from calicopath_core.crashes.sharing import CrashSharing
 from calicopath_core.exchanges.balancer import Balancer
@@ -130,7 +130,7 @@
             send=self.link.send,
             complete=False,
         )
-        self.keeper = BlockedKeeper(
+        self.keeper = BlockedRequestPersister(
             clock=self.clock,
             ledger=self.ledger,
             sharing=self.sharing,
@@ -184,7 +184,7 @@
         self.link.scheduler, self.link.client = self.scheduler, self.client
         self.link.subscription, self.link.crashes = self.subscription, self.sharing
         self.link.notices = self.notices
-        self.sharing.listeners = self.unaware_boxes
+        self.sharing.waiting_boxes = self.unaware_boxes
         self.executor = ExchangeExecutor(context=self.new_context(exchanges))
 
     def new_context(self, exchanges: ReplicaCaller) -> ExchangeContext:
--- a/packages/daemon/calicopathd/gateway/notices.py
+++ b/packages/daemon/calicopathd/gateway/notices.py
@@ -103,8 +103,8 @@
 
     def tell_hubs(self) -> None:
         """Tell the hubs what is new here."""
-        self.leaving_sharing.tell_hubs()
-        self.limit_sharing.tell_hubs()
+        self.leaving_sharing.notify_hubs()
+        self.limit_sharing.notify_hubs()
 
     def handle(self, message: msgspec.Struct) -> None:
         """Take in a message about replicas or permits."""
--- a/packages/daemon/calicopathd/gateway/peers.py
+++ b/packages/daemon/calicopathd/gateway/peers.py
@@ -116,7 +116,7 @@
             case Ping():
                 self.election.on_ping(message, self.clock.monotonic())
                 if message.unanswered:
-                    self.transport.renew(message.address)
+                    self.transport.drop_connection(message.address)
                 self.send(message.address, self.presence(Pong, message.sequence))
                 self.crashes.on_digest(message.address, message.crashes)
                 self.notices.on_digests(message)
@@ -148,7 +148,7 @@
                 self.subscription.on_subscribe(message)
                 if NOTHING in message.positions.values():
                     # A box that starts serves as soon as it has heard everything.
-                    self.crashes.send_whole(message.sender)
+                    self.crashes.send_full_news(message.sender)
             case RelayBeat():
                 self.subscription.on_beat(message)
             case RelayUpdate():
@@ -186,7 +186,7 @@
         for candidate in self.election.pinged(now):
             address = candidate.box.address
             if candidate.must_renew(now):
-                self.transport.renew(address)
+                self.transport.drop_connection(address)
                 self.send(address, msgspec.structs.replace(ping, unanswered=True))
             else:
                 self.send(address, ping)
@@ -197,6 +197,6 @@
         assert self.notices is not None
         while True:
             self.ping_all()
-            self.crashes.tell_hubs()
+            self.crashes.notify_hubs()
             self.notices.tell_hubs()
             await asyncio.sleep(PING_S)
--- a/packages/daemon/calicopathd/gateway/tests/crashing_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/crashing_tests.py
@@ -148,7 +148,7 @@
             content = next(iter(box.scheduler.jobs.values())).place.content
             ages = {f'gone-{number}@1': (1.0 + number, 9.0) for number in range(3)}
             box.ledger.merge(
-                [Evidence(keys_of(content, 'engine').own.content, 'engine', ages, None)], 'another'
+                [Evidence(keys_of(content, 'engine').exact.content, 'engine', ages, None)], 'another'
             )
             await asyncio.sleep(0.06)
             self.assertEqual({'crashes-replicas'}, {sink.reason for sink in sinks})
@@ -167,7 +167,7 @@
             content = next(iter(box.client.asked.values())).place.content
             ages = {f'gone-{number}@1': (1.0 + number, 9.0) for number in range(3)}
             scheduler.ledger.merge(
-                [Evidence(keys_of(content, 'engine').own.content, 'engine', ages, None)], 'another'
+                [Evidence(keys_of(content, 'engine').exact.content, 'engine', ages, None)], 'another'
             )
             known: list[float | None] = []
             take_in = box.client.on_rejected
@@ -192,7 +192,7 @@
             content = next(iter(box.client.asked.values())).place.content
             ages = {f'gone-{number}@1': (1.0 + number, 9.0) for number in range(3)}
             box.ledger.merge(
-                [Evidence(keys_of(content, 'engine').own.content, 'engine', ages, None)], 'another'
+                [Evidence(keys_of(content, 'engine').exact.content, 'engine', ages, None)], 'another'
             )
             await fleet.settle()
             self.assertEqual((503, 'crashes-replicas'), (sink.status, sink.reason))
--- a/packages/daemon/calicopathd/peers/zmq_transport.py
+++ b/packages/daemon/calicopathd/peers/zmq_transport.py
@@ -117,7 +117,7 @@
         found.connect(f'tcp://{address}')
         return found
 
-    def renew(self, address: str) -> None:
+    def drop_connection(self, address: str) -> None:
         """Close the connection to a peer; what still waits on it is dropped."""
         found = self.sockets.pop(address, None)
         if found is not None:
--- a/packages/daemon/calicopathd/tests/transport_tests.py
+++ b/packages/daemon/calicopathd/tests/transport_tests.py
@@ -69,7 +69,7 @@
                 found = [await got.get()]
                 link.swallow()
                 one.send(address, b'swallowed')
-                one.renew(address)
+                one.drop_connection(address)
                 one.send(address, b'after')
                 found.append(await got.get())
                 task.cancel()
--- a/testkit/fake_network.py
+++ b/testkit/fake_network.py
@@ -55,6 +55,6 @@
         """Receive at this box's address."""
         self.network.handlers[self.address] = handler
 
-    def renew(self, address: str) -> None:
+    def drop_connection(self, address: str) -> None:
         """Note that a connection was given up."""
         self.renewed.append(address)
--- a/testkit/fleet.py
+++ b/testkit/fleet.py
@@ -9,7 +9,7 @@
 from calicopath_core.membership.gossip import Gossip
 from calicopath_core.membership.members import MemberTable
 from calicopath_core.membership.messages import MemberInfo
-from calicopath_core.membership.roles import RoleKeeper
+from calicopath_core.membership.roles import RelayController
 from calicopath_core.store.base import BoxList, BoxRecord, StoreUnavailable
 from calicopath_core.store.feed import StoreFeed
 from calicopath_core.store.view import ConfigView
@@ -65,7 +65,7 @@
             rng=self.rng,
             is_ready=lambda: self.synced,
         )
-        self.roles = RoleKeeper(
+        self.roles = RelayController(
             gossip=self.gossip,
             feed=self.feed,
             boxes=FakeBoxList(records=records, store=self.store),
--- a/testkit/gateway_store.py
+++ b/testkit/gateway_store.py
@@ -18,7 +18,7 @@
 )
 
 if TYPE_CHECKING:
-    from calicopath_core.crashes.keeping import KeptRequest
+    from calicopath_core.crashes.keeping import StoredRequest
     from calicopath_core.scheduling.election import BoxAddress
 
 
@@ -33,7 +33,7 @@
     records: dict[RecordKind, dict[str, Record]]
     log: list[tuple[int, RecordKind, Change]]
     relays: tuple[BoxAddress, ...] | None
-    blocked: tuple[KeptRequest, ...]
+    blocked: tuple[StoredRequest, ...]
 
 
 class FakeStore:
@@ -49,7 +49,7 @@
         self.forgotten = 0
         self.deaf = False
         self.relays: tuple[BoxAddress, ...] | None = None
-        self.blocked: tuple[KeptRequest, ...] = ()
+        self.blocked: tuple[StoredRequest, ...] = ()
         self.changed = asyncio.Event()
         self.era = 0
         self.down = False
@@ -210,7 +210,7 @@
         self.store.relays = relays
         return self.store.era
 
-    async def read_blocked(self) -> tuple[KeptRequest, ...]:
+    async def read_blocked(self) -> tuple[StoredRequest, ...]:
         """Return the requests that are kept as blocked."""
         await asyncio.sleep(0.004)
         if self.silent or self.blocked_cut:
@@ -218,7 +218,7 @@
         self.check()
         return self.store.blocked
 
-    async def write_blocked(self, kept: tuple[KeptRequest, ...]) -> int:
+    async def write_blocked(self, kept: tuple[StoredRequest, ...]) -> int:
         """Keep requests as blocked."""
         if self.silent:
             await self.hang(0.0)
--- a/testkit/world.py
+++ b/testkit/world.py
@@ -7,7 +7,7 @@
 import random
 from typing import TYPE_CHECKING, Any
 
-from calicopath_core.claims.executors import GroupPlan, LocalExecutor
+from calicopath_core.claims.executors import GroupingConfig, LocalExecutor
 from calicopath_core.claims.keys import body_digest
 from calicopath_core.claims.registry import ClaimRegistry
 from calicopath_core.execution.attempts import StageContext
@@ -158,8 +158,8 @@
         self.feed = StoreFeed(store=self.store, view=self.view, clock=self.clock)
         subset = SubsetChooser(box=self.name, failure_domain='domain-0')
         self.pools = PoolRegistry(view=self.view, subset=subset, new_pool=self.new_pool)
-        plan = GroupPlan(shards=shards)
-        self.local_claims = LocalExecutor(store=self.store, clock=self.clock, plan=plan)
+        plan = GroupingConfig(shards=shards)
+        self.local_claims = LocalExecutor(store=self.store, clock=self.clock, grouping=plan)
         self.claims = ClaimRegistry(
             local=self.local_claims, executor=self.local_claims, new_nonce=self.new_id
         )
--- a/tools/mutants/catalogue.py
+++ b/tools/mutants/catalogue.py
@@ -102,14 +102,14 @@
     Mutant(
         'configuration in force',
         f'{CORE}/membership/roles.py',
-        'group.create_task(self.read_when_stale())',
+        'group.create_task(self.run_direct_reads())',
         'pass',
         f'{CORE}/membership/tests/spreading_tests.py::Spreading',
     ),
     Mutant(
         'configuration in force',
         f'{CORE}/membership/gossip.py',
-        'if self.exchange_recent(message):\n            return',
+        'if self.request_recent(message):\n            return',
         'return',
         f'{CORE}/membership/tests/spreading_tests.py::Spreading',
     ),
@@ -179,15 +179,15 @@
     Mutant(
         'replicas that end are told from resets',
         f'{CORE}/crashes/guard.py',
-        'if isinstance(error, ConnectionBroken) and await fate.has_ended():',
+        'if isinstance(error, ConnectionBroken) and await probe.has_crashed():',
         'if isinstance(error, ConnectionBroken):',
         f'{BLOCKED}::Innocent',
     ),
     Mutant(
         'one moment is one event',
         f'{CORE}/crashes/suspects.py',
-        'end.at - found[-1] > MOMENT_S',
-        'end.at - found[-1] >= 0.0',
+        'crash.at - times[-1] > SIMULTANEOUS_S',
+        'crash.at - times[-1] >= 0.0',
         f'{CRASHES}::Counting',
     ),
     Mutant(
@@ -207,7 +207,7 @@
     Mutant(
         'every box knows',
         f'{CORE}/membership/sharing.py',
-        'if news.whole and self.lacks(news):',
+        'if news.whole and self.knows_more_than(news):',
         'if False:',
         f'{CRASHES}::Sharing',
     ),
@@ -221,7 +221,7 @@
     Mutant(
         'blocked requests outlast every box',
         f'{CORE}/crashes/keeping.py',
-        'self.sharing.report(news)',
+        'self.sharing.report(changed)',
         'self.ledger.suspects.clear()',
         f'{KNOWN}::Known',
     ),
@@ -263,14 +263,14 @@
     Mutant(
         'bodies that differ each time',
         f'{CORE}/crashes/suspects.py',
-        'LEAST_KINDS = 2',
-        'LEAST_KINDS = 99',
+        'MIN_DISTINCT_REQUESTS = 2',
+        'MIN_DISTINCT_REQUESTS = 99',
         f'{CRASHING}::Crashing',
     ),
     Mutant(
         'ends that show late',
         f'{CORE}/crashes/guard.py',
-        '        if await fate.ends_soon():',
+        '        if await probe.confirm_crash():',
         '        if False:',
         f'{CRASHING}::Crashing',
     ),
--- a/tools/mutants/restored.py
+++ b/tools/mutants/restored.py
@@ -120,14 +120,14 @@
     Mutant(
         'lost claims are granted again',
         f'{CORE}/claims/groups.py',
-        'if self.went_back(self.version):',
+        'if self.was_restored(self.version):',
         'if False:',
         CLAIMS,
     ),
     Mutant(
         'lost claims are not written again',
         f'{CORE}/claims/groups.py',
-        'self.must_write = True',
+        'self.needs_rewrite = True',
         'pass',
         CLAIMS,
     ),
