--- a/packages/core/calicopath_core/claims/executors.py
+++ b/packages/core/calicopath_core/claims/executors.py
@@ -1,4 +1,4 @@
-"""Carry out operations on claims: on this box, or through the box that batches a group."""
+"""Execute operations on claims, on this box or through the box that owns the shard."""
 
 from __future__ import annotations
 
@@ -27,10 +27,11 @@
 
 
 class GroupingConfig(NamedTuple):
-    """Say how claims are grouped; all but the write interval must be the same on every box.
+    """Configure how claims are grouped; all boxes need equal values, except the write interval.
 
-    Keys made within `slot_s` seconds share a group, so that old groups are never written again. A
-    group is written at most once each `write_interval_s`, and keeps at most `max_bytes`.
+    Keys created in the same slot of `slot_s` seconds share a group, so old groups are not written
+    again, until they are closed after `retention_s`. A group is written at most once per
+    `write_interval_s`, and is pruned to `max_bytes`.
     """
 
     shards: int = DEFAULT_SHARDS
@@ -41,19 +42,19 @@
 
     @property
     def slot_ms(self) -> int:
-        """Return the span of a slot in milliseconds."""
+        """Return the length of a slot in milliseconds."""
         return self.slot_s * 1000
 
     @property
     def retention_slots(self) -> int:
-        """Return the slots after which a group is closed."""
+        """Return the number of slots after which a group is closed."""
         return max(1, int(self.retention_s) // self.slot_s)
 
 
 class GroupId(NamedTuple):
-    """Name a group by its shard and by its span of time, counted in slots from 1970.
+    """Identify a group by its shard and its time slot, counted from 1970.
 
-    The shard decides which box batches the group.
+    The shard decides which box owns the group and batches its operations.
     """
 
     shard: int
@@ -66,15 +67,18 @@
 
 
 class ClaimExecutor(ABC):
-    """Carry out operations on groups of claims."""
+    """Execute operations on groups of claims."""
 
     @abstractmethod
     async def execute(self, group: GroupId, op: Op, *, persistent: bool = False) -> OpResult:
-        """Return an operation's result; raise `StoreUnavailable`."""
+        """Execute an operation and return its result; raise `StoreUnavailable` if that fails.
+
+        A `persistent` operation is executed even if the caller is cancelled.
+        """
 
 
 class LocalExecutor(ClaimExecutor):
-    """Write groups from this box."""
+    """Write groups to the store from this box."""
 
     def __init__(
         self,
@@ -89,14 +93,14 @@
         self.writers: OrderedDict[GroupId, GroupWriter] = OrderedDict()
 
     def group(self, key: ClaimKey) -> GroupId:
-        """Return the group of a key."""
+        """Return the group that holds the claim of a key."""
         digest = hashlib.blake2b(str(key).encode(), digest_size=8).digest()
         return GroupId(
             int.from_bytes(digest, 'big') % self.grouping.shards, key.time_ms // self.grouping.slot_ms
         )
 
     def writer(self, group: GroupId) -> GroupWriter:
-        """Return a group's writer, forgetting the idle ones unused longest."""
+        """Return the writer of a group; drop the least recently used idle ones beyond the limit."""
         found = self.writers.get(group)
         if found is None:
             found = self.new_writer(group)
@@ -109,7 +113,7 @@
         return found
 
     def new_writer(self, group: GroupId) -> GroupWriter:
-        """Return a writer that knows nothing yet."""
+        """Return a writer that has not read its group yet."""
         return GroupWriter(
             key=group.key,
             store=self.store,
@@ -119,9 +123,9 @@
         )
 
     def close_expired(self, group: GroupId) -> None:
-        """Drop the claims of the group that has outlived its time when a new one begins.
+        """Close the group that leaves the retention time when `group` is first used.
 
-        A box whose clock is wrong closes nothing of today: the slot comes from the callers' keys.
+        The slot comes from the callers' keys, so a box with a wrong clock closes no current group.
         """
         expired = GroupId(group.shard, group.slot - self.grouping.retention_slots)
         if expired not in self.writers:
@@ -130,7 +134,7 @@
         self.writers[expired].submit(CloseOp(end_ms), persistent=True)
 
     async def flush(self, timeout_s: float) -> bool:
-        """Wait until every operation is carried out; return whether that was in time."""
+        """Wait until all operations are executed; return whether that took at most `timeout_s`."""
         deadline = self.clock.monotonic() + timeout_s
         while not all(writer.is_idle for writer in self.writers.values()):
             if self.clock.monotonic() >= deadline:
@@ -139,27 +143,28 @@
         return True
 
     async def execute(self, group: GroupId, op: Op, *, persistent: bool = False) -> OpResult:
-        """Carry an operation out by this box's own writes."""
+        """Execute an operation through the writer of its group on this box."""
         return await self.writer(group).submit(op, persistent=persistent)
 
 
 class ShardOwners(ABC):
-    """Reach the boxes that batch other shards."""
+    """Find the owners of shards and forward operations to them."""
 
     @abstractmethod
     def owner_address(self, shard: int) -> str | None:
-        """Return the address of the box that batches a shard, or nothing if it is this one."""
+        """Return the address of the owner of a shard, or `None` if it is this box."""
 
     @abstractmethod
     async def forward(self, address: str, group: GroupId, op: Op) -> OpResult:
-        """Let another box carry an operation out; raise `StoreUnavailable`."""
+        """Have another box execute an operation; raise `StoreUnavailable` if that fails."""
 
 
 class ForwardingExecutor(ClaimExecutor):
-    """Let one box a shard do the writing, so that one update carries the claims of many boxes.
+    """Forward operations to the owner of the shard, so that one update carries many boxes' claims.
 
-    The owner is only a hint: two owners conflict, and an owner that does not answer is passed
-    over. Doing an operation twice gives the same result, since it carries its nonce.
+    Ownership is only a hint: writes of two owners conflict in the store, and if an owner does not
+    reply in time, this box writes itself. Executing an operation twice gives the same result, since
+    it carries a nonce.
     """
 
     OWNER_TIMEOUT_S = 0.3
@@ -170,7 +175,7 @@
         self.owner_timeouts = 0
 
     async def execute(self, group: GroupId, op: Op, *, persistent: bool = False) -> OpResult:
-        """Ask the owner; write by ourselves if it does not answer."""
+        """Forward an operation to the owner; execute it on this box if the owner does not reply."""
         address = self.shard_owners.owner_address(group.shard)
         if address is None:
             return await self.local.execute(group, op, persistent=persistent)
@@ -185,7 +190,7 @@
         return await self.local.execute(group, op, persistent=persistent)
 
     def clean_up_cancelled(self, group: GroupId, op: Op, *, persistent: bool) -> None:
-        """Leave nothing behind of a claim given up on; carry out what must be all the same."""
+        """Release a claim whose caller was cancelled, or execute a persistent operation here."""
         if isinstance(op, ClaimOp):
             self.local.writer(group).submit(ReleaseOp(op.key, op.nonce), persistent=True)
         elif persistent:
--- a/packages/core/calicopath_core/claims/forwarding.py
+++ b/packages/core/calicopath_core/claims/forwarding.py
@@ -1,4 +1,4 @@
-"""Send operations on claims to the boxes that batch them, over the peers' messages."""
+"""Forward operations on claims to the owners of their shards, by messages between boxes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class OpRequest(msgspec.Struct, frozen=True, tag='o'):
-    """Ask the box that batches a shard to carry an operation out."""
+    """Ask the owner of a shard to execute an operation."""
 
     sender: str
     reply_to: str
@@ -32,7 +32,7 @@
 
 
 class OpReply(msgspec.Struct, frozen=True, tag='r'):
-    """Answer an operation; `error` is empty if it was carried out."""
+    """Return the result of an operation; `error` is empty if it was executed."""
 
     number: int
     granted: bool
@@ -41,7 +41,7 @@
 
 
 class GossipShardOwners(ShardOwners):
-    """Choose each shard's owner by rendezvous hashing over the live boxes."""
+    """Choose the owner of each shard by rendezvous hashing over the live boxes."""
 
     def __init__(self, *, gossip: Gossip, local: LocalExecutor, clock: Clock) -> None:
         self.gossip = gossip
@@ -56,7 +56,7 @@
         gossip.register_handler(OpReply, self.on_reply)
 
     def owner_address(self, shard: int) -> str | None:
-        """Return the address of a shard's owner, or nothing if this box is it."""
+        """Return the address of a shard's owner, or `None` if it is this box."""
         now = self.clock.monotonic()
         if now - self.owners_refreshed_at >= OWNER_REFRESH_S:
             self.owners.clear()
@@ -66,7 +66,7 @@
         return self.owners[shard]
 
     def choose_owner(self, shard: int, now: float) -> str | None:
-        """Rank the live boxes for a shard."""
+        """Choose the live box with the highest rendezvous weight for a shard."""
         own = self.gossip.members.own
         boxes = [
             member.info
@@ -77,7 +77,7 @@
         return None if best is own else best.address
 
     async def forward(self, address: str, group: GroupId, op: Op) -> OpResult:
-        """Send an operation and wait for its reply."""
+        """Send an operation and wait for its result; raise `StoreUnavailable` on an error reply."""
         number = next(self.request_numbers)
         future: asyncio.Future[OpResult] = asyncio.get_running_loop().create_future()
         self.pending[number] = future
@@ -90,13 +90,13 @@
             del self.pending[number]
 
     def on_request(self, message: OpRequest) -> None:
-        """Carry out another box's operation."""
+        """Start a task that executes another box's operation."""
         task = asyncio.get_running_loop().create_task(self.serve(message))
         self.serve_tasks.add(task)
         task.add_done_callback(self.serve_tasks.discard)
 
     async def serve(self, message: OpRequest) -> None:
-        """Write the operation with whatever else waits, and reply."""
+        """Execute an operation in a batch with other waiting ones, and reply."""
         group = GroupId(message.shard, message.slot)
         try:
             result = await self.local.execute(group, message.op)
@@ -107,7 +107,7 @@
         self.gossip.send(message.reply_to, reply)
 
     def on_reply(self, message: OpReply) -> None:
-        """Hand a reply to whoever waits; a late one goes nowhere."""
+        """Pass a reply to the waiting caller; ignore a late one."""
         future = self.pending.get(message.number)
         if future is None or future.done():
             return
--- a/packages/core/calicopath_core/claims/groups.py
+++ b/packages/core/calicopath_core/claims/groups.py
@@ -1,4 +1,4 @@
-"""Carry out operations on one group of claims, many in one conditional update."""
+"""Execute operations on one group of claims, many in one conditional update."""
 
 from __future__ import annotations
 
@@ -31,11 +31,14 @@
 
 RETRY_DELAY_S = 0.05
 MAX_WAITING_OPS = 10_000
-"""Operations that may wait for one group; beyond it claims are refused."""
+"""Operations that may wait for one group; further ones are refused."""
 
 
 class WaitingOp:
-    """Hold an operation until it is carried out; a persistent one is, whoever still waits."""
+    """Hold an operation until it is executed.
+
+    A persistent operation is executed even if its caller no longer waits.
+    """
 
     def __init__(self, *, op: Op, future: asyncio.Future[OpResult], persistent: bool) -> None:
         self.op = op
@@ -45,9 +48,10 @@
 
     @property
     def is_needed(self) -> bool:
-        """Tell whether the operation must still be carried out.
+        """Return whether the operation must still be executed.
 
-        A claim that may have taken effect is wanted until that is known, to be given back.
+        A claim that may have taken effect is needed until its result is known, so that it can be
+        released.
         """
         if self.persistent or not self.future.done():
             return True
@@ -55,13 +59,13 @@
 
 
 def retrieve_exception(future: asyncio.Future[OpResult]) -> None:
-    """Keep the event loop from reporting an error that nobody waits for."""
+    """Retrieve the error of an abandoned future, so that the event loop does not report it."""
     if not future.cancelled():
         future.exception()
 
 
 class GroupWriter:
-    """Write one group, which is one object in the store."""
+    """Write one group, which is a single object in the store."""
 
     def __init__(
         self,
@@ -89,11 +93,11 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing is left to do."""
+        """Return whether no operation is waiting or being executed."""
         return not self.waiting and (self.task is None or self.task.done())
 
     def submit(self, op: Op, *, persistent: bool = False) -> asyncio.Future[OpResult]:
-        """Queue an operation and make sure that it is carried out."""
+        """Queue an operation; raise `StoreUnavailable` if too many are waiting."""
         if len(self.waiting) >= MAX_WAITING_OPS:
             raise StoreUnavailable('too many claims wait for the object store')
         loop = asyncio.get_running_loop()
@@ -105,7 +109,7 @@
         return future
 
     async def drain(self) -> None:
-        """Carry out operations until none waits."""
+        """Execute operations in batches until none is waiting."""
         while self.waiting:
             await asyncio.sleep(max(0.0, self.next_write_at - self.clock.monotonic()))
             batch = [item for item in self.waiting if item.is_needed]
@@ -116,7 +120,7 @@
                 self.conflicts += 1
                 self.retry(batch)
             except WriteUnknown:
-                # It may have taken effect: the same operations on a fresh value will tell.
+                # The write may have taken effect; a retry on a fresh value finds out.
                 self.retry(batch)
                 await asyncio.sleep(RETRY_DELAY_S)
             except StoreUnavailable as error:
@@ -126,25 +130,25 @@
                 self.complete_batch(batch, results)
 
     def retry(self, batch: list[WaitingOp]) -> None:
-        """Put operations back in front, in their order, to be tried on a fresh value."""
+        """Put operations back at the front of the queue, to be retried on a fresh value."""
         self.version = None
         self.waiting.extendleft(reversed(batch))
 
     def fail_batch(self, batch: list[WaitingOp], error: StoreUnavailable) -> None:
-        """Tell those who wait; keep what must still be carried out when the store is back."""
+        """Report a store error to waiting callers; retry the operations that are still needed."""
         for item in batch:
             if not item.future.done() and not item.sent:
                 item.future.set_exception(error)
         self.retry([item for item in batch if item.is_needed])
 
     async def write(self, batch: list[WaitingOp]) -> list[OpResult]:
-        """Apply operations to the newest value known and write it if anything changed."""
+        """Apply operations to the last known value, and write the result if it changed."""
         is_fresh = self.version is None
         if is_fresh:
             await self.read()
         value, results = self.evaluate(batch)
         if value == self.value and not is_fresh:
-            # What looks taken may have been answered or released by another box since.
+            # Another box may have answered or released the claims since the last read.
             await self.read()
             value, results = self.evaluate(batch)
         if value == self.value and not self.needs_rewrite:
@@ -155,7 +159,7 @@
         assert self.version is not None
         write_started_at = self.clock.monotonic()
         stored = await self.store.put(self.key, dict(value), self.version)
-        # A write that met a conflict did not happen, and must not make the next one wait.
+        # A conflicting write raises before this line, so it does not delay the next write.
         self.next_write_at = write_started_at + self.write_interval_s
         self.value = value
         self.version = self.last_seen_version = stored.version
@@ -163,14 +167,14 @@
         return results
 
     def evaluate(self, batch: list[WaitingOp]) -> tuple[GroupValue, list[OpResult]]:
-        """Return the group as the operations leave it, and their results."""
+        """Return the value of the group after the operations, and the results of the operations."""
         value = GroupValue(
             threshold_ms=self.value['threshold_ms'], claims=dict(self.value['claims'])
         )
         return value, [item.op.apply(value) for item in batch]
 
     async def read(self) -> None:
-        """Read the group from the store; what it has lost of it is written again."""
+        """Read the group; if the store was restored from an older copy, merge in what it lost."""
         stored = await self.store.get(self.key)
         value = GroupValue(threshold_ms=0, claims={})
         self.version = ABSENT
@@ -184,14 +188,14 @@
         self.last_seen_version = self.version
 
     def was_restored(self, version: int) -> bool:
-        """Tell whether the store came back from a copy since this box knew the group."""
+        """Return whether the store was restored from an older copy since the last access."""
         if self.last_seen_version == ABSENT:
             return False
         is_other_era = versions.split(version).era != versions.split(self.last_seen_version).era
         return is_other_era or version < self.last_seen_version
 
     def complete_batch(self, batch: list[WaitingOp], results: list[OpResult]) -> None:
-        """Hand out results; a claim granted to somebody who has given up is undone."""
+        """Pass results to the callers; release claims granted to callers that no longer wait."""
         for item, result in zip(batch, results, strict=True):
             if not item.future.done():
                 item.future.set_result(result)
@@ -199,7 +203,7 @@
                 self.submit(ReleaseOp(item.op.key, item.op.nonce), persistent=True)
 
     def prune(self, value: GroupValue) -> int:
-        """Drop the oldest claims of a group that has grown too large; return its size in bytes."""
+        """Drop the oldest claims until the group fits `max_bytes`; return its size in bytes."""
         while (size := len(msgspec.json.encode(value))) > self.max_bytes:
             times = sorted(item['time_ms'] for item in value['claims'].values())
             raise_threshold(value, times[len(times) // 4])
--- a/packages/core/calicopath_core/claims/keys.py
+++ b/packages/core/calicopath_core/claims/keys.py
@@ -1,4 +1,4 @@
-"""Read idempotency keys."""
+"""Parse idempotency keys."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from calicopath_core.store.base import StoreError
 
 MAX_FUTURE_S = 3600.0
-"""How far ahead of this box's clock a key's own time may be."""
+"""How far the time in a key may be ahead of this box's clock."""
 
 UUID7_VERSION = 7
 UUID7_TIME_SHIFT = 80
 
 
 class InvalidKey(StoreError):
-    """Report that an idempotency key is not one that calicopath takes."""
+    """Report an idempotency key that is malformed or too far in the future."""
 
 
 class ClaimKey(NamedTuple):
-    """Identify a request across boxes; `time_ms` is the time within the caller's key."""
+    """Identify a request across boxes; `time_ms` is the time in the caller's key."""
 
     workspace: str
     pipeline: str
@@ -28,14 +28,15 @@
     time_ms: int
 
     def __str__(self) -> str:
-        """Return the form under which the claim is kept."""
+        """Return the name of the claim in its group."""
         return f'{self.workspace}/{self.pipeline}/{self.key}'
 
 
 def parse_key(workspace: str, pipeline: str, key: str, now_s: float) -> ClaimKey:
-    """Read an idempotency key, which must be a UUID of version 7 (RFC 9562).
+    """Parse an idempotency key, which must be a UUID of version 7 (RFC 9562).
 
-    Such a key carries the time at which the caller made it; the threshold is compared to it.
+    Raises `InvalidKey`. The UUID holds the time of its creation, which is compared with the
+    threshold of the group.
     """
     try:
         parsed = uuid.UUID(key)
@@ -50,5 +51,5 @@
 
 
 def body_digest(body: bytes) -> str:
-    """Return the digest by which a key used with another body is recognised."""
+    """Return a digest of a body, which shows if a key is reused with a different body."""
     return hashlib.blake2b(body, digest_size=16).hexdigest()
--- a/packages/core/calicopath_core/claims/operations.py
+++ b/packages/core/calicopath_core/claims/operations.py
@@ -1,7 +1,7 @@
-"""Define what is kept of claims, and the operations on a group of them.
+"""Define the stored form of claims, and the operations on a group of claims.
 
-An operation may be tried many times on newer and newer values, on this box or another, so it gives
-the same result when an earlier try of its own turns out to have taken effect.
+An operation may be retried on newer values, by this box or another one. It gives the same result
+even if an earlier attempt has taken effect.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 
 class ClaimState(enum.StrEnum):
-    """Say how far a claim's holder has got, as far as the store knows."""
+    """Tell whether the call of a claim has started or was answered, as recorded in the store."""
 
     STARTED = 'started'
     ANSWERED = 'answered'
 
 
 class StoredClaim(TypedDict):
-    """Hold one claim; `time_ms` is the key's own time, `body` a digest of the request."""
+    """Hold one claim; `time_ms` is the time in the key, `body` a digest of the request body."""
 
     nonce: str
     body: str
@@ -32,14 +32,17 @@
 
 
 class GroupValue(TypedDict):
-    """Hold the claims of one group; keys up to `threshold_ms` all count as claimed."""
+    """Hold the claims of one group; all keys with a time up to `threshold_ms` count as claimed."""
 
     threshold_ms: int
     claims: dict[str, StoredClaim]
 
 
 class OpResult(NamedTuple):
-    """Say whether the nonce holds the key, and if not, who does; no claim means dropped by age."""
+    """Tell whether the operation's nonce holds the key.
+
+    If it does not, `claim` is the existing claim, or `None` if the claim was pruned.
+    """
 
     granted: bool
     claim: StoredClaim | None = None
@@ -53,7 +56,7 @@
     body: str
 
     def apply(self, value: GroupValue) -> OpResult:
-        """Enter the claim unless the key is taken."""
+        """Add the claim unless the key is claimed or not above the threshold."""
         held = value['claims'].get(str(self.key))
         if held is not None:
             return OpResult(held['nonce'] == self.nonce, held)
@@ -69,14 +72,14 @@
 
 
 class RecordOp(msgspec.Struct, frozen=True, tag='record'):
-    """Keep an answer under a claim; an empty one says that it was too large to keep."""
+    """Record an answer in a claim; `None` means that the answer was too large to keep."""
 
     key: ClaimKey
     nonce: str
     answer: dict[str, Any] | None
 
     def apply(self, value: GroupValue) -> OpResult:
-        """Replace the claim by an answered one."""
+        """Mark the claim as answered if it is still held under the nonce."""
         held = value['claims'].get(str(self.key))
         if held is None or held['nonce'] != self.nonce:
             return OpResult(False, held)
@@ -91,13 +94,13 @@
 
 
 class ReleaseOp(msgspec.Struct, frozen=True, tag='release'):
-    """Give a key back whose call provably never started."""
+    """Release a key whose call provably never started."""
 
     key: ClaimKey
     nonce: str
 
     def apply(self, value: GroupValue) -> OpResult:
-        """Take the claim out if it is still held under the nonce."""
+        """Remove the claim if it is still held under the nonce."""
         held = value['claims'].get(str(self.key))
         if held is None or held['nonce'] != self.nonce:
             return OpResult(False, held)
@@ -106,12 +109,12 @@
 
 
 class CloseOp(msgspec.Struct, frozen=True, tag='close'):
-    """Drop every claim up to a time; its key and all older ones count as claimed from now on."""
+    """Drop all claims up to a time; all keys up to that time then count as claimed."""
 
     threshold_ms: int
 
     def apply(self, value: GroupValue) -> OpResult:
-        """Raise the threshold if there is anything to drop."""
+        """Raise the threshold unless the group has no claims."""
         if value['claims']:
             raise_threshold(value, self.threshold_ms)
         return OpResult(True)
@@ -121,7 +124,7 @@
 
 
 def merge_groups(stored: GroupValue, known: GroupValue) -> GroupValue:
-    """Return a group in which everything counts as claimed that does in either of two."""
+    """Merge a stored group with the known one; a key claimed in either of them stays claimed."""
     claims = {**known['claims'], **stored['claims']}
     for key, claim in known['claims'].items():
         if claim['state'] == ClaimState.ANSWERED.value:
@@ -132,7 +135,7 @@
 
 
 def raise_threshold(value: GroupValue, threshold_ms: int) -> None:
-    """Drop the claims up to a time and remember that they were there."""
+    """Drop the claims up to a time and raise the threshold to it."""
     value['threshold_ms'] = max(value['threshold_ms'], threshold_ms)
     value['claims'] = {
         key: claim
--- a/packages/core/calicopath_core/claims/registry.py
+++ b/packages/core/calicopath_core/claims/registry.py
@@ -1,4 +1,4 @@
-"""Claim keys, record answers and give back what provably never started."""
+"""Claim keys, record answers, and release keys whose calls provably never started."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 
 
 class Granted(NamedTuple):
-    """Say that the key is ours: its call may leave, once."""
+    """Tell that the key is claimed under `nonce`: its call may be sent once."""
 
     key: ClaimKey
     nonce: str
 
 
 class Taken(NamedTuple):
-    """Say that the key was claimed before; `claim` is empty if it was dropped by age."""
+    """Tell that the key was claimed before; `claim` is `None` if that claim was pruned."""
 
     claim: StoredClaim | None
 
 
 class ClaimRegistry:
-    """Turn claims into operations on their groups."""
+    """Execute claims, answers and releases as operations on groups."""
 
     def __init__(
         self, *, local: LocalExecutor, executor: ClaimExecutor, new_nonce: Callable[[], str]
@@ -50,9 +50,9 @@
         self.new_nonce = new_nonce
 
     async def claim(self, key: ClaimKey, body: str, timeout_s: float) -> Granted | Taken:
-        """Claim a key; raise `StoreUnavailable` if that did not work in time.
+        """Claim a key; raise `StoreUnavailable` if that fails or times out.
 
-        When it raises, the call must not be made. A claim that lands all the same is undone.
+        After an error the call must not be sent. A claim that takes effect later is released.
         """
         nonce = self.new_nonce()
         result = await self.execute(key, ClaimOp(key, nonce, body), timeout_s, persistent=False)
@@ -61,21 +61,24 @@
     async def record(
         self, granted: Granted, answer: dict[str, Any] | None, timeout_s: float
     ) -> None:
-        """Keep the answer for whoever asks again; one that is too large is only marked."""
+        """Record the answer for later requests with the same key.
+
+        Of an answer over `MAX_ANSWER_BYTES`, only the fact that it was given is recorded.
+        """
         if answer is not None and len(msgspec.json.encode(answer)) > MAX_ANSWER_BYTES:
             answer = None
         op = RecordOp(granted.key, granted.nonce, answer)
         await self.execute(granted.key, op, timeout_s, persistent=True)
 
     async def release(self, granted: Granted, timeout_s: float) -> None:
-        """Give a key back whose call provably never started."""
+        """Release a key whose call provably never started."""
         op = ReleaseOp(granted.key, granted.nonce)
         await self.execute(granted.key, op, timeout_s, persistent=True)
 
     async def execute(
         self, key: ClaimKey, op: Op, timeout_s: float, *, persistent: bool
     ) -> OpResult:
-        """Wait for an operation; giving up cancels it if it was not sent yet."""
+        """Execute an operation; a timeout cancels it unless it is persistent or already written."""
         group = self.local.group(key)
         try:
             async with asyncio.timeout(timeout_s):
--- a/packages/core/calicopath_core/crashes/__init__.py
+++ b/packages/core/calicopath_core/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Remember which requests replicas have ended under, at every box."""
+"""Track, on every box, the requests during which replicas crashed, and block repeat offenders."""
--- a/packages/core/calicopath_core/crashes/fate.py
+++ b/packages/core/calicopath_core/crashes/fate.py
@@ -1,4 +1,4 @@
-"""Find out whether a replica has ended, whatever its connections say."""
+"""Find out whether a replica has crashed, independently of how its connections failed."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
     from calicopath_core.structure.endpoints import Endpoint
 
 PORT_WATCH_S = 1.5
-"""How long a replica whose port is still open is watched: a process that ends closes its callers'
-connections and its port one after the other."""
+"""How long the port of a replica is watched while it is still open: an exiting process closes
+its connections and its port one after the other."""
 
 ENTRY_WATCH_S = 8.0
-"""How long the entry of a replica that says nothing is watched: it goes after three heartbeats of
-1.2 s, which boxes hear some 100 ms later."""
+"""How long the entry of a silent replica is watched: it expires after three missed heartbeats of
+1.2 s, and boxes learn of that some 100 ms later."""
 
 ENTRY_POLL_S = 0.2
 
 
 class CrashProbe(ABC):
-    """Tell what became of one replica; `name` is what it goes by."""
+    """Check whether one replica has crashed; `name` identifies it in crash IDs."""
 
     name: str
 
     @abstractmethod
     async def has_crashed(self) -> bool:
-        """Tell at once whether it has ended, as far as that can be seen by now."""
+        """Return whether the crash can be seen already, without waiting."""
 
     @abstractmethod
     async def confirm_crash(self) -> bool:
-        """Tell, after some seconds if need be, whether it had ended after all."""
+        """Wait some seconds if necessary and return whether the replica has crashed."""
 
 
 class ReplicaCrashProbe(CrashProbe):
-    """Tell what became of a replica that announces itself in the store."""
+    """Check a replica that registers itself in the store."""
 
     def __init__(self, *, reach: ReplicaReach, replicas: ReplicaTable, replica: Replica) -> None:
         self.reach = reach
@@ -49,18 +49,18 @@
         self.name = replica.id
 
     async def has_crashed(self) -> bool:
-        """Tell whether its port refuses connections."""
+        """Return whether its port refuses connections."""
         return await self.reach.reach(self.replica, 0.0) is Reach.REFUSED
 
     async def confirm_crash(self) -> bool:
-        """Tell whether its port refuses connections soon, or its entry goes while it is silent."""
+        """Return whether its port refuses connections, or its entry expires if it is silent."""
         found = await self.reach.reach(self.replica, PORT_WATCH_S)
         if found is not Reach.SILENT:
             return found is Reach.REFUSED
         return await self.entry_expires()
 
     async def entry_expires(self) -> bool:
-        """Tell whether its entry goes without its having said that it leaves."""
+        """Return whether its entry expires without the replica having announced that it leaves."""
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + ENTRY_WATCH_S
         while loop.time() < ends_at:
@@ -74,7 +74,7 @@
 
 
 class EndpointCrashProbe(CrashProbe):
-    """Tell what became of an endpoint that operators have added; one that is silent may live."""
+    """Check an endpoint that operators have added; a silent one does not count as crashed."""
 
     def __init__(self, *, reach: EndpointReach, endpoint: Endpoint) -> None:
         self.reach = reach
@@ -82,9 +82,9 @@
         self.name = endpoint.name
 
     async def has_crashed(self) -> bool:
-        """Tell whether its port refuses connections."""
+        """Return whether its port refuses connections."""
         return await self.reach.reach(self.endpoint, 0.0) is Reach.REFUSED
 
     async def confirm_crash(self) -> bool:
-        """Tell whether its port refuses connections soon."""
+        """Return whether its port refuses connections within `PORT_WATCH_S`."""
         return await self.reach.reach(self.endpoint, PORT_WATCH_S) is Reach.REFUSED
--- a/packages/core/calicopath_core/crashes/guard.py
+++ b/packages/core/calicopath_core/crashes/guard.py
@@ -1,4 +1,4 @@
-"""Find out whether a replica has ended under a request, and keep it from others if so."""
+"""Detect replicas that crash during a request, and block requests that crash replicas."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class CrashGuard:
-    """Judge failed attempts of one box and say which requests may be sent on."""
+    """Check failed attempts of one box for crashes and tell which requests are blocked."""
 
     def __init__(self, *, ledger: CrashLedger, sharing: CrashSharing) -> None:
         self.ledger = ledger
@@ -32,19 +32,19 @@
 
     @property
     def blocks_any(self) -> bool:
-        """Tell whether there is any request that is not sent on."""
+        """Return whether any request is blocked."""
         return bool(self.ledger.blocked)
 
     def is_suspect(self, content: str, service: str) -> bool:
-        """Tell whether replicas of a service have ended under a request since it last survived."""
+        """Return whether replicas crashed during a request since its last completed run."""
         return self.ledger.is_suspect(keys_of(content, service).exact)
 
     def blocked_s(self, content: str, services: Iterable[str]) -> float | None:
-        """Return how long a request is not sent on yet, nothing if it may be."""
+        """Return the seconds for which a request is still blocked, or `None` if it is not."""
         return self.ledger.blocked_s(content, services)
 
     def send_evidence(self, address: str, content: str, services: Iterable[str]) -> None:
-        """Tell a box what blocks a request."""
+        """Send a box the evidence for which a request is blocked."""
         request_keys = {key for service in services for key in keys_of(content, service).all}
         keys = [key for key in self.ledger.blocked if key in request_keys]
         self.sharing.send(address, self.sharing.news_for(keys))
@@ -59,14 +59,15 @@
         run_started_at: float,
         answered: bool,
     ) -> None:
-        """Note whether a replica has ended under requests that it ran.
+        """Check whether a replica crashed during requests that it ran, and record the crash if so.
 
-        They had been sent to it at `began`, in monotonic seconds; `answered` says that something
-        of their answers had come, which is seldom so of what ends it.
+        `run_started_at` is when the requests were sent, in monotonic seconds. `answered` tells
+        that part of their responses had arrived; a request that crashes a replica rarely gets that
+        far, so the crash then does not count for common keys.
 
-        A connection that broke is no proof: answers are lost and connections reset while their
-        replica lives. What can't be seen at once is watched while the requests go on; a replica
-        that is silent may be without power.
+        A broken connection is no proof of a crash: responses are lost and connections reset while
+        the replica runs. If a crash cannot be confirmed at once, a background task goes on checking
+        while the requests are retried; a replica that does not respond may have lost power.
         """
         crash = Crash(self.ledger.clock.monotonic(), run_started_at)
         crash_id = new_crash_id(probe.name, self.ledger.clock.wall())
@@ -84,25 +85,25 @@
         task.add_done_callback(self.tasks.discard)
 
     async def record_if_confirmed(self, crash_ids: dict[SuspectKey, str], crash: Crash, probe: CrashProbe) -> None:
-        """Note the end of a replica that shows later."""
+        """Record a crash if it is confirmed within some seconds."""
         if await probe.confirm_crash():
             self.record_crash(crash_ids, crash)
 
     def record_crash(self, crash_ids: dict[SuspectKey, str], crash: Crash) -> None:
-        """Note the end of a replica that was at work on some requests, and tell of it."""
+        """Record a crash during some requests, and share what is new of it."""
         changed = [key for key, name in crash_ids.items() if self.ledger.on_crash(key, name, crash)]
         if changed:
             self.sharing.report(changed)
 
     def on_survived(self, content: str, service: str) -> None:
-        """Note that a replica has run a request to its end."""
+        """Record a completed run of a request."""
         keys = keys_of(content, service).all
         cleared = [key for key in keys if self.ledger.on_survived(key)]
         if cleared:
             self.sharing.report(cleared)
 
     def release(self, content: str, *, who: str) -> list[SuspectKey]:
-        """Let a request go as an operator asks, at every service; return where it was blocked."""
+        """Unblock a request at every service for operator `who`; return its blocked keys."""
         services = {key.service for key in self.ledger.blocked}
         matching = {key for service in services for key in keys_of(content, service).all}
         matching |= {SuspectKey(content, service) for service in services}
--- a/packages/core/calicopath_core/crashes/keeping.py
+++ b/packages/core/calicopath_core/crashes/keeping.py
@@ -1,8 +1,8 @@
-"""Keep blocked requests in the platform's store, for a fleet whose boxes are all started anew.
+"""Persist blocked requests in the platform's store, so that they survive a restart of all boxes.
 
-Boxes tell each other while any of them lives. The first of the relays, which read the store for
-others anyway, writes what is blocked when that changes, and in each era of the store, and reads it
-once in its life: a call a change and a call for each box that comes first.
+As long as any box is running, boxes get the blocks from each other. The first of the relays writes
+the blocked requests whenever they change and once in each era of the store, and reads them once
+after it starts. This costs one store call per change and one per box that becomes the first relay.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
     from calicopath_core.crashes.sharing import CrashSharing
 
 WRITE_POLL_S = 0.3
-"""How often it is looked whether there is anything to write."""
+"""How often this box checks whether there is anything to write."""
 
 READ_POLL_S = 0.02
-"""How often it is looked whether it is this box's turn to read: callers wait for that."""
+"""How often this box checks whether it has to read; short, because callers wait for the read."""
 
 MIN_RETRY_DELAY_S = 1.0
 MAX_RETRY_DELAY_S = 8.0
-"""How long a failed call is waited out; doubled each time."""
+"""Upper limit of the delay after a failed call, which doubles with each failure."""
 
 MAX_STORED = 500
-"""Blocked requests kept, the newest: 100 KB of the megabyte that a value may have."""
+"""Blocked requests stored, newest first: 100 KB of the 1 MB that a value may have."""
 
 
 class StoredRequest(NamedTuple):
-    """Hold a blocked request and when which replicas ended under it, in seconds since 1970."""
+    """Hold a blocked request; `ended` maps crash IDs to crash times in seconds since 1970."""
 
     content: str
     service: str
@@ -43,11 +43,10 @@
 
 
 class BlockedRequestPersister:
-    """Read and write what is blocked while it is this box's turn.
+    """Read and write the blocked requests while `is_due` is true for this box.
 
-    `read` and `write` raise a `CalicopathError` if the store does not do it. `write` returns the
-    store's era, `era` the newest one that the box knows of: what was written in an earlier one may
-    be lost.
+    `read` and `write` raise a `CalicopathError` if the store call fails. `write` returns the era of
+    the store, `era` the newest era known to this box; data written in an earlier era may be lost.
     """
 
     def __init__(
@@ -75,7 +74,7 @@
         self.written_era = 0
 
     async def run(self) -> None:
-        """Read once and write what changes, until cancelled."""
+        """Read the stored blocks once and write changes, until cancelled."""
         retry_delay_s = MIN_RETRY_DELAY_S
         while True:
             await asyncio.sleep(WRITE_POLL_S if self.sharing.complete else READ_POLL_S)
@@ -90,7 +89,7 @@
                 retry_delay_s = min(MAX_RETRY_DELAY_S, 2 * retry_delay_s)
 
     async def step(self) -> None:
-        """Do what is due."""
+        """Read the stored blocks if this box has not yet, then write the blocks if they changed."""
         if not self.has_read:
             self.written_era = self.era()
             stored = await self.read()
@@ -105,14 +104,14 @@
             self.written = blocked
 
     def evidence_from(self, stored: StoredRequest) -> Evidence:
-        """Return what is kept with ages; the time of day may have jumped meanwhile."""
+        """Convert a stored request to evidence; ages are clamped, as wall time may step back."""
         now = self.clock.wall()
         ages = {name: max(0.0, now - at) for name, at in stored.ended.items()}
         crash_ages_s = {name: (age_s, age_s) for name, age_s in ages.items()}
         return Evidence(stored.content, stored.service, crash_ages_s, None)
 
     def requests_to_store(self) -> tuple[StoredRequest, ...]:
-        """Return what is to be kept."""
+        """Return the newest blocked requests, up to `MAX_STORED`."""
         now = self.clock.wall()
         newest = sorted(self.ledger.blocked.values(), key=lambda item: -item.until)
         found = []
--- a/packages/core/calicopath_core/crashes/ledger.py
+++ b/packages/core/calicopath_core/crashes/ledger.py
@@ -1,4 +1,4 @@
-"""Keep what a box knows of requests under which replicas have ended."""
+"""Keep the crash evidence of one box and the blocks that follow from it."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
     from calicopath_core.clock import Clock
 
 MAX_SUSPECTS = 2000
-"""Requests remembered, 0.3 KB each; beyond that the ones go first that ended fewest replicas."""
+"""Suspect requests kept, 0.3 KB each; those with the fewest crashes are evicted first."""
 
 MIN_SHARED_CRASHES = 2
-"""Replicas that have ended under a request before every box is told of it; of the first end only
-those are told that judge."""
+"""Crashes from which evidence on a request goes to every box. The first crash is sent only to the
+boxes that make the scheduling decisions."""
 
 
 class Block(NamedTuple):
-    """Describe a request that is not sent on; times are monotonic seconds."""
+    """Describe why and until when a request is blocked; times are monotonic seconds."""
 
     key: SuspectKey
     since: float
@@ -40,23 +40,23 @@
 
 
 class CrashObserver(ABC):
-    """Learn how evidence grows and what is decided by it."""
+    """Receive new evidence and the decisions that follow from it."""
 
     @abstractmethod
     def on_evidence(self, key: SuspectKey, replicas: Iterable[str], source: str) -> None:
-        """Note replicas that ended under a request, as this box or another has seen."""
+        """Handle new crashes during a request; `source` is `own`, `store` or another box."""
 
     @abstractmethod
     def on_blocked(self, blocked: Block, now: float) -> None:
-        """Note that a request is not sent on any more."""
+        """Handle a request that is blocked from now on."""
 
     @abstractmethod
     def on_unblocked(self, key: SuspectKey, reason: str) -> None:
-        """Note that a request is sent on again."""
+        """Handle a request that is no longer blocked."""
 
 
 class CrashLedger:
-    """Hold the suspects; `own` is what log lines call this box as a source."""
+    """Hold the suspect requests and decide which of them are blocked."""
 
     def __init__(self, *, clock: Clock, observer: CrashObserver) -> None:
         self.clock = clock
@@ -66,7 +66,7 @@
         self.cached_digest: str | None = None
 
     def on_crash(self, key: SuspectKey, crash_id: str, crash: Crash) -> bool:
-        """Note that a replica has ended under a request; tell whether that is news."""
+        """Record a crash during a request; return whether it is new."""
         if not self.get_or_add(key).add_crash(crash_id, crash):
             return False
         self.observer.on_evidence(key, (crash_id,), 'own')
@@ -74,7 +74,10 @@
         return True
 
     def on_survived(self, key: SuspectKey, reason: str = 'survived') -> bool:
-        """Note that a request was run to its end; tell whether that clears a suspect."""
+        """Record a completed run of a request; return whether it clears crashes.
+
+        `reason` is reported to the observer if the request is unblocked.
+        """
         suspect = self.suspects.get(key)
         if suspect is None or not suspect.add_survival(self.clock.monotonic()):
             return False
@@ -82,12 +85,12 @@
         return True
 
     def is_suspect(self, key: SuspectKey) -> bool:
-        """Tell whether replicas have ended under a request since it last survived."""
+        """Return whether replicas have crashed during a request since its last completed run."""
         suspect = self.suspects.get(key)
         return suspect is not None and bool(suspect.crash_times())
 
     def blocked_s(self, content: str, services: Iterable[str]) -> float | None:
-        """Return how long a request is not sent to some services yet, nothing if it may be."""
+        """Return the seconds for which a request is blocked at any of some services, or `None`."""
         if not self.blocked:
             return None
         now = self.clock.monotonic()
@@ -97,7 +100,7 @@
         return max(expiries) - now if expiries else None
 
     def merge(self, evidence: Iterable[Evidence], source: str) -> list[SuspectKey]:
-        """Join what another box knows; return of which requests that was news."""
+        """Merge evidence from `source`; return the keys of requests for which it was new."""
         now = self.clock.monotonic()
         changed = []
         for item in evidence:
@@ -107,7 +110,7 @@
         return changed
 
     def merge_one(self, key: SuspectKey, item: Evidence, now: float, source: str) -> bool:
-        """Join what another box knows of one request; tell whether that was news."""
+        """Merge evidence on one request; return whether any of it was new."""
         suspect = self.get_or_add(key)
         new_crashes = [
             name
@@ -122,7 +125,7 @@
         return bool(new_crashes or survived)
 
     def get_or_add(self, key: SuspectKey) -> Suspect:
-        """Return what is known of a request, remembered from now on."""
+        """Return the entry of a request, adding it if there is none."""
         found = self.suspects.get(key)
         if found is None:
             self.evict_if_full()
@@ -130,13 +133,13 @@
         return found
 
     def evict_if_full(self) -> None:
-        """Forget the request under which fewest replicas ended if there are too many."""
+        """Drop the request with the fewest crashes if the ledger is full."""
         if len(self.suspects) >= MAX_SUSPECTS:
             least = min(self.suspects, key=lambda key: len(self.suspects[key].crashes))
             self.forget(least)
 
     def update_block(self, key: SuspectKey, reason: str = 'survived') -> None:
-        """Block a request or let it go, by what is known now."""
+        """Block or unblock a request according to the current evidence."""
         self.cached_digest = None
         suspect, now = self.suspects[key], self.clock.monotonic()
         until = suspect.blocked_until(MIN_DISTINCT_REQUESTS if is_common(key.content) else 1)
@@ -151,7 +154,7 @@
             self.observer.on_blocked(self.blocked[key], now)
 
     def expire(self) -> None:
-        """Let go and forget what is old enough."""
+        """Unblock requests whose block has expired, and drop expired evidence."""
         now = self.clock.monotonic()
         for key in [key for key, item in self.blocked.items() if item.until <= now]:
             del self.blocked[key]
@@ -160,14 +163,14 @@
             self.forget(key)
 
     def forget(self, key: SuspectKey) -> None:
-        """Remember nothing of a request."""
+        """Drop a request; unblock it if it was blocked."""
         del self.suspects[key]
         self.cached_digest = None
         if self.blocked.pop(key, None) is not None:
             self.observer.on_unblocked(key, 'forgotten')
 
     def evidence_for(self, key: SuspectKey) -> Evidence:
-        """Return what is known of a request."""
+        """Return the evidence on a request, as it is sent to other boxes."""
         suspect, now = self.suspects[key], self.clock.monotonic()
         survived = suspect.survived_at > -math.inf
         return Evidence(
@@ -178,21 +181,21 @@
         )
 
     def shared_keys(self) -> list[SuspectKey]:
-        """Return the requests of which every box is told, in order."""
+        """Return the sorted keys of the requests whose evidence goes to every box."""
         return sorted(key for key, item in self.suspects.items() if len(item.crashes) >= MIN_SHARED_CRASHES)
 
     def shared(self) -> tuple[Evidence, ...]:
-        """Return what every box is told."""
+        """Return the evidence that goes to every box."""
         return tuple(self.evidence_for(key) for key in self.shared_keys())
 
     def digest(self) -> str:
-        """Return what is alike at boxes that know the same of what is shared; empty for none."""
+        """Return a digest that is equal on boxes with equal shared evidence; empty for none."""
         if self.cached_digest is None:
             self.cached_digest = self.compute_digest()
         return self.cached_digest
 
     def compute_digest(self) -> str:
-        """Return the digest anew."""
+        """Compute the digest of the shared evidence, empty if there is none."""
         keys = self.shared_keys()
         if not keys:
             return ''
--- a/packages/core/calicopath_core/crashes/messages.py
+++ b/packages/core/calicopath_core/crashes/messages.py
@@ -1,6 +1,6 @@
-"""Define what boxes tell each other of requests under which replicas have ended.
+"""Define the messages with which boxes share crash evidence.
 
-Ages are spans in seconds, since boxes' clocks differ.
+Times are sent as ages in seconds, because the clocks of boxes differ.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 
 
 class Evidence(msgspec.Struct, frozen=True, array_like=True):
-    """Tell how long ago which replicas ended under a request, and when it last survived.
+    """Hold the crashes during one request, and the age of its last completed run.
 
-    `ended_s` holds for each end how long ago it was, and how long ago the run had begun;
-    `survived_s` is nothing for a request that never did.
+    `crash_ages_s` maps a crash ID to the age of the crash and the age of the start of the run;
+    `survival_age_s` is `None` if no run of the request has completed.
     """
 
     content: str
@@ -24,9 +24,9 @@
 
 
 class CrashNews(News, frozen=True, tag='cr'):
-    """Tell a box of requests under which replicas have ended.
+    """Send crash evidence to another box.
 
-    `complete` says that the sender knows what is kept in the store.
+    `complete` is set if the sender has loaded the blocked requests from the store.
     """
 
     evidence: tuple[Evidence, ...]
--- a/packages/core/calicopath_core/crashes/sharing.py
+++ b/packages/core/calicopath_core/crashes/sharing.py
@@ -1,4 +1,4 @@
-"""Have every box know under which requests replicas have ended."""
+"""Share crash evidence among boxes."""
 
 from __future__ import annotations
 
@@ -17,17 +17,19 @@
     from calicopath_core.crashes.ledger import CrashLedger
 
 MAX_EVIDENCE = 500
-"""Requests told of in one message: 60 KB."""
+"""Requests in one message, 60 KB."""
 
 INCOMPLETE_PREFIX = '?'
-"""Begins the digest of a box that does not know what is kept, so that those that do tell it."""
+"""Starts the digest of a box that has not loaded the stored blocks, so that its digest differs from
+those of complete boxes and they send it their evidence."""
 
 
 class CrashSharing(NewsSharing[SuspectKey, CrashNews]):
-    """Exchange what ledgers hold.
+    """Share the evidence of this box's ledger with other boxes.
 
-    A box is `complete` once it knows what is kept in the store, by itself or from another box; all
-    are where nothing is kept. The `listeners` are the addresses of those that wait for its word.
+    A box is `complete` once it has the stored blocks, read from the store or received from another
+    complete box; where nothing is stored, all boxes are. `waiting_boxes` returns the addresses of
+    boxes that wait for a complete sender.
     """
 
     def __init__(
@@ -49,38 +51,38 @@
         self.waiting_boxes: Callable[[], Iterable[str]] = list
 
     def digest(self) -> str:
-        """Return what is alike at boxes that share the same evidence."""
+        """Return a digest that is equal on boxes with equal shared evidence and completeness."""
         digest = self.ledger.digest()
         return digest if self.complete else INCOMPLETE_PREFIX + digest
 
     def holds(self, key: SuspectKey) -> bool:
-        """Tell whether a request is still suspect."""
+        """Return whether there is still evidence on a request."""
         return key in self.ledger.suspects
 
     def news_for(self, keys: Iterable[SuspectKey]) -> CrashNews:
-        """Return the evidence on some requests."""
+        """Return a message with the evidence on some requests."""
         evidence = [self.ledger.evidence_for(key) for key in keys]
         return CrashNews(
             sender=self.own_address, evidence=tuple(evidence[:MAX_EVIDENCE]), whole=False
         )
 
     def full_news(self, *, whole: bool) -> CrashNews:
-        """Return all evidence that is shared."""
+        """Return a message with all shared evidence."""
         evidence = self.ledger.shared()[:MAX_EVIDENCE]
         return CrashNews(
             sender=self.own_address, evidence=evidence, whole=whole, complete=self.complete
         )
 
     def merge(self, news: CrashNews) -> list[SuspectKey]:
-        """Join another box's evidence; return on which requests that was news."""
+        """Merge another box's evidence; return the keys for which it was new."""
         changed = self.ledger.merge(news.evidence, news.sender)
         if news.whole and news.complete:
-            # After the evidence is joined, which those that wait for this box's word are told.
+            # Only after the merge: this sends the merged evidence to the waiting boxes.
             self.on_complete()
         return changed
 
     def on_complete(self) -> None:
-        """Note that this box knows what is kept, and tell those that wait for it."""
+        """Mark this box as complete and send all evidence to the boxes that wait for it."""
         if self.complete:
             return
         self.complete = True
@@ -88,7 +90,7 @@
             self.send_full_news(address)
 
     def knows_more_than(self, news: CrashNews) -> bool:
-        """Tell whether this box shares something that is not in another's news."""
+        """Return whether this box shares evidence that a received message lacks."""
         received = {(item.content, item.service): item for item in news.evidence}
         for item in self.ledger.shared():
             other = received.get((item.content, item.service))
--- a/packages/core/calicopath_core/crashes/suspects.py
+++ b/packages/core/calicopath_core/crashes/suspects.py
@@ -1,14 +1,15 @@
-"""Count the replicas that have ended under one request, and judge by that whether it is sent on.
-
-A replica that ends takes all that it ran with it, so that most of what is counted is innocent. What
-sets the cause apart is that it is there each time and never survives a run: a request that is
-answered begins anew, and replicas that end at one moment (a zone without power, a fault of many)
-count as one.
-
-Some callers write a time or a number of their own into each repeat, so that no two bodies, or no
-two paths, are alike. What is alike in them is therefore counted too, by stricter terms: one
-caller's path, and one caller's prompt as engines are told of it. Only ends count there before the
-replica had answered anything, of more than one path or body, with no survival of the like since.
+"""Count the replica crashes during one request, and decide whether the request is blocked.
+
+A crash interrupts every request that the replica was running, so most requests that are counted are
+innocent. Only the request that causes crashes is present at each of them and never completes a run.
+Therefore a completed run resets the count, and crashes of several replicas at the same time (power
+loss in a failure domain, a common fault) count as one.
+
+Some callers put a timestamp or a number into each retry, so that no two bodies, or no two paths,
+are equal. Crashes are therefore also counted for what such requests have in common: one caller's
+path, and one caller's prompt in the form sent to engines. Stricter rules apply there: a crash
+counts only if the replica had not yet sent any of its response, the crashes must belong to requests
+with different paths or bodies, and a completed run of any such request resets the count.
 """
 
 from __future__ import annotations
@@ -17,42 +18,43 @@
 from typing import NamedTuple
 
 CRASH_LIMIT = 3
-"""Moments at which replicas ended under a request before none is given it any more. The users allow
-three; with two, a request that is beside the cause twice in a row would be blocked."""
+"""Crashes after which a request is blocked. The requirements allow three; a limit of two would
+block an innocent request that twice in a row runs on the same replica as the cause."""
 
 SIMULTANEOUS_S = 0.1
-"""Ends within this time are one event, of runs that had begun before the first of them: boxes hear
-of one end within 5 ms of each other, a busy one some time later."""
+"""Crashes within this time count as one event if the later run started before the first crash.
+Boxes notice the same crash within 5 ms of each other, a busy box later."""
 
 SAME_CRASH_S = 1.0
-"""Ends of one replica within this time are one: a box may notice it late. One that comes back under
-its name and ends again later has ended twice."""
+"""Crashes of one replica within this time are the same crash, noticed late by some box. Beyond it,
+the replica has restarted under its name and crashed again."""
 
 BLOCK_S = 600.0
-"""How long a request is blocked for after the third end, doubled with each further one."""
+"""How long a request is blocked after the third crash; doubled with each further crash."""
 
 MAX_BLOCK_S = 3 * 3600.0
 CRASH_RETENTION_S = 6 * 3600.0
-"""How long an end is remembered."""
+"""How long a crash is kept."""
 
 SURVIVAL_RETENTION_S = 60.0
-"""How long it is remembered that a request survived: longer than any box has older word of it."""
+"""How long a completed run is kept: longer than any box can still send evidence older than it."""
 
 CONTENT_SEPARATOR = '.'
 PROMPT_PREFIX = '~'
 REQUEST_SEPARATOR = '#'
 
 MAX_CRASHES = 16
-"""Ends remembered for one request; the same ones at every box, those first by name."""
+"""Crashes kept for one request: those with the lowest IDs, so that all boxes keep the same ones."""
 
 MIN_DISTINCT_REQUESTS = 2
-"""Different requests under which replicas must have ended before all that are alike are blocked."""
+"""Distinct requests with crashes before all requests with a common path or prompt are blocked."""
 
 
 class SuspectKey(NamedTuple):
-    """Name a request's content at one service: it may end an engine and spare a stage.
+    """Identify a request at one service, since it may crash replicas of one service only.
 
-    `content` may be what is alike in several requests: a caller's path, or a caller's prompt.
+    `content` is the fingerprint of a request, or of what several requests have in common: a
+    caller's path or a caller's prompt.
     """
 
     content: str
@@ -60,18 +62,18 @@
 
 
 class Crash(NamedTuple):
-    """Say when a replica ended and when the run had begun that it took along."""
+    """Hold the time of a crash and the start of the interrupted run, in monotonic seconds."""
 
     at: float
     run_started_at: float
 
 
 class Suspect:
-    """Hold the ends of replicas under one request, by when; times are monotonic seconds.
+    """Hold the crashes during one request, by crash ID; times are monotonic seconds.
 
-    An end is named by its replica and the second in which a box has seen it (`name_of_end`).
-    Two boxes' knowledge is joined by taking every end and the latest survival, so that order and
-    repeats of messages make no difference.
+    A crash ID consists of the replica and the second in which a box noticed the crash
+    (`new_crash_id`). Evidence of two boxes is merged by taking all crashes and the latest completed
+    run, so the order and repetition of messages make no difference.
     """
 
     def __init__(self) -> None:
@@ -79,7 +81,7 @@
         self.survived_at = -math.inf
 
     def add_crash(self, crash_id: str, crash: Crash) -> bool:
-        """Note a replica's end; tell whether that is news."""
+        """Add a crash; return whether it is new and kept."""
         if crash_id in self.crashes:
             return False
         self.crashes[crash_id] = crash
@@ -88,14 +90,14 @@
         return crash_id in self.crashes
 
     def add_survival(self, at: float) -> bool:
-        """Note that the request was run to its end; tell whether that is news."""
+        """Record a completed run; return whether it clears crashes that still counted."""
         crashes = self.crashes.values()
         is_new = at > self.survived_at and any(crash.at > self.survived_at for crash in crashes)
         self.survived_at = max(self.survived_at, at)
         return is_new
 
     def crash_times(self) -> list[float]:
-        """Return when replicas have ended under the request since it last survived, in order."""
+        """Return the times of separate crash events since the last completed run, in order."""
         times: list[float] = []
         last_crash_at: dict[str, float] = {}
         for crash, name in sorted((crash, name) for name, crash in self.crashes.items()):
@@ -109,19 +111,19 @@
         return times
 
     def distinct_requests(self) -> set[str]:
-        """Return under which requests replicas have ended, where that is told of what is alike."""
+        """Return the requests with crashes since the last completed run, for a common key."""
         crashes = self.crashes.items()
         return {request_of(name) for name, crash in crashes if crash.at > self.survived_at}
 
     def blocked_until(self, min_distinct_requests: int = 1) -> float | None:
-        """Return until when the request is not sent on, nothing if it is."""
+        """Return the time until which the request is blocked, or `None` if it is not."""
         times = self.crash_times()
         if len(times) < CRASH_LIMIT or len(self.distinct_requests()) < min_distinct_requests:
             return None
         return times[-1] + min(MAX_BLOCK_S, BLOCK_S * 2.0 ** (len(times) - CRASH_LIMIT))
 
     def expires_at(self) -> float:
-        """Return when nothing of this has to be remembered any more."""
+        """Return the time from which this entry can be dropped."""
         newest = max((crash.at for crash in self.crashes.values()), default=-math.inf)
         if newest <= self.survived_at:
             return self.survived_at + SURVIVAL_RETENTION_S
@@ -129,44 +131,44 @@
 
 
 def new_crash_id(replica: str, wall_s: float) -> str:
-    """Return what names an end of a replica; `wall` is in seconds since 1970."""
+    """Return the ID of a crash noticed at `wall_s`, in seconds since 1970."""
     return f'{replica}@{int(wall_s)}'
 
 
 def replica_of(crash_id: str) -> str:
-    """Return the replica that an end is of."""
+    """Return the replica in a crash ID."""
     return crash_id.partition('@')[0]
 
 
 def add_request(crash_id: str, content: str) -> str:
-    """Return what names an end where it is told of what is alike: with the request that ran."""
+    """Append the interrupted request to a crash ID, as crash IDs under common keys have it."""
     return f'{crash_id}{REQUEST_SEPARATOR}{content}'
 
 
 def request_of(crash_id: str) -> str:
-    """Return the request with which an end is told; nothing where it is told of a request."""
+    """Return the request in a crash ID, empty if the ID has none."""
     return crash_id.partition(REQUEST_SEPARATOR)[2]
 
 
 def request_fingerprint(path: str, body: str, prompt: str = '') -> str:
-    """Return what names a request, by digests: path with caller, body, prompt with caller."""
+    """Join digests of path and caller, body, and prompt and caller into a request's fingerprint."""
     return CONTENT_SEPARATOR.join((path, body, prompt) if prompt else (path, body))
 
 
 class RequestKeys(NamedTuple):
-    """Hold the key of a request at one service, and those of what it has in common with others."""
+    """Hold the exact key of a request at one service, and the keys that it shares with others."""
 
     exact: SuspectKey
     common: tuple[SuspectKey, ...]
 
     @property
     def all(self) -> tuple[SuspectKey, ...]:
-        """Return every key under which the request may be blocked."""
+        """Return all keys under which the request may be blocked."""
         return (self.exact, *self.common)
 
 
 def keys_of(content: str, service: str) -> RequestKeys:
-    """Return the keys of a request at one service, by its content's name."""
+    """Return the keys of a request at one service; `content` is its fingerprint."""
     path, body, prompt = ([*content.split(CONTENT_SEPARATOR), '', ''])[:3]
     common = [SuspectKey(path, service)]
     if prompt:
@@ -175,5 +177,5 @@
 
 
 def is_common(content: str) -> bool:
-    """Tell whether this names what is alike in requests, not one request."""
+    """Return whether this is the fingerprint of a common path or prompt, not of one request."""
     return CONTENT_SEPARATOR not in content
--- a/packages/core/calicopath_core/membership/__init__.py
+++ b/packages/core/calicopath_core/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Know the other boxes, and spread configuration among them."""
+"""Track the other boxes and spread configuration among them by gossip."""
--- a/packages/core/calicopath_core/membership/buckets.py
+++ b/packages/core/calicopath_core/membership/buckets.py
@@ -1,4 +1,4 @@
-"""Sum up a view in buckets, so that two boxes find where they differ by a few numbers."""
+"""Digest a view in buckets, so that two boxes find their differences with little traffic."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 def bucket_of(key: str) -> int:
-    """Return the bucket of a key."""
+    """Return the bucket that holds a key."""
     return zlib.crc32(key.encode()) % BUCKET_COUNT
 
 
 class BucketIndex:
-    """Keep a digest and the keys of each bucket of a view."""
+    """Maintain the digest and the versions of each bucket of a view."""
 
     def __init__(self, *, view: ConfigView) -> None:
         self.view = view
@@ -28,19 +28,19 @@
         view.listeners.append(self.on_updates)
 
     def on_updates(self, updates: list[ViewUpdate]) -> None:
-        """Follow the view."""
+        """Apply updates of the view to the buckets."""
         for update in updates:
             bucket = bucket_of(update.key)
             held = self.versions[bucket].get(update.key)
             if held is not None:
                 self.digests[bucket] ^= entry_hash(update.key, held)
-            # A key that comes twice in a batch ends at the version that the view holds.
+            # A key may occur twice in a batch, so the version comes from the view, not the update.
             version = self.view.version(update.key)
             self.digests[bucket] ^= entry_hash(update.key, version)
             self.versions[bucket][update.key] = version
 
     def differing(self, digests: list[int]) -> list[int]:
-        """Return the buckets in which another box's digests differ."""
+        """Return the buckets whose digests differ from those of another box."""
         return [
             bucket
             for bucket, (own, other) in enumerate(zip(self.digests, digests, strict=False))
@@ -48,7 +48,7 @@
         ]
 
     def versions_in(self, buckets: list[int]) -> dict[str, int]:
-        """Return the versions held in some buckets."""
+        """Return the versions in some buckets, by key; ignore invalid bucket numbers."""
         found: dict[str, int] = {}
         for bucket in buckets:
             if 0 <= bucket < BUCKET_COUNT:
--- a/packages/core/calicopath_core/membership/gossip.py
+++ b/packages/core/calicopath_core/membership/gossip.py
@@ -1,9 +1,9 @@
-"""Spread configuration from box to box: push what is new, repair what was lost.
+"""Spread configuration from box to box by gossip, and repair differences.
 
-Whoever takes something newer in passes it on to a few boxes at random. Every heartbeat carries a
-digest of the whole view; where digests stay different, two boxes compare buckets, then versions,
-and send each other what is newer. Since views only take newer versions, order and repetition do
-not matter.
+A box that applies a newer object pushes it to a few random boxes. Every heartbeat carries a digest
+of the whole view. If digests stay different, two boxes compare bucket digests, then versions, and
+send each other newer objects. Views only accept newer versions, so the order and repetition of
+messages do not matter.
 """
 
 from __future__ import annotations
@@ -45,26 +45,27 @@
 HEARTBEAT_FANOUT = 3
 PUSH_FANOUT = 4
 PUSH_DELAY_S = 0.05
-"""How long new objects are gathered before they are passed on together."""
+"""How long new objects are collected before they are pushed together."""
 
 MAX_RECENT_VERSIONS = 16
-"""Objects taken in last of which every heartbeat tells the versions."""
+"""Most recently applied objects whose versions every heartbeat carries."""
 
 LOCAL_MEMBERS_SENT = 8
 REMOTE_MEMBERS_SENT = 4
-"""Boxes of the own and of other failure domains that one heartbeat tells of. The own domain's
-must be heard of often, since its relays are chosen among them."""
+"""Boxes in the same and in other failure domains that one heartbeat lists. Boxes in the same
+failure domain need frequent updates, because its relays are chosen among them."""
 
 MAX_PUSH_ENTRIES = 200
 MAX_WANTED = 2000
 MAX_VERSIONS = 5000
 MAX_RECENT_DIGESTS = 64
 REPAIR_INTERVAL_S = 1.0
-"""Least time between two repairs with whomever, so that a burst of changes is not repaired."""
+"""Shortest interval between two repairs with any boxes, so that a burst of changes, which pushes
+are already spreading, does not start repairs."""
 
 
 class GossipCounts:
-    """Count what was sent and received, and what was done about it."""
+    """Count messages sent and received, undecodable messages and repaired objects."""
 
     def __init__(self) -> None:
         self.sent: Counter[str] = Counter()
@@ -116,17 +117,17 @@
         transport.listen(self.on_data)
 
     def register_handler(self, kind: type[T], handler: Callable[[T], None]) -> None:
-        """Let others exchange messages of their own over the same connections."""
+        """Register a handler for another message type sent over the same connections."""
         self.handlers[kind] = handler
         self.decoder = MessageDecoder(types=self.handlers)
 
     def share_crashes(self, crash_sharing: CrashSharing) -> None:
-        """Carry what boxes know of requests under which endpoints have ended."""
+        """Share crash evidence through heartbeats and messages of this gossip."""
         self.crash_sharing = crash_sharing
         self.register_handler(CrashNews, crash_sharing.on_news)
 
     def on_updates(self, updates: list[ViewUpdate]) -> None:
-        """Remember what the view has newly taken in, to pass it on."""
+        """Queue updates of the view to be pushed to other boxes."""
         for update in updates:
             self.unsent_updates[update.key] = update
             self.recent_versions[update.key] = update.version
@@ -136,26 +137,26 @@
         self.recent_digests.append(self.view.digest)
 
     def on_contact(self, at: float) -> None:
-        """Note that the platform was heard of at a time on our monotonic clock."""
+        """Record a contact with the platform at a time in monotonic seconds."""
         if self.contact_at is None or at > self.contact_at:
             self.contact_at = at
 
     def contact_age_s(self) -> float | None:
-        """Return the seconds since the platform was heard of, by us or through others."""
+        """Return the seconds since the last contact with the platform by any box, or `None`."""
         if self.contact_at is None:
             return None
         return self.clock.monotonic() - self.contact_at
 
     def leave(self) -> None:
-        """Say in the next heartbeats that this box is leaving, so that another one relays."""
+        """Announce in heartbeats that this box is leaving, so that another box becomes a relay."""
         self.members.own = msgspec.structs.replace(self.members.own, leaving=True)
 
     def tick(self) -> None:
-        """Pass on what is new, and send a heartbeat when one is due."""
+        """Push new objects, and send a heartbeat when one is due."""
         self.push_updates()
         now = self.clock.monotonic()
         if now >= self.next_heartbeat_at:
-            # Spread over the second, so that boxes started together do not stay in step.
+            # Jitter keeps boxes that started together from sending heartbeats at the same time.
             self.next_heartbeat_at = now + HEARTBEAT_S * self.rng.uniform(0.8, 1.2)
             self.members.forget_silent(now)
             self.send_heartbeats(now)
@@ -163,7 +164,7 @@
                 self.crash_sharing.notify_hubs()
 
     def push_updates(self) -> None:
-        """Send new objects to a few boxes."""
+        """Push new objects to a few random boxes."""
         if not self.unsent_updates:
             return
         entries = [Entry(item.key, item.version, item.spec) for item in self.unsent_updates.values()]
@@ -179,7 +180,7 @@
             self.send(address, Push(self.members.own.name, part))
 
     def send_heartbeats(self, now: float) -> None:
-        """Tell a few boxes that we live, what we hold and whom we know."""
+        """Send a heartbeat to a few random boxes."""
         own = msgspec.structs.replace(self.members.own, heartbeat_number=self.members.own.heartbeat_number + 1)
         self.members.own = own
         chosen = self.members.sample(HEARTBEAT_FANOUT, now, self.rng)
@@ -196,7 +197,7 @@
             self.send(member.info.address, heartbeat)
 
     def members_to_send(self, now: float) -> list[MemberInfo]:
-        """Return a few boxes heard of lately, most of them of the own failure domain."""
+        """Return some live boxes for a heartbeat, most of them in the same failure domain."""
         local: list[MemberInfo] = []
         remote: list[MemberInfo] = []
         for member in self.members.live(now):
@@ -207,14 +208,14 @@
         return chosen + self.rng.sample(remote, min(REMOTE_MEMBERS_SENT, len(remote)))
 
     def send(self, address: str, message: msgspec.Struct) -> None:
-        """Send and count a message."""
+        """Encode, count and send a message."""
         data = encode(message)
         self.counts.sent[type(message).__name__] += 1
         self.counts.sent_bytes += len(data)
         self.transport.send(address, data)
 
     def on_data(self, data: bytes) -> None:
-        """Take a message in; one that makes no sense is counted and dropped."""
+        """Decode and handle a message; count and drop one that cannot be decoded."""
         self.counts.received_bytes += len(data)
         try:
             message = self.decoder.decode(data)
@@ -225,13 +226,13 @@
         self.handlers[type(message)](message)
 
     def on_push(self, message: Push) -> None:
-        """Apply objects from another box."""
+        """Apply pushed objects to the view."""
         self.view.apply_all(
             ViewUpdate(entry.key, entry.version, entry.spec) for entry in message.entries
         )
 
     def on_heartbeat(self, message: Heartbeat) -> None:
-        """Note the sign of life, and start a repair if views stay different."""
+        """Update the member table, and start a repair if the views stay different."""
         now = self.clock.monotonic()
         self.members.on_heard(message.sender, now, direct=True)
         for info in message.members:
@@ -246,14 +247,14 @@
         if self.request_recent(message):
             return
         if message.digest in self.recent_digests or now < self.next_repair_at:
-            # The other box is a little behind, and pushes are on their way.
+            # The other box is slightly behind, and pushes are already on their way to it.
             return
         self.next_repair_at = now + REPAIR_INTERVAL_S
         digests = BucketDigests(self.members.own, self.is_ready(), self.index.digests)
         self.send(message.sender.address, digests)
 
     def request_recent(self, message: Heartbeat) -> bool:
-        """Ask for what the other box took in lately and we lack; return whether there is any."""
+        """Request recent objects that this box lacks; return whether there are any."""
         wanted = [
             key for key, version in message.recent.items() if version > self.view.version(key)
         ]
@@ -262,7 +263,7 @@
         return bool(wanted)
 
     def on_digests(self, message: BucketDigests) -> None:
-        """Answer with the versions held where the other box differs."""
+        """Reply with the versions in differing buckets, as many as fit into a message."""
         buckets = self.index.differing(message.buckets)
         if not buckets:
             self.agreed_with_ready_peer = self.agreed_with_ready_peer or message.ready
@@ -274,7 +275,7 @@
         self.send(message.sender.address, BucketVersions(self.members.own, buckets, versions))
 
     def on_versions(self, message: BucketVersions) -> None:
-        """Send what we hold newer and ask for what we hold older."""
+        """Send objects that are newer here, and request those that are older here."""
         own = self.index.versions_in(message.buckets)
         newer = [key for key, version in own.items() if version > message.versions.get(key, 0)]
         older = [key for key, version in message.versions.items() if version > own.get(key, 0)]
@@ -285,13 +286,13 @@
             self.send(message.sender.address, Want(self.members.own, older[:MAX_WANTED]))
 
     def on_want(self, message: Want) -> None:
-        """Send the objects asked for."""
+        """Send the requested objects."""
         keys = message.keys[:MAX_WANTED]
         self.counts.repaired += len(keys)
         self.send_entries(message.sender.address, self.entries(keys))
 
     def entries(self, keys: Iterable[str]) -> list[Entry]:
-        """Return the objects held under some keys."""
+        """Return the objects under some keys; skip keys that are not in the view."""
         found = []
         for key in keys:
             entry = self.view.entries.get(key)
--- a/packages/core/calicopath_core/membership/members.py
+++ b/packages/core/calicopath_core/membership/members.py
@@ -1,6 +1,7 @@
-"""Keep track of the other boxes: the platform's lagging list, and what is heard of them.
+"""Track the other boxes from the platform's box list, which lags, and from heartbeats.
 
-Nothing safe depends on this table. It only says to whom to talk and who acts as a relay.
+No safety property depends on this table. It only decides which boxes to send messages to and which
+boxes act as relays.
 """
 
 from __future__ import annotations
@@ -15,21 +16,22 @@
     from calicopath_core.membership.messages import MemberInfo
 
 SILENT_AFTER_S = 8.0
-"""A box not heard of for this long, by anybody, counts as failed."""
+"""A box counts as failed if no box has received a heartbeat from it for this long."""
 
 FORGET_AFTER_S = 60.0
 RELAYS_PER_DOMAIN = 2
 MAX_LOCAL_NEIGHBOURS = 24
 MAX_REMOTE_NEIGHBOURS = 16
-"""Boxes of the own and of other failure domains with which this box talks: few enough to keep
-connections open, enough for the whole to hang together whoever fails."""
+"""Boxes in the same and in other failure domains with which this box exchanges messages: few enough
+to keep connections open, enough for the gossip network to stay connected when boxes fail."""
 
 
 class Member:
-    """Hold what is known of one box; `heard_at` is on the monotonic clock, in seconds.
+    """Hold the state of one box.
 
-    `rank` orders boxes for the relay's role; `distance` is the same from both ends of a pair and
-    decides which boxes are neighbours.
+    `heard_at` is the time of the newest heartbeat in monotonic seconds, `None` if there was none.
+    `rank` orders boxes for the relay role. `distance` is equal for both boxes of a pair and decides
+    which boxes are neighbours.
     """
 
     def __init__(self, *, own_name: str, info: MemberInfo, heard_at: float | None, now: float) -> None:
@@ -40,7 +42,7 @@
         self.known_since = now
 
     def is_live(self, now: float) -> bool:
-        """Tell whether the box was heard of lately; a new one gets the benefit of the doubt."""
+        """Return whether a heartbeat arrived lately; without one, the time of listing counts."""
         last = self.known_since if self.heard_at is None else self.heard_at
         return now - last < SILENT_AFTER_S
 
@@ -48,8 +50,9 @@
 class MemberTable:
     """Hold the boxes other than this one.
 
-    `expects_others` stays on once another box was heard of, until the platform lists none: a box
-    that hears nobody then knows that it is cut off, however long that lasts.
+    `expects_others` is set by the first heartbeat of another box and cleared when the platform
+    lists no other box. While it is set, a box that receives no heartbeats knows that it is cut off
+    from the others, also after their entries were dropped.
     """
 
     def __init__(self, *, own: MemberInfo) -> None:
@@ -58,9 +61,9 @@
         self.expects_others = False
 
     def on_listed(self, infos: Iterable[MemberInfo], now: float) -> None:
-        """Take the platform's box list in: new boxes appear, and those gone are forgotten.
+        """Apply the platform's box list: add new boxes and drop those no longer listed.
 
-        The list lags, so a box that is heard of stays although it is not listed.
+        The list lags, so a live box stays even if it is not listed.
         """
         listed = {info.name: info for info in infos if info.name != self.own.name}
         if not listed:
@@ -74,10 +77,11 @@
                 del self.members[name]
 
     def on_heard(self, info: MemberInfo, now: float, *, direct: bool) -> bool:
-        """Note a sign of life and return whether it is newer than what is known.
+        """Apply a heartbeat and return whether it was newer than the known state.
 
-        What a box says itself goes before what is told of it: a box restarted with a clock that
-        is behind would otherwise look older than its former self.
+        `direct` is set if the box itself sent it. Then a changed start time is accepted even if it
+        is lower: a box that restarts with a clock that is behind would otherwise look older than
+        its previous incarnation.
         """
         if info.name == self.own.name:
             return False
@@ -95,32 +99,32 @@
         return True
 
     def live(self, now: float) -> list[Member]:
-        """Return the boxes that are believed to be alive."""
+        """Return the boxes that count as live."""
         return [member for member in self.members.values() if member.is_live(now)]
 
     def heard_within(self, window_s: float, now: float) -> bool:
-        """Tell whether any other box gave a sign of life lately."""
+        """Return whether any other box sent a heartbeat within the last `window_s` seconds."""
         return any(
             member.heard_at is not None and now - member.heard_at < window_s
             for member in self.members.values()
         )
 
     def forget_silent(self, now: float) -> None:
-        """Drop boxes that have been silent for long."""
+        """Drop boxes that have been silent for `FORGET_AFTER_S`."""
         for name, member in list(self.members.items()):
             last = member.known_since if member.heard_at is None else member.heard_at
             if now - last > FORGET_AFTER_S:
                 del self.members[name]
 
     def sample(self, count: int, now: float, rng: random.Random) -> list[Member]:
-        """Return a few live neighbours, most of them of the own failure domain."""
+        """Return up to `count` random live neighbours, most of them in the same failure domain."""
         local, remote = self.neighbours(now)
         remote_count = min(len(remote), max(1, count // 3, count - len(local)))
         local_count = min(len(local), count - remote_count)
         return rng.sample(local, local_count) + rng.sample(remote, remote_count)
 
     def neighbours(self, now: float) -> tuple[list[Member], list[Member]]:
-        """Return the live boxes with which this one talks, of its own domain and of others."""
+        """Return the live neighbours in the same failure domain and in other ones."""
         local: list[Member] = []
         remote: list[Member] = []
         for member in self.live(now):
@@ -131,9 +135,9 @@
         return local[:MAX_LOCAL_NEIGHBOURS], remote[:MAX_REMOTE_NEIGHBOURS]
 
     def is_relay(self, now: float) -> bool:
-        """Tell whether this box ranks among its failure domain's relays.
+        """Return whether this box ranks among the relays of its failure domain.
 
-        Boxes may disagree for a while: then more or fewer of them watch the platform.
+        Boxes may disagree for a while; then more or fewer of them watch the platform.
         """
         own_rank = rank(self.own.name)
         lower_ranked = sum(
@@ -145,5 +149,5 @@
 
 
 def rank(name: str) -> int:
-    """Return the number by which boxes are ordered; the least ones relay."""
+    """Return a hash by which boxes are ordered; those with the lowest ranks are relays."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), 'big')
--- a/packages/core/calicopath_core/membership/messages.py
+++ b/packages/core/calicopath_core/membership/messages.py
@@ -1,6 +1,6 @@
-"""Define what boxes send each other, and encode it.
+"""Define and encode the messages between boxes.
 
-Messages are one-way; an answer is a message too. A lost one is never waited for.
+Messages are one-way, and a reply is a separate message. No box waits for a lost message.
 """
 
 from __future__ import annotations
@@ -22,9 +22,10 @@
 
 
 class News(msgspec.Struct, frozen=True):
-    """Carry what a box has seen and another may lack; each kind of news has its own message.
+    """Carry updates that other boxes may lack; each kind of update has its own subclass.
 
-    `whole` says that this is all the sender shares: a box that knows more of it answers with that.
+    `whole` is set if the message holds everything that the sender shares. A receiver that knows
+    more replies with its own updates.
     """
 
     sender: str
@@ -32,10 +33,10 @@
 
 
 class MemberInfo(msgspec.Struct, frozen=True, array_like=True):
-    """Describe a box to another; `beat` grows with every heartbeat that the box itself sends.
+    """Describe a box; `heartbeat_number` grows with every heartbeat that the box itself sends.
 
-    `started_ms` is the box's own start, in milliseconds since 1970: a box that was restarted under
-    its old name starts its beats again.
+    `started_ms` is the start of the box, in milliseconds since 1970. It tells incarnations apart,
+    because a box restarted under its name counts heartbeats from the beginning again.
     """
 
     name: str
@@ -47,7 +48,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """Carry one object of the configuration; `spec` is empty for a tombstone."""
+    """Carry one configuration object; `spec` is `None` for a tombstone."""
 
     key: str
     version: int
@@ -55,12 +56,12 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag='h'):
-    """Say that a box is alive, what it holds and how fresh that is.
+    """Announce that a box is live, and describe its view and the age of the view.
 
-    `contact_age_s` is the time since the platform was last heard of, by the sender itself or
-    through others. `recent` are the versions of objects that it took in lately, `members` a few
-    boxes that it has heard of lately, `crashes` a digest of what it knows of requests under which
-    endpoints have ended.
+    `digest` covers the whole view. `contact_age_s` is the time since the last contact with the
+    platform, by the sender or by another box; `None` if there was none. `recent` maps keys of
+    objects that the sender applied lately to their versions, `members` are some boxes that it heard
+    from lately, and `crashes` is a digest of its crash evidence.
     """
 
     sender: MemberInfo
@@ -73,14 +74,14 @@
 
 
 class Push(msgspec.Struct, frozen=True, tag='p'):
-    """Carry objects that the sender has newly taken in, or that the receiver lacks."""
+    """Carry objects that the sender has just applied, or that the receiver lacks."""
 
     sender: str
     entries: list[Entry]
 
 
 class BucketDigests(msgspec.Struct, frozen=True, tag='d'):
-    """Compare what two boxes hold, bucket by bucket; `buckets` has one digest each."""
+    """Start a comparison of two views; `buckets` holds the digest of each bucket."""
 
     sender: MemberInfo
     ready: bool
@@ -88,7 +89,7 @@
 
 
 class BucketVersions(msgspec.Struct, frozen=True, tag='v'):
-    """List the versions that the sender holds in the buckets named."""
+    """List the versions that the sender holds in some buckets."""
 
     sender: MemberInfo
     buckets: list[int]
@@ -96,7 +97,7 @@
 
 
 class Want(msgspec.Struct, frozen=True, tag='w'):
-    """Ask for objects."""
+    """Request objects by key."""
 
     sender: MemberInfo
     keys: list[str]
@@ -106,19 +107,19 @@
 
 
 def encode(message: msgspec.Struct) -> bytes:
-    """Return the bytes of a message."""
+    """Encode a message."""
     return ENCODER.encode(message)
 
 
 class MessageDecoder:
-    """Decode messages of the types that somebody handles."""
+    """Decode messages of the types that have a handler."""
 
     def __init__(self, *, types: Iterable[type[msgspec.Struct]]) -> None:
         message_type = functools.reduce(operator.or_, types)
         self.decoder = msgspec.msgpack.Decoder(message_type)
 
     def decode(self, data: bytes) -> msgspec.Struct:
-        """Return the message in some bytes; raise `BadMessage`."""
+        """Decode a message; raise `BadMessage` if that fails."""
         try:
             message: msgspec.Struct = self.decoder.decode(data)
         except msgspec.MsgspecError as error:
--- a/packages/core/calicopath_core/membership/roles.py
+++ b/packages/core/calicopath_core/membership/roles.py
@@ -1,7 +1,8 @@
 """Decide how a box follows the platform: as a relay, or through its peers.
 
-Relays watch the platform; every other box only hears from peers, so that the platform's calls do
-not grow with the fleet. A box that hears of no contact with the platform reads it by itself.
+Relays watch the platform, and all other boxes get updates from their peers, so the number of
+platform calls does not grow with the fleet. A box that learns of no contact with the platform reads
+the platform directly.
 """
 
 from __future__ import annotations
@@ -24,24 +25,24 @@
     from calicopath_core.store.feed import StoreFeed
 
 BOX_LIST_INTERVAL_S = 10.0
-"""How often a relay reads the box list; the others learn of boxes from peers."""
+"""How often a relay reads the box list; other boxes learn of boxes from their peers."""
 
 BOX_ENTRY_BYTES = 120
 MAX_LIST_BYTES_PER_S = 4000
-"""What reading the box list may cost; a long list is read less often."""
+"""Limit on the traffic for reading the box list; a long list is read less often."""
 
 STALE_CONTACT_S = 3.0
-"""A box that has heard of no contact with the platform for this long reads it by itself."""
+"""A box reads the platform directly if no box has had contact with the platform for this long."""
 
 DIRECT_READ_INTERVAL_S = 2.0
 ALONE_LIST_INTERVAL_S = 1.0
-"""How often a box that knows of no other reads the box list."""
+"""How often a box that knows no live peer reads the box list."""
 
 ROLE_INTERVAL_S = 1.0
 
 
 class RelayController:
-    """Run the parts of membership, and the store feed while this box relays."""
+    """Run gossip and box listing, and the store feed while this box is a relay."""
 
     def __init__(
         self,
@@ -63,11 +64,11 @@
 
     @property
     def is_relaying(self) -> bool:
-        """Tell whether this box watches the platform."""
+        """Return whether this box watches the platform."""
         return self.relay_task is not None
 
     async def run(self) -> None:
-        """Keep up with peers and platform until cancelled."""
+        """Follow the peers and the platform until cancelled."""
         try:
             async with asyncio.TaskGroup() as group:
                 group.create_task(self.run_gossip())
@@ -78,13 +79,13 @@
             await self.stop_relaying()
 
     async def run_gossip(self) -> None:
-        """Send what is due."""
+        """Run the gossip ticks every `PUSH_DELAY_S`."""
         while True:
             self.gossip.tick()
             await asyncio.sleep(PUSH_DELAY_S)
 
     async def run_role_choice(self) -> None:
-        """Take up or give up the relay's role, as this box ranks among the live ones."""
+        """Start or stop relaying according to the rank of this box among the live boxes."""
         while True:
             if self.gossip.members.is_relay(self.clock.monotonic()):
                 self.start_relaying()
@@ -93,7 +94,7 @@
             await asyncio.sleep(ROLE_INTERVAL_S)
 
     def start_relaying(self) -> None:
-        """Watch the platform."""
+        """Start watching the platform unless this box does already."""
         if self.relay_task is None or self.relay_task.done():
             self.relay_task = asyncio.get_running_loop().create_task(self.feed.run())
 
@@ -103,12 +104,12 @@
         if relay_task is None:
             return
         relay_task.cancel()
-        # The relaying task's own cancellation is a result here; ours must not be swallowed, or
-        # this box would never stop.
+        # `gather` returns the cancellation of the relay task as a result. Suppressing
+        # `CancelledError` would also swallow a cancellation of this task, which then never stops.
         await asyncio.gather(relay_task, return_exceptions=True)
 
     async def run_box_listing(self) -> None:
-        """Read the box list at the start, and from time to time while relaying or alone."""
+        """Read the box list regularly while this box is a relay or knows no live peer."""
         interval_s = BOX_LIST_INTERVAL_S
         while True:
             alone = not self.gossip.members.live(self.clock.monotonic())
@@ -121,19 +122,19 @@
             await asyncio.sleep(ALONE_LIST_INTERVAL_S if alone else interval_s * self.rng.uniform(0.5, 1.0))
 
     async def run_direct_reads(self) -> None:
-        """Read the platform directly while no relay's contact reaches us."""
+        """Read the platform directly while no recent contact of any relay is known."""
         while True:
             age = self.gossip.contact_age_s()
             if not self.is_relaying and (age is None or age > STALE_CONTACT_S):
                 self.direct_reads += 1
                 with contextlib.suppress(StoreError):
                     await self.feed.relist()
-            # Boxes that lose their relays together must not read together.
+            # Jitter keeps boxes that lose their relays together from reading at the same time.
             await asyncio.sleep(DIRECT_READ_INTERVAL_S * self.rng.uniform(0.5, 1.5))
 
 
 def member_infos(records: Iterable[BoxRecord]) -> list[MemberInfo]:
-    """Return what the box list says of boxes, older than anything heard from themselves."""
+    """Convert the box list; start times of 0 make it older than any heartbeat."""
     return [
         MemberInfo(record.name, record.failure_domain, record.peer_address, 0, 0, record.leaving)
         for record in records
--- a/packages/core/calicopath_core/membership/sharing.py
+++ b/packages/core/calicopath_core/membership/sharing.py
@@ -1,8 +1,8 @@
-"""Have every box know what one has seen, as long as it matters.
+"""Share what one box observes with every box.
 
-A box tells the hubs, boxes that all others ping, at once; the digests in pings show who lacks what,
-so that a lost message, a box that starts and a box that was cut off are healed by the next ping or
-two.
+A box sends updates at once to the hubs, which are boxes that all others ping. The digests in pings
+show which boxes lack updates, so boxes that lost a message, have just started or were partitioned
+catch up with the next ping or two.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
     from calicopath_core.clock import Clock
 
 REPEAT_S = 1.0
-"""How long own news are repeated with each ping: a message may be lost with its connection."""
+"""How long a box repeats its updates with each ping, as a message may be lost with a connection."""
 
 MIN_FULL_SEND_INTERVAL_S = 0.4
-"""How often one box is sent everything at most: 300 boxes that lack 2 KB cost a hub 1.5 MB a second
-while they lack it, and nothing at other times."""
+"""Shortest interval between two full messages to one box: 300 boxes that lack 2 KB cost a hub 1.5
+MB per second until they have it."""
 
 
 Key = TypeVar('Key')
@@ -32,9 +32,10 @@
 
 
 class NewsSharing(ABC, Generic[Key, SomeNews]):
-    """Exchange what boxes hold by keys; `hubs` are the addresses of those that hear of it first.
+    """Exchange updates that boxes hold by key.
 
-    Where there are no boxes that all others ping, each `forwards` what is news to it.
+    `hubs` returns the addresses of the boxes that get updates first. Where no boxes are pinged by
+    all others, `forwards` makes each box pass on updates that are new to it.
     """
 
     def __init__(
@@ -58,37 +59,37 @@
 
     @abstractmethod
     def digest(self) -> str:
-        """Return what is alike at boxes that share the same."""
+        """Return a digest that is equal on boxes that share the same updates."""
 
     @abstractmethod
     def holds(self, key: Key) -> bool:
-        """Tell whether something is still known of a key."""
+        """Return whether there is still anything to share under a key."""
 
     @abstractmethod
     def news_for(self, keys: Iterable[Key]) -> SomeNews:
-        """Return a message with what is known of some keys."""
+        """Return a message with the updates under some keys."""
 
     @abstractmethod
     def full_news(self, *, whole: bool) -> SomeNews:
-        """Return a message with all that is shared."""
+        """Return a message with all shared updates; `whole` is set in it if requested."""
 
     @abstractmethod
     def merge(self, news: SomeNews) -> list[Key]:
-        """Join what another box has told; return of which keys that was news."""
+        """Merge updates of another box; return the keys for which they were new."""
 
     @abstractmethod
     def knows_more_than(self, news: SomeNews) -> bool:
-        """Tell whether this box shares something that is not in another's news."""
+        """Return whether this box shares updates that a received message lacks."""
 
     def report(self, keys: Iterable[Key]) -> None:
-        """Tell the hubs at once, and repeat it for a while."""
+        """Send updates to the hubs at once, and repeat them for `repeat_s` seconds."""
         until = self.clock.monotonic() + self.repeat_s
         for key in keys:
             self.repeat_until[key] = until
         self.notify_hubs()
 
     def notify_hubs(self) -> None:
-        """Tell the hubs what is new here."""
+        """Send the updates that are still being repeated to the hubs."""
         now = self.clock.monotonic()
         self.repeat_until = {key: at for key, at in self.repeat_until.items() if at > now and self.holds(key)}
         if not self.repeat_until:
@@ -99,7 +100,7 @@
                 self.send(address, news)
 
     def on_digest(self, address: str, digest: str) -> None:
-        """Send a box that has pinged what it lacks, if it knows something else."""
+        """Send all updates to a box that has pinged with a different digest."""
         if digest == self.digest():
             return
         now = self.clock.monotonic()
@@ -110,11 +111,11 @@
         self.send_full_news(address)
 
     def send_full_news(self, address: str) -> None:
-        """Send all that is shared."""
+        """Send all shared updates."""
         self.send(address, self.full_news(whole=True))
 
     def on_news(self, news: SomeNews) -> None:
-        """Join what another box has told; answer one that told everything and lacks something."""
+        """Merge a message; reply with all updates if it was full and lacks some of them."""
         keys = self.merge(news)
         if self.forwards and keys:
             self.report(keys)
--- a/packages/core/calicopath_core/membership/transport.py
+++ b/packages/core/calicopath_core/membership/transport.py
@@ -1,4 +1,4 @@
-"""Define how messages travel between boxes."""
+"""Define the transport of messages between boxes."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class PeerTransport(ABC):
-    """Send bytes to other boxes, best effort: a full queue or a dead peer drops them."""
+    """Send messages to other boxes, best effort: a full queue or a dead peer drops them."""
 
     @abstractmethod
     def send(self, address: str, data: bytes) -> None:
-        """Send without waiting."""
+        """Send a message without waiting."""
 
     @abstractmethod
     def listen(self, handler: Callable[[bytes], None]) -> None:
-        """Give every message that comes to `handler`."""
+        """Pass every received message to `handler`."""
 
     @abstractmethod
     def drop_connection(self, address: str) -> None:
-        """Give up the connection to a box: it may be silent. The next message opens another."""
+        """Close the connection to a box, as it may be stale; the next message opens a new one."""
