--- a/packages/core/calicopath_core/claims/tests/claim_case.py
+++ b/packages/core/calicopath_core/claims/tests/claim_case.py
@@ -1,4 +1,4 @@
-"""Make keys and registries for the tests of claims."""
+"""Create keys and registries for the tests of claims."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def key(number: int = 0, made_s: float = WALL_START_S) -> ClaimKey:
-    """Return a parsed key made at some time."""
+    """Return a parsed key created at `made_s`, in seconds since 1970."""
     return parse_key('towpath', 'act', uuid7(made_s, number), made_s)
 
 
@@ -29,14 +29,14 @@
     return ClaimRegistry(local=local, executor=local, new_nonce=lambda: f'{box}{next(numbers)}')
 
 
-def fake_store(registry: ClaimRegistry) -> FakeStore:
-    """Return a registry's link to the store."""
+def link(registry: ClaimRegistry) -> FakeStore:
+    """Return the fake store of a registry."""
     store = registry.local.store
     assert isinstance(store, FakeStore)
     return store
 
 
 def group_value(state: StoreState, claim_key: ClaimKey) -> dict[str, Any]:
-    """Return the store's own copy of a key's group."""
+    """Return the stored value of the group that holds a key."""
     group = GroupId(0, claim_key.time_ms // GroupingConfig().slot_ms)
     return state.objects[group.key].value
--- a/packages/core/calicopath_core/claims/tests/claims_tests.py
+++ b/packages/core/calicopath_core/claims/tests/claims_tests.py
@@ -1,4 +1,4 @@
-"""Test that a key is granted once, whatever the store and the boxes do."""
+"""Test that a key is granted once under faults of the store and of boxes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from calicopath_core.claims.keys import InvalidKey, parse_key
 from calicopath_core.claims.registry import Granted, Taken
-from calicopath_core.claims.tests.claim_case import group_value, key, fake_store, new_registry
+from calicopath_core.claims.tests.claim_case import group_value, key, link, new_registry
 from calicopath_core.store.base import StoreUnavailable
 from testkit.cases import VirtualCase
 from testkit.fake_store import StoreState, WriteFate
@@ -59,7 +59,7 @@
                 state = StoreState()
                 registry = new_registry(state)
                 fates = iter([fate])
-                fake_store(registry).fate = lambda key, fates=fates: next(fates, WriteFate.DONE)  # type: ignore[misc]
+                link(registry).fate = lambda key, fates=fates: next(fates, WriteFate.DONE)  # type: ignore[misc]
                 self.assertIsInstance(await registry.claim(key(), 'body', 2), Granted)
 
         self.run_virtual(scenario())
@@ -87,7 +87,7 @@
             assert isinstance(granted, Granted)
             state.go_back(copy)
             for number in range(others):
-                # Versions are given out again, by writes that do not know of the lost claim.
+                # Writes that do not include the lost claim reuse the version numbers.
                 await other.claim(key(10 + number), 'body', 1)
             self.assertIsInstance(await one.claim(key(2), 'body', 1), Taken)
             self.assertIsInstance(await other.claim(key(2), 'body', 1), Taken)
@@ -134,11 +134,11 @@
                 state.down = True
                 return WriteFate.LOST_AFTER
 
-            fake_store(registry).fate = fate
+            link(registry).fate = fate
             with self.assertRaises(StoreUnavailable):
                 await registry.claim(key(), 'body', 0.5)
             self.assertTrue(group_value(state, key())['claims'])
-            fake_store(registry).fate = lambda key: WriteFate.DONE
+            link(registry).fate = lambda key: WriteFate.DONE
             state.down = False
             await asyncio.sleep(1)
             self.assertFalse(group_value(state, key())['claims'])
@@ -298,7 +298,7 @@
             tasks = []
             for box, number, pause_s, fate in steps:
                 fates = iter([fate])
-                fake_store(boxes[box]).fate = lambda key, fates=fates: next(fates, WriteFate.DONE)  # type: ignore[misc]
+                link(boxes[box]).fate = lambda key, fates=fates: next(fates, WriteFate.DONE)  # type: ignore[misc]
                 tasks.append(asyncio.create_task(attempt(box, number)))
                 await asyncio.sleep(pause_s)
             await asyncio.gather(*tasks)
--- a/packages/core/calicopath_core/claims/tests/forwarding_tests.py
+++ b/packages/core/calicopath_core/claims/tests/forwarding_tests.py
@@ -1,4 +1,4 @@
-"""Test that claims go through the box that owns them, and are granted once without it."""
+"""Test that claims go through the owner of their shard, and are granted once if it fails."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class FakePeers(ShardOwners):
-    """Let one registry's executor own every shard, over a line that may be cut."""
+    """Make one executor the owner of every shard, over a network that may lose messages."""
 
     def __init__(self, *, owner: LocalExecutor) -> None:
         self.owner_executor = owner
@@ -31,11 +31,11 @@
         self.lose_reply = False
 
     def owner_address(self, shard: int) -> str | None:
-        """Name the owner."""
+        """Return the address of the owner."""
         return 'owner'
 
     async def forward(self, address: str, group: GroupId, op: Op) -> OpResult:
-        """Carry the operation out over there, unless the line is cut."""
+        """Execute the operation at the owner; never return if a message is lost."""
         if not self.lose_request:
             result = await self.owner_executor.execute(group, op)
             if not self.lose_reply:
@@ -46,7 +46,7 @@
 
 class Forwarding(VirtualCase):
     def new_boxes(self, state: StoreState, count: int) -> tuple[list[ClaimRegistry], FakePeers]:
-        """Return boxes that all forward to one owner."""
+        """Return registries that all forward to one owner, and the network between them."""
         owner = new_registry(state, 'owner')
         peers = FakePeers(owner=owner.local)
         boxes = []
--- a/packages/core/calicopath_core/crashes/tests/gossip_tests.py
+++ b/packages/core/calicopath_core/crashes/tests/gossip_tests.py
@@ -1,4 +1,4 @@
-"""Test that boxes which gossip all come to know of a request under which endpoints end."""
+"""Test that gossip spreads crash evidence to every box."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def guard_of(box: PeerBox) -> CrashGuard:
-    """Let a box share what it knows, as the daemon does."""
+    """Return a guard that shares crash evidence over a box's gossip, as the daemon sets it up."""
     gossip, rng = box.gossip, random.Random(box.name)
     ledger = new_ledger()
     sharing = CrashSharing(
@@ -37,7 +37,7 @@
 
 class Spreading(VirtualCase):
     def check_known(self, *, loss: float, within_s: float) -> None:
-        """Check that thirty boxes know what three of them have seen."""
+        """Check that thirty boxes block a request after three of them each saw one crash."""
 
         async def scenario() -> None:
             fleet = PeerFleet(count=30, domains=3, loss=loss)
--- a/packages/core/calicopath_core/crashes/tests/ledger_tests.py
+++ b/packages/core/calicopath_core/crashes/tests/ledger_tests.py
@@ -1,4 +1,4 @@
-"""Test what is counted of replicas that end under a request, and how boxes' knowledge is joined."""
+"""Test how crashes during a request are counted, and how the evidence of boxes is merged."""
 
 from __future__ import annotations
 
@@ -36,16 +36,16 @@
 RUN_S = 5.0
 
 
-async def ended(ledger: CrashLedger, *replicas: str, key: SuspectKey = KEY) -> None:
-    """Let replicas end under a request, one after the other."""
+async def add_crashes(ledger: CrashLedger, *replicas: str, key: SuspectKey = KEY) -> None:
+    """Record a crash of each replica during a request, far enough apart to count separately."""
     for replica in replicas:
         now = ledger.clock.monotonic()
         ledger.on_crash(key, new_crash_id(replica, ledger.clock.wall()), Crash(now, now - RUN_S))
         await asyncio.sleep(APART_S)
 
 
-def now_end(ledger: CrashLedger) -> Crash:
-    """Return an end of this moment."""
+def crash_now(ledger: CrashLedger) -> Crash:
+    """Return a crash at the current time."""
     return Crash(ledger.clock.monotonic(), ledger.clock.monotonic() - RUN_S)
 
 
@@ -53,9 +53,9 @@
     def test_three_ends_block_and_two_do_not(self) -> None:
         async def scenario() -> None:
             ledger = new_ledger()
-            await ended(ledger, 'r1', 'r2')
+            await add_crashes(ledger, 'r1', 'r2')
             self.assertIsNone(ledger.blocked_s('c.b', ['engine']))
-            await ended(ledger, 'r3')
+            await add_crashes(ledger, 'r3')
             self.assertAlmostEqual(BLOCK_S, ledger.blocked_s('c.b', ['engine']) or 0, delta=1)
 
         self.run_virtual(scenario())
@@ -63,11 +63,11 @@
     def test_one_end_seen_by_several_boxes_counts_once(self) -> None:
         async def scenario() -> None:
             ledger = new_ledger()
-            await ended(ledger, 'r1', 'r1', 'r1')
-            end = next(iter(ledger.suspects[KEY].crashes))
+            await add_crashes(ledger, 'r1', 'r1', 'r1')
+            crash_id = next(iter(ledger.suspects[KEY].crashes))
             for number in range(5):
                 ledger.merge(
-                    [Evidence('c.b', 'engine', {end: (number / 1000, 1.0)}, None)], f'b{number}'
+                    [Evidence('c.b', 'engine', {crash_id: (number / 1000, 1.0)}, None)], f'b{number}'
                 )
             self.assertIsNone(ledger.blocked_s('c.b', ['engine']))
 
@@ -77,10 +77,10 @@
         async def scenario() -> None:
             ledger = new_ledger()
             for _ in range(2):
-                await ended(ledger, 'r1')
+                await add_crashes(ledger, 'r1')
                 await asyncio.sleep(SAME_CRASH_S)
             self.assertIsNone(ledger.blocked_s('c.b', ['engine']))
-            await ended(ledger, 'r1')
+            await add_crashes(ledger, 'r1')
             self.assertIsNotNone(ledger.blocked_s('c.b', ['engine']))
 
         self.run_virtual(scenario())
@@ -103,7 +103,7 @@
         async def scenario() -> None:
             ledger = new_ledger()
             for number in range(6):
-                ledger.on_crash(KEY, f'r{number}', now_end(ledger))
+                ledger.on_crash(KEY, f'r{number}', crash_now(ledger))
             self.assertIsNone(ledger.blocked_s('c.b', ['engine']))
 
         self.run_virtual(scenario())
@@ -122,12 +122,12 @@
     def test_a_run_that_survives_clears_what_came_before_it(self) -> None:
         async def scenario() -> None:
             ledger = new_ledger()
-            await ended(ledger, 'r1', 'r2')
+            await add_crashes(ledger, 'r1', 'r2')
             self.assertTrue(ledger.on_survived(KEY))
             await asyncio.sleep(APART_S)
-            await ended(ledger, 'r3', 'r4')
+            await add_crashes(ledger, 'r3', 'r4')
             self.assertIsNone(ledger.blocked_s('c.b', ['engine']))
-            await ended(ledger, 'r5')
+            await add_crashes(ledger, 'r5')
             self.assertIsNotNone(ledger.blocked_s('c.b', ['engine']))
 
         self.run_virtual(scenario())
@@ -135,7 +135,7 @@
     def test_what_ends_one_service_blocks_requests_that_need_it(self) -> None:
         async def scenario() -> None:
             ledger = new_ledger()
-            await ended(ledger, 'r1', 'r2', 'r3')
+            await add_crashes(ledger, 'r1', 'r2', 'r3')
             self.assertIsNone(ledger.blocked_s('c.b', ['desk']))
             self.assertIsNotNone(ledger.blocked_s('c.b', ['look', 'engine']))
             self.assertIsNone(ledger.blocked_s('other', ['engine']))
@@ -146,12 +146,12 @@
         async def scenario() -> None:
             observer = mock.Mock(spec=CrashObserver)
             ledger = new_ledger(observer)
-            await ended(ledger, 'r1', 'r2', 'r3')
+            await add_crashes(ledger, 'r1', 'r2', 'r3')
             await asyncio.sleep(BLOCK_S)
             ledger.expire()
             self.assertIsNone(ledger.blocked_s('c.b', ['engine']))
             observer.on_unblocked.assert_called_once_with(KEY, 'time')
-            await ended(ledger, 'r4')
+            await add_crashes(ledger, 'r4')
             self.assertAlmostEqual(2 * BLOCK_S, ledger.blocked_s('c.b', ['engine']) or 0, delta=1)
 
         self.run_virtual(scenario())
@@ -159,13 +159,13 @@
     def test_memory_is_bounded_and_what_is_blocked_goes_last(self) -> None:
         async def scenario() -> None:
             ledger = new_ledger()
-            await ended(ledger, 'r1', 'r2', 'r3')
+            await add_crashes(ledger, 'r1', 'r2', 'r3')
             for number in range(2 * MAX_SUSPECTS):
-                ledger.on_crash(SuspectKey(f'c{number}.b', 'engine'), 'r9', now_end(ledger))
+                ledger.on_crash(SuspectKey(f'c{number}.b', 'engine'), 'r9', crash_now(ledger))
             self.assertEqual(MAX_SUSPECTS, len(ledger.suspects))
             self.assertIsNotNone(ledger.blocked_s('c.b', ['engine']))
             for number in range(3 * MAX_CRASHES):
-                ledger.on_crash(KEY, f's{number}', now_end(ledger))
+                ledger.on_crash(KEY, f's{number}', crash_now(ledger))
             self.assertEqual(MAX_CRASHES, len(ledger.suspects[KEY].crashes))
             await asyncio.sleep(CRASH_RETENTION_S + SURVIVAL_RETENTION_S)
             ledger.expire()
@@ -198,9 +198,9 @@
     def test_the_first_end_is_no_news_for_all_and_the_second_is(self) -> None:
         async def scenario() -> None:
             ledger = new_ledger()
-            await ended(ledger, 'r1')
+            await add_crashes(ledger, 'r1')
             self.assertEqual('', ledger.digest())
-            await ended(ledger, 'r2')
+            await add_crashes(ledger, 'r2')
             self.assertNotEqual('', ledger.digest())
 
         self.run_virtual(scenario())
@@ -208,7 +208,7 @@
 
 class Sharing(VirtualCase):
     def pair(self) -> tuple[CrashSharing, CrashSharing, list[tuple[str, CrashNews]]]:
-        """Return two boxes, the second of which is the first one's hub, and what is sent."""
+        """Return a box, its hub, and the list of messages that they send."""
         sent: list[tuple[str, CrashNews]] = []
         boxes = []
         for name in ('a', 'b'):
@@ -229,7 +229,7 @@
     def test_own_news_are_repeated_for_a_while_in_case_they_were_lost(self) -> None:
         async def scenario() -> None:
             box, hub, sent = self.pair()
-            box.ledger.on_crash(KEY, 'r1', now_end(box.ledger))
+            box.ledger.on_crash(KEY, 'r1', crash_now(box.ledger))
             box.report([KEY])
             sent.clear()
             await asyncio.sleep(0.4)
@@ -247,8 +247,8 @@
         async def scenario() -> None:
             box, hub, sent = self.pair()
             other = SuspectKey('d.b', 'engine')
-            await ended(box.ledger, 'r1', 'r2', 'r3')
-            await ended(hub.ledger, 'r4', 'r5', 'r6', key=other)
+            await add_crashes(box.ledger, 'r1', 'r2', 'r3')
+            await add_crashes(hub.ledger, 'r4', 'r5', 'r6', key=other)
             hub.on_digest('a', box.ledger.digest())
             box.on_news(sent.pop()[1])
             hub.on_news(sent.pop()[1])
@@ -260,12 +260,12 @@
         self.run_virtual(scenario())
 
     def test_who_is_told_what_is_kept_tells_all_of_it_to_those_that_wait_for_its_word(self) -> None:
-        # A relay that heard from the first one what is kept told its subscribers that it knew, with
-        # what it had known before: they were ready, and sent on what is blocked. Found by reading:
-        # the message told `complete=True` with no evidence.
+        # Guards against a relay that receives the stored blocks and sends `complete=True` to its
+        # subscribers before it has merged the evidence: they would become ready without the
+        # evidence and dispatch blocked requests.
         async def scenario() -> None:
             first, relay, sent = self.pair()
-            await ended(first.ledger, 'r1', 'r2', 'r3')
+            await add_crashes(first.ledger, 'r1', 'r2', 'r3')
             relay.complete = False
             relay.waiting_boxes = lambda: ['subscriber']
             relay.on_news(first.full_news(whole=True))
@@ -280,7 +280,7 @@
     def test_one_box_is_told_everything_a_few_times_a_second_at_most(self) -> None:
         async def scenario() -> None:
             _, hub, sent = self.pair()
-            await ended(hub.ledger, 'r1', 'r2')
+            await add_crashes(hub.ledger, 'r1', 'r2')
             for _ in range(10):
                 hub.on_digest('a', '')
                 await asyncio.sleep(0.1)
--- a/packages/core/calicopath_core/membership/tests/spreading_tests.py
+++ b/packages/core/calicopath_core/membership/tests/spreading_tests.py
@@ -1,4 +1,4 @@
-"""Test that a change reaches every box within seconds and never reverts, whoever fails."""
+"""Test that a change reaches every box within seconds and never reverts, whichever box fails."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 KEY = 'config/endpoints/drafting-1'
 IN_FORCE_S = 5.0
-"""What the docs promise for every box that reaches the platform or a peer that does."""
+"""Documented limit for every box that reaches the platform or a peer that does."""
 
 
 class Spreading(VirtualCase):
@@ -244,7 +244,7 @@
         run_virtual(scenario())
 
     async def act(self, fleet: PeerFleet, action: str, which: int, number: int) -> None:
-        """Carry out one step of a history."""
+        """Execute one step of a history on box `which`."""
         name = f'box-{which}'
         if action == 'put':
             fleet.put(f'config/endpoints/e-{which % 3}', number)
@@ -267,12 +267,12 @@
             box.store.cut = False
 
     def check_monotonic(self, fleet: PeerFleet, held: dict[tuple[str, str], int]) -> None:
-        """Check that no running box holds an older version than it did."""
+        """Check that no version goes back within one incarnation of a box."""
         for name, box in fleet.boxes.items():
-            life = f'{name}@{box.gossip.members.own.started_ms}'
+            incarnation = f'{name}@{box.gossip.members.own.started_ms}'
             for key, entry in box.view.entries.items():
-                self.assertGreaterEqual(entry.version, held.get((life, key), 0))
-                held[life, key] = entry.version
+                self.assertGreaterEqual(entry.version, held.get((incarnation, key), 0))
+                held[incarnation, key] = entry.version
 
 
 class LargeConfigurations(VirtualCase):
@@ -286,7 +286,7 @@
             await asyncio.sleep(60)
             after = sum(box.roles.direct_reads for box in fleet.boxes.values())
             ages = [box.gossip.contact_age_s() or 0.0 for box in fleet.boxes.values()]
-            # Now and then the contact takes more than three seconds to come round.
+            # Occasionally a contact takes more than `STALE_CONTACT_S` to reach all boxes.
             self.assertLess(after - before, 6)
             self.assertLess(max(ages), IN_FORCE_S)
             await fleet.stop()
