--- a/packages/core/calicopath_core/claims/operations.py
+++ b/packages/core/calicopath_core/claims/operations.py
@@ -15,7 +15,7 @@
 
 
 class ClaimState(enum.StrEnum):
-    """Tell whether the call of a claim has started or was answered, as recorded in the store."""
+    """State of a claim's call, as recorded in the store."""
 
     STARTED = 'started'
     ANSWERED = 'answered'
--- a/packages/core/calicopath_core/crashes/guard.py
+++ b/packages/core/calicopath_core/crashes/guard.py
@@ -23,7 +23,7 @@
 
 
 class CrashGuard:
-    """Check failed attempts of one box for crashes and tell which requests are blocked."""
+    """Check failed attempts on one box for crashes, and report which requests are blocked."""
 
     def __init__(self, *, ledger: CrashLedger, sharing: CrashSharing) -> None:
         self.ledger = ledger
@@ -90,7 +90,7 @@
             self.record_crash(crash_ids, crash)
 
     def record_crash(self, crash_ids: dict[SuspectKey, str], crash: Crash) -> None:
-        """Record a crash during some requests, and share what is new of it."""
+        """Record a crash during some requests, and share the evidence if it is new."""
         changed = [key for key, name in crash_ids.items() if self.ledger.on_crash(key, name, crash)]
         if changed:
             self.sharing.report(changed)
--- a/packages/core/calicopath_core/crashes/sharing.py
+++ b/packages/core/calicopath_core/crashes/sharing.py
@@ -28,8 +28,8 @@
     """Share the evidence of this box's ledger with other boxes.
 
     A box is `complete` once it has the stored blocks, read from the store or received from another
-    complete box; where nothing is stored, all boxes are. `waiting_boxes` returns the addresses of
-    boxes that wait for a complete sender.
+    complete box; in fleets without a stored copy, boxes start complete. `waiting_boxes` returns the
+    addresses of boxes that wait for a complete sender.
     """
 
     def __init__(
