--- a/packages/cli/calicopath_cli/commands/gateways.py
+++ b/packages/cli/calicopath_cli/commands/gateways.py
@@ -49,18 +49,18 @@
     version = max((answer['configuration'] for answer in heard), default=0)
     newest = max(heard, key=lambda answer: float(answer['settings_since']), default=None)
     settings = newest['settings'] if newest is not None else ''
-    zones = newest_zones(heard)
+    failure_domains = newest_failure_domains(heard)
     rows = [
-        GatewayRow(box, answer, behind_of(answer, version, settings, zones))
+        GatewayRow(box, answer, behind_of(answer, version, settings, failure_domains))
         for box, answer in answers.items()
     ]
     return sorted(rows, key=lambda row: (not row.behind, row.box))
 
 
-def newest_zones(heard: list[dict[str, Any]]) -> frozenset[str]:
+def newest_failure_domains(heard: list[dict[str, Any]]) -> frozenset[str]:
     """Return the failure domains taken out, as the box knows that has read the store last."""
     newest = max(heard, key=taken_out_at, default=None)
-    return zones_of(newest) if newest is not None else frozenset()
+    return failure_domains_of(newest) if newest is not None else frozenset()
 
 
 def taken_out_at(answer: dict[str, Any]) -> tuple[int, int]:
@@ -68,13 +68,13 @@
     return (int(answer.get('taken_out_era', 0)), int(answer['taken_out_revision']))
 
 
-def zones_of(answer: dict[str, Any]) -> frozenset[str]:
+def failure_domains_of(answer: dict[str, Any]) -> frozenset[str]:
     """Return the failure domains that a box holds for taken out."""
     return frozenset(item['failure_domain'] for item in answer['taken_out'])
 
 
 def behind_of(
-    answer: dict[str, Any] | None, version: int, settings: str, zones: frozenset[str]
+    answer: dict[str, Any] | None, version: int, settings: str, failure_domains: frozenset[str]
 ) -> str:
     """Return in what a box is behind, nothing if it is not."""
     if answer is None:
@@ -84,7 +84,7 @@
         found.append('settings')
     if answer['configuration'] < version:
         found.append('configuration')
-    if zones_of(answer) != zones:
+    if failure_domains_of(answer) != failure_domains:
         found.append('failure domains taken out')
     return ', '.join(found)
 
--- a/packages/core/calicopath_core/crashes/suspects.py
+++ b/packages/core/calicopath_core/crashes/suspects.py
@@ -2,8 +2,8 @@
 
 A replica that ends takes all that it ran with it, so that most of what is counted is innocent. What
 sets the cause apart is that it is there each time and never survives a run: a request that is
-answered begins anew, and replicas that end at one moment (a zone without power, a fault of many)
-count as one.
+answered begins anew, and replicas that end at one moment (a failure domain without power, a fault
+of many) count as one.
 
 Some callers write a time or a number of their own into each repeat, so that no two bodies, or no
 two paths, are alike. What is alike in them is therefore counted too, by stricter terms: one
--- a/packages/core/calicopath_core/exchanges/balancer.py
+++ b/packages/core/calicopath_core/exchanges/balancer.py
@@ -85,13 +85,13 @@
         *,
         replicas: ReplicaTable,
         gate: CallGate,
-        zone: str,
+        failure_domain: str,
         rng: random.Random,
         cold_rate_of: Callable[[str], float | None] = lambda service: None,
     ) -> None:
         self.replicas = replicas
         self.gate = gate
-        self.zone = zone
+        self.failure_domain = failure_domain
         self.rng = rng
         self.stats: dict[str, ReplicaStats] = {}
         self.cold = ColdShares(rng=rng, rate_of=cold_rate_of)
@@ -138,6 +138,6 @@
         stats = self.of(replica)
         slots = max(1, replica.slots)
         wait = max(0.0, stats.busy(now) + 1 - slots) / slots
-        far = 0.0 if replica.zone == self.zone else FAR_S
+        far = 0.0 if replica.failure_domain == self.failure_domain else FAR_S
         crowd = 0.25 * stats.busy(now) / slots
         return stats.latency_s * (1 + wait + crowd + FAILURE_WEIGHT * stats.failure_rate) + far
--- a/packages/core/calicopath_core/exchanges/context.py
+++ b/packages/core/calicopath_core/exchanges/context.py
@@ -71,7 +71,7 @@
         deployment: Deployment,
         route: Route,
         service: str,
-        tenant: str | None,
+        workspace: str | None,
         priority: int,
         deadline_at: float,
     ) -> None:
@@ -79,8 +79,8 @@
         self.deployment = deployment
         self.route = route
         self.service = service
-        self.tenant = tenant
-        self.content = content_of(exchange, tenant)
+        self.workspace = workspace
+        self.content = content_of(exchange, workspace)
         self.priority = priority
         self.deadline_at = deadline_at
         self.replicas: list[str] = []
@@ -192,4 +192,4 @@
     crashes: CrashGuard
     new_job: Callable[[], str]
     may_serve: Callable[[], bool]
-    zone: str
+    failure_domain: str
--- a/packages/core/calicopath_core/exchanges/executor.py
+++ b/packages/core/calicopath_core/exchanges/executor.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from calicopath_core.exchanges.context import ExchangeContext
     from calicopath_core.exchanges.messages import Exchange, ReplySink
-    from calicopath_core.fleet.deployment import Deployment, Route, Tenant
+    from calicopath_core.fleet.deployment import Deployment, Route, Workspace
 
 
 class ExchangeExecutor:
@@ -63,7 +63,7 @@
         route = deployment.route_for(exchange.host, exchange.path)
         if route is None:
             raise RefusedExchange(STATUS_NOT_FOUND, 'no-route')
-        tenant = tenant_of(deployment, route, exchange)
+        workspace = workspace_of(deployment, route, exchange)
         timeout_s = route.timeout_s
         if exchange.deadline_s is not None:
             timeout_s = min(timeout_s, exchange.deadline_s)
@@ -72,25 +72,25 @@
             deployment=deployment,
             route=route,
             service=service_of(route, exchange),
-            tenant=tenant.name if tenant is not None else None,
-            priority=rank_of(route, tenant),
+            workspace=workspace.name if workspace is not None else None,
+            priority=rank_of(route, workspace),
             deadline_at=exchange.received_at + timeout_s,
         )
 
 
-def rank_of(route: Route, tenant: Tenant | None) -> int:
-    """Return a request's rank, 0 first: the tenant's priority decides, then the route's."""
-    if tenant is None or tenant.priority is None:
+def rank_of(route: Route, workspace: Workspace | None) -> int:
+    """Return a request's rank, 0 first: the workspace's priority decides, then the route's."""
+    if workspace is None or workspace.priority is None:
         return route.priority
-    return tenant.priority * ROUTE_PRIORITIES + route.priority
+    return workspace.priority * ROUTE_PRIORITIES + route.priority
 
 
-def tenant_of(deployment: Deployment, route: Route, exchange: Exchange) -> Tenant | None:
-    """Return the tenant whose key a request carries; raise `RefusedExchange` if it needs one."""
-    tenant = deployment.tenant_for(exchange.key) if exchange.key is not None else None
-    if tenant is None and deployment.has_tenants and not route.anonymous:
+def workspace_of(deployment: Deployment, route: Route, exchange: Exchange) -> Workspace | None:
+    """Return the workspace whose key a request carries; raise `RefusedExchange` if it needs one."""
+    workspace = deployment.workspace_for(exchange.key) if exchange.key is not None else None
+    if workspace is None and deployment.has_workspaces and not route.anonymous:
         raise RefusedExchange(STATUS_UNAUTHORIZED, 'unknown-key')
-    return tenant
+    return workspace
 
 
 def service_of(route: Route, exchange: Exchange) -> str:
--- a/packages/core/calicopath_core/exchanges/messages.py
+++ b/packages/core/calicopath_core/exchanges/messages.py
@@ -49,7 +49,7 @@
     exchange: Exchange
     replica: Replica
     deadline_s: float
-    tenant: str | None
+    workspace: str | None
     priority: int
     inputs: tuple[str, ...]
     last_event_id: str | None
--- a/packages/core/calicopath_core/exchanges/plain.py
+++ b/packages/core/calicopath_core/exchanges/plain.py
@@ -220,7 +220,7 @@
         exchange=ticket.exchange,
         replica=replica,
         deadline_s=ticket.deadline_at - now,
-        tenant=ticket.tenant,
+        workspace=ticket.workspace,
         priority=ticket.priority,
         inputs=(),
         last_event_id=ticket.exchange.last_event_id,
--- a/packages/core/calicopath_core/exchanges/tests/cold_tests.py
+++ b/packages/core/calicopath_core/exchanges/tests/cold_tests.py
@@ -29,7 +29,7 @@
     return Balancer(
         replicas=replicas,
         gate=new_gate(replicas),
-        zone='a',
+        failure_domain='a',
         rng=random.Random(seed),
         cold_rate_of=lambda service: rate,
     )
--- a/packages/core/calicopath_core/exchanges/tests/parts_tests.py
+++ b/packages/core/calicopath_core/exchanges/tests/parts_tests.py
@@ -65,7 +65,7 @@
         self.far = Replica('far', 's', 'b:1', 'there', 4, False)
         self.table.replace([self.near, self.far], 0.0)
         self.balancer = Balancer(
-            replicas=self.table, gate=new_gate(self.table), zone='here', rng=random.Random(1)
+            replicas=self.table, gate=new_gate(self.table), failure_domain='here', rng=random.Random(1)
         )
 
     def chosen(self, now: float = 0.0) -> str:
--- a/packages/core/calicopath_core/fleet/deployment.py
+++ b/packages/core/calicopath_core/fleet/deployment.py
@@ -1,4 +1,4 @@
-"""Define a deployment's configuration: routes, services, tenants and limits, under one version."""
+"""Define one version of a configuration: its routes, services, workspaces and limits."""
 
 from __future__ import annotations
 
@@ -108,8 +108,8 @@
     idle_s: float
 
 
-class Tenant(NamedTuple):
-    """Describe a tenant; its priority goes before a route's."""
+class Workspace(NamedTuple):
+    """Describe a workspace; its priority goes before a route's."""
 
     name: str
     keys: tuple[str, ...]
@@ -129,16 +129,16 @@
         version: int,
         routes: tuple[Route, ...],
         services: tuple[ServiceSpec, ...],
-        tenants: tuple[Tenant, ...],
+        workspaces: tuple[Workspace, ...],
         limits: ClientLimits = DEFAULT_LIMITS,
     ) -> None:
         self.version = version
         self.routes = routes
-        self.tenants = tenants
+        self.workspaces = workspaces
         self.services = {service.name: service for service in services}
         self.limits = limits
-        self.has_tenants = bool(tenants)
-        self.tenants_by_key = {key: tenant for tenant in tenants for key in tenant.keys}
+        self.has_workspaces = bool(workspaces)
+        self.workspaces_by_key = {key: workspace for workspace in workspaces for key in workspace.keys}
         self.routes_by_prefix = {(route.host, route.prefix): route for route in routes}
 
     def route_for(self, host: str, path: str) -> Route | None:
@@ -151,9 +151,9 @@
             end = path.rfind('/', 0, end)
         return None
 
-    def tenant_for(self, key: str) -> Tenant | None:
-        """Return the tenant that holds a key."""
-        return self.tenants_by_key.get(key)
+    def workspace_for(self, key: str) -> Workspace | None:
+        """Return the workspace that holds a key."""
+        return self.workspaces_by_key.get(key)
 
 
 class DeploymentView:
--- a/packages/core/calicopath_core/fleet/evacuations.py
+++ b/packages/core/calicopath_core/fleet/evacuations.py
@@ -1,7 +1,7 @@
-"""Keep which zones operators have taken out: no new work goes to the replicas there.
+"""Keep which failure domains operators have taken out: no new work goes to the replicas there.
 
-Answers a zone that is about to be worked on, or that is suspect: what is at work there ends, and
-nothing more is sent until the zone is given back.
+Answers a failure domain that is about to be worked on, or that is suspect: what is at work there
+ends, and nothing more is sent until the failure domain is given back.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 
 class Evacuation(NamedTuple):
-    """Say that a zone is taken out; `revision` is the store's at which the record was written."""
+    """Say that a failure domain is taken out; `revision` is the store's when it was written."""
 
-    zone: str
+    failure_domain: str
     revision: int
 
 
@@ -27,10 +27,10 @@
 
 
 class Evacuations:
-    """Hold the zones that are taken out, as far as this box knows.
+    """Hold the failure domains that are taken out, as far as this box knows.
 
-    `on_taken_out` and `on_given_back` learn of each change once; a name that is no zone's is held
-    like any other and stops nothing.
+    `on_taken_out` and `on_given_back` learn of each change once; a name that is no failure domain's
+    is held like any other and stops nothing.
     """
 
     def __init__(
@@ -49,16 +49,16 @@
 
     def replace(self, evacuations: Iterable[Evacuation]) -> None:
         """Take in every evacuation there is."""
-        listed = {item.zone: item for item in evacuations}
-        changes = [(zone, None) for zone in self.held if zone not in listed]
+        listed = {item.failure_domain: item for item in evacuations}
+        changes = [(failure_domain, None) for failure_domain in self.held if failure_domain not in listed]
         self.change([*changes, *listed.items()])
 
     def change(self, changes: Iterable[tuple[str, Evacuation | None]]) -> None:
-        """Take in the newest state of some zones: taken out, or nothing if given back."""
+        """Take in the newest state of some failure domains: taken out, or nothing if given back."""
         before = frozenset(self.held)
-        for zone, evacuation in changes:
+        for failure_domain, evacuation in changes:
             if evacuation is None:
-                self.give_back(zone)
+                self.give_back(failure_domain)
             else:
                 self.take_out(evacuation)
         after = frozenset(self.held)
@@ -66,16 +66,16 @@
             self.on_changed(after)
 
     def take_out(self, evacuation: Evacuation) -> None:
-        """Hold a zone for taken out; one written anew keeps the time since which it is."""
-        known = self.held.get(evacuation.zone)
+        """Hold a failure domain for taken out; one written anew keeps its time."""
+        known = self.held.get(evacuation.failure_domain)
         if known is not None:
-            self.held[evacuation.zone] = known._replace(evacuation=evacuation)
+            self.held[evacuation.failure_domain] = known._replace(evacuation=evacuation)
             return
-        self.held[evacuation.zone] = HeldEvacuation(evacuation, self.wall())
+        self.held[evacuation.failure_domain] = HeldEvacuation(evacuation, self.wall())
         self.on_taken_out(evacuation)
 
-    def give_back(self, zone: str) -> None:
-        """Hold a zone for given back."""
-        known = self.held.pop(zone, None)
+    def give_back(self, failure_domain: str) -> None:
+        """Hold a failure domain for given back."""
+        known = self.held.pop(failure_domain, None)
         if known is not None:
             self.on_given_back(known)
--- a/packages/core/calicopath_core/fleet/leaving_sharing.py
+++ b/packages/core/calicopath_core/fleet/leaving_sharing.py
@@ -16,8 +16,8 @@
     from calicopath_core.fleet.leaving import LeavingReplicas
 
 MAX_WORDS_TOLD = 200
-"""Words told in one message, the latest ones: 6 KB. A whole zone that leaves while the store is
-away is more; what is left over each box hears from the replicas themselves."""
+"""Words told in one message, the latest ones: 6 KB. A whole failure domain that leaves while the
+store is away is more; what is left over each box hears from the replicas themselves."""
 
 
 class LeavingWord(msgspec.Struct, frozen=True, array_like=True):
--- a/packages/core/calicopath_core/fleet/relay_messages.py
+++ b/packages/core/calicopath_core/fleet/relay_messages.py
@@ -13,7 +13,7 @@
 
 # msgspec reads these annotations when the program runs.
 from calicopath_core.fleet.contact import StoreContact
-from calicopath_core.fleet.deployment import ClientLimits, Deployment, Route, ServiceSpec, Tenant
+from calicopath_core.fleet.deployment import ClientLimits, Deployment, Route, ServiceSpec, Workspace
 from calicopath_core.fleet.evacuations import Evacuation
 from calicopath_core.fleet.positions import Position
 from calicopath_core.fleet.replicas import Replica
@@ -63,7 +63,7 @@
     version: int
     routes: tuple[Route, ...]
     services: tuple[ServiceSpec, ...]
-    tenants: tuple[Tenant, ...]
+    workspaces: tuple[Workspace, ...]
     limits: ClientLimits
 
 
@@ -85,7 +85,7 @@
     if isinstance(record, Deployment):
         services = tuple(record.services.values())
         return DeploymentFields(
-            record.version, record.routes, services, record.tenants, record.limits
+            record.version, record.routes, services, record.workspaces, record.limits
         )
     return record
 
--- a/packages/core/calicopath_core/fleet/relays.py
+++ b/packages/core/calicopath_core/fleet/relays.py
@@ -113,7 +113,7 @@
         """Take in which boxes are relays."""
         self.relays = relays
         others = [box for box in self.relays if box.name != self.own.name]
-        others.sort(key=lambda box: (box.zone != self.own.zone, draw(self.own.name, box.name)))
+        others.sort(key=lambda box: (box.failure_domain != self.own.failure_domain, draw(self.own.name, box.name)))
         self.candidates = [box.address for box in others]
         self.sources = {
             address: self.sources.get(address) or Source() for address in self.candidates
@@ -172,7 +172,8 @@
 
 
 def choose_relays(boxes: Iterable[BoxAddress]) -> list[BoxAddress]:
-    """Return the relays among some boxes: the oldest, of different zones first, small ones last.
+    """Return the relays among some boxes: the oldest, of different failure domains first, small
+    ones last.
 
     Those that may schedule come last among their like: of 195 boxes a scheduler answers 975 pings a
     second, a relay 325 subscriptions.
@@ -180,11 +181,11 @@
     oldest = sorted(boxes, key=lambda box: (box.small, box.order, box.name))
     ranked = oldest[CANDIDATES:] + oldest[:CANDIDATES]
     wanted = max(LEAST_RELAYS, math.ceil(len(ranked) / BOXES_A_RELAY))
-    zones: dict[str, int] = {}
+    failure_domains: dict[str, int] = {}
     places = []
     for box in ranked:
-        place = zones.get(box.zone, 0)
-        zones[box.zone] = place + 1
+        place = failure_domains.get(box.failure_domain, 0)
+        failure_domains[box.failure_domain] = place + 1
         places.append((box.small, place))
     order = sorted(range(len(ranked)), key=lambda number: (*places[number], number))
     return [ranked[number] for number in order[:wanted]]
--- a/packages/core/calicopath_core/fleet/replicas.py
+++ b/packages/core/calicopath_core/fleet/replicas.py
@@ -28,7 +28,7 @@
     id: str
     service: str
     address: str
-    zone: str
+    failure_domain: str
     slots: int
     draining: bool
     cold: bool = False
@@ -155,10 +155,10 @@
         for listener in self.listeners:
             listener()
 
-    def set_evacuated(self, zones: frozenset[str]) -> None:
-        """Take in which zones are taken out: their replicas get no new work, from any caller."""
-        if zones != self.evacuated:
-            self.evacuated = zones
+    def set_evacuated(self, failure_domains: frozenset[str]) -> None:
+        """Take in which failure domains are taken out: their replicas get no new work."""
+        if failure_domains != self.evacuated:
+            self.evacuated = failure_domains
             self.changed()
 
     def leaves(self, replica: Replica) -> bool:
@@ -180,7 +180,7 @@
             return Bar.GONE
         if found.draining:
             return Bar.DRAINING
-        if found.zone in self.evacuated:
+        if found.failure_domain in self.evacuated:
             return Bar.TAKEN_OUT
         # A replica's own answers tell that it leaves while the store is away, up to 15 s before
         # its entry does; an entry that says `ready` does not take that back.
--- a/packages/core/calicopath_core/fleet/restoring.py
+++ b/packages/core/calicopath_core/fleet/restoring.py
@@ -5,8 +5,8 @@
 seconds. Until then what this box knew of before goes on holding:
 
 - what it knew to be gone is not back, unless it is written anew or outlasts a dead writer's entry;
-- boxes and zones taken out that the list lacks are kept for a while. Replicas that it lacks are
-  doubted as after an outage, by their table.
+- boxes and failure domains taken out that the list lacks are kept for a while. Replicas that it
+  lacks are doubted as after an outage, by their table.
 """
 
 from __future__ import annotations
@@ -181,5 +181,5 @@
         return listed.born <= gone.born
     if isinstance(gone, BoxAddress) and isinstance(listed, BoxAddress):
         return listed.life == gone.life
-    # The revision at which a zone was taken out tells one time from another.
+    # The revision at which a failure domain was taken out tells one time from another.
     return isinstance(gone, Evacuation) and gone == listed
--- a/packages/core/calicopath_core/fleet/tests/evacuations_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/evacuations_tests.py
@@ -1,4 +1,4 @@
-"""Test what a box holds of zones that are taken out."""
+"""Test what a box holds of failure domains that are taken out."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
         self.now = 100.0
         self.told: list[str] = []
         self.table = ReplicaTable()
-        for zone in 'ab':
-            self.table.put(Replica(f'r-{zone}', 's', f'{zone}:1', zone, 1, False))
+        for failure_domain in 'ab':
+            self.table.put(Replica(f'r-{failure_domain}', 's', f'{failure_domain}:1', failure_domain, 1, False))
         self.evacuations = Evacuations(
             wall=lambda: self.now,
-            on_taken_out=lambda item: self.told.append(f'out {item.zone}'),
-            on_given_back=lambda held: self.told.append(f'back {held.evacuation.zone}'),
+            on_taken_out=lambda item: self.told.append(f'out {item.failure_domain}'),
+            on_given_back=lambda held: self.told.append(f'back {held.evacuation.failure_domain}'),
             on_changed=self.table.set_evacuated,
         )
 
--- a/packages/core/calicopath_core/fleet/tests/lives_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/lives_tests.py
@@ -24,7 +24,7 @@
         super().setUp()
         self.table = ReplicaTable()
         self.balancer = Balancer(
-            replicas=self.table, gate=new_gate(self.table), zone='north', rng=random.Random(1)
+            replicas=self.table, gate=new_gate(self.table), failure_domain='north', rng=random.Random(1)
         )
         self.board = EngineBoard(slots=2, kv_tokens=10_000)
         self.queue = StageQueue(service='engine', spec=SPEC)
--- a/packages/core/calicopath_core/fleet/tests/relays_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/relays_tests.py
@@ -23,9 +23,9 @@
 from testkit.gateway_world import deployment, replicas
 
 
-def box(number: int, zone: str = 'a', **changes: Any) -> BoxAddress:
+def box(number: int, failure_domain: str = 'a', **changes: Any) -> BoxAddress:
     """Return a box whose record is as old as its number says."""
-    return BoxAddress(f'b{number}', f'b{number}:7', zone, f'life-{number}', number)._replace(
+    return BoxAddress(f'b{number}', f'b{number}:7', failure_domain, f'life-{number}', number)._replace(
         **changes
     )
 
--- a/packages/core/calicopath_core/scheduling/election.py
+++ b/packages/core/calicopath_core/scheduling/election.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from calicopath_core.fleet.contact import STEADY, UNKNOWN
-from calicopath_core.scheduling.groups import GroupCount, ZoneGroups
+from calicopath_core.scheduling.groups import GroupCount, FailureDomainGroups
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
@@ -67,7 +67,7 @@
 
     name: str
     address: str
-    zone: str
+    failure_domain: str
     life: str
     order: int = 0
     small: bool = False
@@ -153,7 +153,7 @@
         self.ranked: list[str] = [own.name]
         self.ranked_all: list[str] = [own.name]
         self.count = GroupCount()
-        self.zone_groups = ZoneGroups(zones=[own.zone], groups=1)
+        self.failure_domain_groups = FailureDomainGroups(failure_domains=[own.failure_domain], groups=1)
         self.group = 0
         self.lead_pinged_at = -math.inf
         self.sequence = 0
@@ -176,9 +176,9 @@
     def regroup(self) -> None:
         """Work the groups out from the boxes listed and the count in force."""
         boxes = [self.own, *(item.box for item in self.candidates.values())]
-        zones = (box.zone for box in boxes)
-        self.zone_groups = ZoneGroups(zones=zones, groups=self.count.groups)
-        assigned = {box.name: self.zone_groups.group_of(box.name, box.zone) for box in boxes}
+        failure_domains = (box.failure_domain for box in boxes)
+        self.failure_domain_groups = FailureDomainGroups(failure_domains=failure_domains, groups=self.count.groups)
+        assigned = {box.name: self.failure_domain_groups.group_of(box.name, box.failure_domain) for box in boxes}
         self.group = assigned[self.own.name]
         self.ranked_all = sorted(assigned, key=self.rank)
         self.ranked = [name for name in self.ranked_all if assigned[name] == self.group]
@@ -330,4 +330,4 @@
 
     def share_of(self, replicas: list[Replica]) -> list[Replica]:
         """Return those of a service's replicas that this box's group calls; all if it has none."""
-        return self.zone_groups.share_of(replicas, self.group)
+        return self.failure_domain_groups.share_of(replicas, self.group)
--- a/packages/core/calicopath_core/scheduling/engine_queue.py
+++ b/packages/core/calicopath_core/scheduling/engine_queue.py
@@ -1,8 +1,8 @@
 """Hold the jobs whose stages are done and that wait for a place at an engine.
 
-Answers a burst, and a zone of engines that is lost or comes back cold: for a moment every engine is
-at its bound. What the stages have made is not thrown away for that; the first place that comes goes
-to the job that can make most of it.
+Answers a burst, and a failure domain of engines that is lost or comes back cold: for a moment every
+engine is at its bound. What the stages have made is not thrown away for that; the first place that
+comes goes to the job that can make most of it.
 """
 
 from __future__ import annotations
--- a/packages/core/calicopath_core/scheduling/engines.py
+++ b/packages/core/calicopath_core/scheduling/engines.py
@@ -27,12 +27,13 @@
 many streams seemed to have no time: the mean worth of days with faults was 0.03 lower."""
 
 CROSSING_S_A_BYTE = 0.1 / 1_000_000
-"""What moving a result between zones counts as: 100 ms a megabyte. Mean worth is the same to within
-0.01 from 40 to 150 ms."""
+"""What moving a result between failure domains counts as: 100 ms a megabyte. Mean worth is the same
+to within 0.01 from 40 to 150 ms."""
 
 REREAD_S_A_TOKEN = 0.15 / 1000
 """What reading a shared prompt part again counts as that another engine keeps: the users price a
-thousand tokens like 3.6 MB between zones. It leads the choice only while there is time for it."""
+thousand tokens like 3.6 MB between failure domains. It leads the choice only while there is time
+for it."""
 
 KEPT_S = 9.0
 """How long after its last use an engine is believed to keep a part; the users price what is read
@@ -195,8 +196,9 @@
     def set_replicas(self, usable: Iterable[Replica], alive: Container[str] = ()) -> None:
         """Take in which engines may be chosen; of those that are only `alive` what is known stays.
 
-        An engine of a zone that is taken out still runs streams and keeps prompts: when the zone is
-        given back both count, or its first jobs would go where most is at work.
+        An engine of a failure domain that is taken out still runs streams and keeps prompts: when
+        the failure domain is given back both count, or its first jobs would go where most is at
+        work.
         """
         listed = {replica.id: replica for replica in usable}
         self.known = {name: item for name, item in self.known.items() if name in alive}
@@ -297,8 +299,8 @@
         self, engine: Engine, parts: PartKeys, inputs: list[Result], kept: set[str], now: float
     ) -> float:
         """Return what else a job costs on an engine: results moved and parts read again."""
-        zone = engine.replica.zone
-        crossing = sum(item.size for item in inputs if item.zone != zone)
+        failure_domain = engine.replica.failure_domain
+        crossing = sum(item.size for item in inputs if item.failure_domain != failure_domain)
         again = sum(
             tokens for key, tokens in parts.shared if key in kept and not engine.keeps(key, now)
         )
--- a/packages/core/calicopath_core/scheduling/evenness.py
+++ b/packages/core/calicopath_core/scheduling/evenness.py
@@ -2,8 +2,8 @@
 
 Answers overload of some seconds: what is least urgent would bear nearly all of it. A rank of which
 a much smaller part is in time of late than of the next more urgent one goes with that one, until it
-fares about as well: requests that come then are served in the order of their objectives. A tenant's
-priority is never passed by that.
+fares about as well: requests that come then are served in the order of their objectives. A
+workspace's priority is never passed by that.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
         """Return the rank with which a new job of some rank goes."""
         own = self.shares.get(rank, 1.0)
         found = rank
-        tenant = rank // ROUTE_PRIORITIES
-        alike = [other for other in self.shares if other // ROUTE_PRIORITIES == tenant]
+        workspace = rank // ROUTE_PRIORITIES
+        alike = [other for other in self.shares if other // ROUTE_PRIORITIES == workspace]
         for other in sorted((other for other in alike if other < rank), reverse=True):
             if own >= self.shares[other] - MARGIN:
                 break
--- a/packages/core/calicopath_core/scheduling/freeing.py
+++ b/packages/core/calicopath_core/scheduling/freeing.py
@@ -22,9 +22,9 @@
     """Hold the results to be given up, by maker; `on_freed` learns of those that are gone.
 
     Their room counts as free only then: a call on another connection may overtake the one that
-    gives them up, and would find the room still taken. Nothing is sent to a zone that is taken out:
-    its results run out by themselves, and their room counts as taken until then. Nor is anything
-    sent to a maker that wants nothing from this box, before `back_s`.
+    gives them up, and would find the room still taken. Nothing is sent to a failure domain that is
+    taken out: its results run out by themselves, and their room counts as taken until then. Nor is
+    anything sent to a maker that wants nothing from this box, before `back_s`.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         back_s = 0.0
         for maker, handles in self.waiting.items():
             replica = self.replicas.replicas.get(maker)
-            if replica is None or replica.zone in self.replicas.evacuated:
+            if replica is None or replica.failure_domain in self.replicas.evacuated:
                 continue
             if (left_s := self.back_s(replica)) > 0:
                 later[maker] = handles
--- a/packages/core/calicopath_core/scheduling/groups.py
+++ b/packages/core/calicopath_core/scheduling/groups.py
@@ -1,13 +1,13 @@
 """Split boxes and replicas into groups, each with a scheduler of its own, when one can't bear all.
 
 One view of the fleet is worth much: with two groups of 98 boxes, each seeing half of 11 to 21 stage
-replicas in six zones, twice as many bytes moved between zones and days with faults earned 0.09
-less. So there is one group until the box that schedules finds its own event loop late for seconds,
-and one more each time that happens again. How many there are is told with every sign of life: the
-newest count is in force. Groups are made of whole zones, so that what a job reads stays near; a
-group that has too little of a service calls replicas of the others too. Every box works the groups
-out by itself from the same lists; where two disagree for a moment two schedulers call the same
-replica, which costs efficiency only.
+replicas in six failure domains, twice as many bytes moved between failure domains and days with
+faults earned 0.09 less. So there is one group until the box that schedules finds its own event loop
+late for seconds, and one more each time that happens again. How many there are is told with every
+sign of life: the newest count is in force. Groups are made of whole failure domains, so that what a
+job reads stays near; a group that has too little of a service calls replicas of the others too.
+Every box works the groups out by itself from the same lists; where two disagree for a moment two
+schedulers call the same replica, which costs efficiency only.
 """
 
 from __future__ import annotations
@@ -100,30 +100,31 @@
     return begun is not None and now - begun >= for_s
 
 
-class ZoneGroups:
+class FailureDomainGroups:
     """Say which group names in failure domains belong to.
 
-    With fewer groups than zones each group has whole zones; with more, a zone has several groups.
+    With fewer groups than failure domains each group has whole failure domains; with more, a
+    failure domain has several groups.
     """
 
-    def __init__(self, *, zones: Iterable[str], groups: int) -> None:
+    def __init__(self, *, failure_domains: Iterable[str], groups: int) -> None:
         self.groups = groups
-        self.zones = sorted(set(zones), key=lambda zone: draw(zone, -1))
-        self.numbers = {zone: number for number, zone in enumerate(self.zones)}
+        self.failure_domains = sorted(set(failure_domains), key=lambda failure_domain: draw(failure_domain, -1))
+        self.numbers = {failure_domain: number for number, failure_domain in enumerate(self.failure_domains)}
 
-    def group_of(self, name: str, zone: str) -> int:
-        """Return a group; a zone that no box is in counts with the first."""
-        if self.groups == 1 or not self.zones:
+    def group_of(self, name: str, failure_domain: str) -> int:
+        """Return a group; a failure domain that no box is in counts with the first."""
+        if self.groups == 1 or not self.failure_domains:
             return 0
-        number = self.numbers.get(zone, 0)
-        mine = range(number % self.groups, self.groups, len(self.zones))
+        number = self.numbers.get(failure_domain, 0)
+        mine = range(number % self.groups, self.groups, len(self.failure_domains))
         if number >= self.groups:
             mine = range(number % self.groups, number % self.groups + 1)
         return max(mine, key=functools.partial(draw, name))
 
     def share_of(self, replicas: Sequence[Replica], group: int) -> list[Replica]:
         """Return those of a service's replicas that a group calls."""
-        mine = [item for item in replicas if self.group_of(item.id, item.zone) == group]
+        mine = [item for item in replicas if self.group_of(item.id, item.failure_domain) == group]
         fair = FAIR_SHARE * len(replicas) / self.groups
         return mine if len(mine) >= fair and mine else list(replicas)
 
--- a/packages/core/calicopath_core/scheduling/jobs.py
+++ b/packages/core/calicopath_core/scheduling/jobs.py
@@ -54,13 +54,13 @@
 
     @property
     def home(self) -> str | None:
-        """Return the zone in which the piece should be made: its siblings', else its inputs'."""
-        known = self.job.zones.get(self.phase)
+        """Return the failure domain to make the piece in: its siblings', else its inputs'."""
+        known = self.job.failure_domains.get(self.phase)
         if known is not None:
             return known
         weights: dict[str, int] = {}
         for item in self.job.inputs_of(self.phase):
-            weights[item.zone] = weights.get(item.zone, 0) + item.size
+            weights[item.failure_domain] = weights.get(item.failure_domain, 0) + item.size
         return max(weights, key=weights.__getitem__, default=None)
 
     @property
@@ -69,7 +69,7 @@
         return self.job.uncalled[self.phase] < self.work.pieces
 
     def moved_bytes(self) -> int:
-        """Return what is moved between zones if the piece is made away from home.
+        """Return what is moved between failure domains if the piece is made away from home.
 
         Its inputs are fetched for it alone; its result is fetched by each piece of the phases that
         read it, away from those of its siblings.
@@ -77,7 +77,7 @@
         phases = self.job.place.phases
         inputs = sum(item.size for item in self.job.inputs_of(self.phase))
         readers = sum(other.pieces for other in phases if self.phase in other.needs)
-        siblings = self.work.pieces > 1 and self.phase in self.job.zones
+        siblings = self.work.pieces > 1 and self.phase in self.job.failure_domains
         return inputs + (self.result_bytes * max(1, readers) if siblings else 0)
 
     def is_early(self) -> bool:
@@ -111,13 +111,13 @@
 
 
 class Result:
-    """Hold where a piece's result lies; `zone` is its maker's, `made_at` in monotonic seconds."""
+    """Hold where a piece's result lies; `failure_domain` is its maker's, `made_at` monotonic."""
 
-    def __init__(self, *, handle: str, maker: str, zone: str, size: int, made_at: float) -> None:
+    def __init__(self, *, handle: str, maker: str, failure_domain: str, size: int, made_at: float) -> None:
         self.handle = handle
         self.made_at = made_at
         self.maker = maker
-        self.zone = zone
+        self.failure_domain = failure_domain
         self.size = size
         self.freed = False
 
@@ -154,7 +154,7 @@
         self.tries = 0
         self.tail_s: dict[int, float] = {}
         self.ahead_s: dict[int, float] = {}
-        self.zones: dict[int, str] = {}
+        self.failure_domains: dict[int, str] = {}
         self.uncalled = [phase.pieces for phase in place.phases]
 
     @property
@@ -246,7 +246,7 @@
         item = self.results[phase][index]
         if item is None:
             return None
-        return MadeResult(phase, index, item.handle, item.maker, item.zone, item.size, item.freed)
+        return MadeResult(phase, index, item.handle, item.maker, item.failure_domain, item.size, item.freed)
 
     def all_made(self) -> tuple[MadeResult, ...]:
         """Describe every result for another scheduler."""
@@ -257,9 +257,9 @@
         ]
         return tuple(item for item in found if item is not None)
 
-    def crossing_bytes(self, results: list[Result], zone: str) -> int:
-        """Return how many bytes of results lie in other zones."""
-        return sum(item.size for item in results if item.zone != zone)
+    def crossing_bytes(self, results: list[Result], failure_domain: str) -> int:
+        """Return how many bytes of results lie in other failure domains."""
+        return sum(item.size for item in results if item.failure_domain != failure_domain)
 
     def all_results(self) -> list[Result]:
         """Return every result made so far."""
@@ -288,7 +288,7 @@
         """Forget a phase's results, and those that making them again needs and that are gone."""
         self.started.discard(phase)
         self.pieces.pop(phase, None)
-        self.zones.pop(phase, None)
+        self.failure_domains.pop(phase, None)
         self.results[phase] = [None] * len(self.results[phase])
         self.uncalled[phase] = self.place.phases[phase].pieces
         for need in self.place.phases[phase].needs:
--- a/packages/core/calicopath_core/scheduling/messages.py
+++ b/packages/core/calicopath_core/scheduling/messages.py
@@ -14,7 +14,7 @@
 from calicopath_core.scheduling.groups import GroupCount
 
 ROUTE_PRIORITIES = 10
-"""How jobs rank: so many priorities of routes within each priority of a tenant, 0 first."""
+"""How jobs rank: so many priorities of routes within each priority of a workspace, 0 first."""
 
 
 class PhaseWork(msgspec.Struct, frozen=True, array_like=True):
@@ -57,7 +57,7 @@
 
     job: str
     reply_to: str
-    zone: str
+    failure_domain: str = msgspec.field(name='zone')
     call_id: str
     piece_key: str
     priority: int
@@ -104,7 +104,7 @@
     index: int
     handle: str
     maker: str
-    zone: str
+    failure_domain: str
     size: int
     freed: bool
 
--- a/packages/core/calicopath_core/scheduling/placing.py
+++ b/packages/core/calicopath_core/scheduling/placing.py
@@ -1,8 +1,9 @@
-"""Decide in which zone pieces are made.
+"""Decide in which failure domain pieces are made.
 
-Answers load that is spread unevenly: results moved between zones are the dearest thing the stages
-do, and every piece of a phase fetches all results of the phase before, so a phase of ten pieces in
-another zone moves its inputs ten times. A zone is waited for only while that makes no job late.
+Answers load that is spread unevenly: results moved between failure domains are the dearest thing
+the stages do, and every piece of a phase fetches all results of the phase before, so a phase of ten
+pieces in another failure domain moves its inputs ten times. A failure domain is waited for only
+while that makes no job late.
 """
 
 from __future__ import annotations
@@ -19,14 +20,14 @@
     from calicopath_core.scheduling.stage_replicas import StageReplica
 
 WORTH_WAITING_BYTES = 150_000
-"""A piece that moves less than this is made in any zone: it counts for less than 15 ms of an
-engine's time, by what a byte between zones counts there."""
+"""A piece that moves less than this is made in any failure domain: it counts for less than 15 ms of
+an engine's time, by what a byte between failure domains counts there."""
 
 
 class Home(NamedTuple):
-    """Say in which zone a group of pieces should be made, if any, and how long it may wait."""
+    """Say in which failure domain, if any, pieces should be made, and how long they may wait."""
 
-    zone: str | None
+    failure_domain: str | None
     slack_s: float
 
 
@@ -35,34 +36,35 @@
 
 def home_of(piece: Piece, now: float) -> Home:
     """Return where a piece, and with it its group, should be made."""
-    zone = piece.home
-    if zone is None or piece.job.resumed or piece.moved_bytes() < WORTH_WAITING_BYTES:
+    failure_domain = piece.home
+    if failure_domain is None or piece.job.resumed or piece.moved_bytes() < WORTH_WAITING_BYTES:
         return ANYWHERE
-    return Home(zone, piece.slack_s(now))
+    return Home(failure_domain, piece.slack_s(now))
 
 
-def may_go(home: Home, zone: str, waits: Mapping[str, float]) -> bool:
-    """Tell whether pieces may be made in a zone: at home, or elsewhere if that can't wait.
+def may_go(home: Home, failure_domain: str, waits: Mapping[str, float]) -> bool:
+    """Tell whether pieces may be made in a failure domain: at home, or elsewhere if that can't
+    wait.
 
-    `waits` holds the seconds until a replica of a zone is free. A job that is late already has
-    nothing to lose by the wait.
+    `waits` holds the seconds until a replica of a failure domain is free. A job that is late
+    already has nothing to lose by the wait.
     """
-    if home.zone is None or home.zone == zone or home.zone not in waits:
+    if home.failure_domain is None or home.failure_domain == failure_domain or home.failure_domain not in waits:
         return True
-    return 0 < home.slack_s < waits[home.zone]
+    return 0 < home.slack_s < waits[home.failure_domain]
 
 
-def zone_waits(
+def failure_domain_waits(
     replicas: Iterable[StageReplica], spec: StageSpec, permits: PermitLender, now: float
 ) -> dict[str, float]:
-    """Return the zones in which a replica is worth waiting for, and for how many seconds."""
+    """Return the failure domains worth waiting for, and for how many seconds."""
     found: dict[str, float] = {}
     for item in replicas:
         if item.idle_until > now or item.is_slow(now) or item.is_overdue(now):
             continue
         if item.room_left(spec, now) <= 0:
             continue
-        zone = item.replica.zone
+        failure_domain = item.replica.failure_domain
         wait_s = max(item.busy_s(now), permits.opens_in_s(item.replica))
-        found[zone] = min(found.get(zone, math.inf), wait_s)
+        found[failure_domain] = min(found.get(failure_domain, math.inf), wait_s)
     return found
--- a/packages/core/calicopath_core/scheduling/scheduler.py
+++ b/packages/core/calicopath_core/scheduling/scheduler.py
@@ -49,9 +49,9 @@
 
 ENGINE_FETCH_S = 0.05
 """How long after its choice an engine has fetched a job's results: it does so when the request
-comes, before it waits for its turn; two crossings between zones and 1.5 MB over 10 Gbit/s take
-under 10 ms. Results that lie longer take room from what their makers could make: with 0.15 s the
-mean worth of days with faults was 0.015 less."""
+comes, before it waits for its turn; two crossings between failure domains and 1.5 MB over 10 Gbit/s
+take under 10 ms. Results that lie longer take room from what their makers could make: with 0.15 s
+the mean worth of days with faults was 0.015 less."""
 
 RETRY_AFTER_S = 0.5
 """When a rejected job may come back, if nothing better is known."""
--- a/packages/core/calicopath_core/scheduling/stage_calls.py
+++ b/packages/core/calicopath_core/scheduling/stage_calls.py
@@ -304,7 +304,7 @@
             made = Result(
                 handle=result.handle,
                 maker=target.id,
-                zone=target.zone,
+                failure_domain=target.failure_domain,
                 size=piece.result_bytes,
                 made_at=self.clock.monotonic(),
             )
--- a/packages/core/calicopath_core/scheduling/stages.py
+++ b/packages/core/calicopath_core/scheduling/stages.py
@@ -6,7 +6,7 @@
 
 from calicopath_core.permits.holder import NoLimits, PermitLender
 from calicopath_core.scheduling.jobs import LARGE_BYTES
-from calicopath_core.scheduling.placing import Home, home_of, may_go, zone_waits
+from calicopath_core.scheduling.placing import Home, home_of, may_go, failure_domain_waits
 from calicopath_core.scheduling.stage_replicas import OVERDUE_FACTOR, Booking, StageReplica
 from calicopath_core.scheduling.waiting import WaitingPieces, rank_again
 
@@ -32,8 +32,8 @@
 that declines all for 5 s gets 15 calls in place of 100. What it asks for itself comes on top."""
 
 BUSY_SHARE = 1.0
-"""With more pieces waiting than this many calls for each replica, no zone is waited for: what
-one zone can't take then makes others late."""
+"""With more pieces waiting than this many calls for each replica, no failure domain is waited for:
+what one failure domain can't take then makes others late."""
 
 NO_ROOM_S = 0.15
 """How long a replica that had no room for a result is left alone, whatever it tells of its room,
@@ -79,8 +79,8 @@
     def set_replicas(self, usable: Iterable[Replica], alive: Container[str] = ()) -> None:
         """Take in which replicas may be called; calls at work on others end by themselves.
 
-        Of those that are only `alive`, as in a zone that is taken out, the room stays counted that
-        their results take.
+        Of those that are only `alive`, as in a failure domain that is taken out, the room stays
+        counted that their results take.
         """
         listed = {replica.id: replica for replica in usable}
         self.known = {name: item for name, item in self.known.items() if name in alive}
@@ -152,11 +152,11 @@
         now: float,
     ) -> StageBatch | None:
         """Return a call of waiting groups to one of the free replicas, the first that it suits."""
-        tied = self.is_calm() and any(homes[item.number].zone for item in ranked)
-        waits = zone_waits(self.open_replicas(), self.spec, self.permits, now) if tied else {}
+        tied = self.is_calm() and any(homes[item.number].failure_domain for item in ranked)
+        waits = failure_domain_waits(self.open_replicas(), self.spec, self.permits, now) if tied else {}
         for target in free:
-            zone = target.replica.zone
-            near = [item.group for item in ranked if may_go(homes[item.number], zone, waits)]
+            failure_domain = target.replica.failure_domain
+            near = [item.group for item in ranked if may_go(homes[item.number], failure_domain, waits)]
             if not near:
                 continue
             count = sum(len(group.pieces) for group in near)
@@ -168,7 +168,7 @@
         return None
 
     def is_calm(self) -> bool:
-        """Tell whether few enough pieces wait for zones to matter."""
+        """Tell whether few enough pieces wait for failure domains to matter."""
         return len(self.waiting) <= BUSY_SHARE * self.spec.batch * len(self.open_replicas())
 
     def wait_s(self, free: int) -> float:
@@ -206,7 +206,7 @@
         for piece in pieces:
             piece.tries += 1
             piece.note_called(True)
-            piece.job.zones.setdefault(piece.phase, target.replica.zone)
+            piece.job.failure_domains.setdefault(piece.phase, target.replica.failure_domain)
         target.calls += 1
         target.free_at = now + self.expected_s(len(pieces))
         target.due_at = now + OVERDUE_FACTOR * self.expected_s(len(pieces))
--- a/packages/core/calicopath_core/scheduling/starts.py
+++ b/packages/core/calicopath_core/scheduling/starts.py
@@ -1,9 +1,9 @@
 """Bound how many runs begin at one engine within a second.
 
-Answers engines that come back cold, a whole zone of them at worst, while much is asked: they are
-idle, so all new work is drawn to them, and one that gets far more than it bears falls over. An
-engine may turn cold at any moment, and its entry tells so up to two seconds late; so a bound holds
-for every engine at all times, and a lower one for those that are known to be cold.
+Answers engines that come back cold, a whole failure domain of them at worst, while much is asked:
+they are idle, so all new work is drawn to them, and one that gets far more than it bears falls
+over. An engine may turn cold at any moment, and its entry tells so up to two seconds late; so a
+bound holds for every engine at all times, and a lower one for those that are known to be cold.
 """
 
 from __future__ import annotations
--- a/packages/core/calicopath_core/scheduling/succession.py
+++ b/packages/core/calicopath_core/scheduling/succession.py
@@ -98,7 +98,7 @@
         """Take in what is made of a job, and count the room that it takes."""
         for item in message.results:
             made = Result(
-                handle=item.handle, maker=item.maker, zone=item.zone, size=item.size, made_at=now
+                handle=item.handle, maker=item.maker, failure_domain=item.failure_domain, size=item.size, made_at=now
             )
             made.freed = item.freed
             job.results[item.phase][item.index] = made
--- a/packages/core/calicopath_core/scheduling/tests/engines_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/engines_tests.py
@@ -48,7 +48,7 @@
 
     def test_large_results_draw_the_job_to_their_zone(self) -> None:
         item = job('one', phase(size=3_000_000))
-        item.results[0][0] = result('h', zone='b', size=3_000_000)
+        item.results[0][0] = result('h', failure_domain='b', size=3_000_000)
         self.assertEqual('e2', self.place(item))
 
     def test_time_goes_before_prices_when_there_is_little(self) -> None:
--- a/packages/core/calicopath_core/scheduling/tests/groups_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/groups_tests.py
@@ -15,12 +15,12 @@
     STRAINED_S,
     GroupCount,
     GroupRule,
-    ZoneGroups,
+    FailureDomainGroups,
 )
 from calicopath_core.scheduling.tests.work import replica
 from testkit.virtual import VirtualClock
 
-ZONES = [f'zone-{number}' for number in range(6)]
+FAILURE_DOMAINS = [f'zone-{number}' for number in range(6)]
 NOTES_A_STEP = 4
 STEP_S = NOTES_A_STEP * INTERVAL_S
 
@@ -73,32 +73,32 @@
 
 class Groups(testtools.TestCase):
     def test_groups_are_made_of_whole_zones(self) -> None:
-        groups = ZoneGroups(zones=ZONES, groups=3)
-        found = {zone: {groups.group_of(f'i-{n}', zone) for n in range(20)} for zone in ZONES}
+        groups = FailureDomainGroups(failure_domains=FAILURE_DOMAINS, groups=3)
+        found = {failure_domain: {groups.group_of(f'i-{n}', failure_domain) for n in range(20)} for failure_domain in FAILURE_DOMAINS}
         self.assertEqual({1}, {len(numbers) for numbers in found.values()})
         self.assertEqual({2}, set(Counter(min(item) for item in found.values()).values()))
 
     def test_with_more_groups_than_zones_each_has_a_part_of_one(self) -> None:
-        groups = ZoneGroups(zones=ZONES, groups=12)
-        found = Counter(groups.group_of(f'i-{n}', zone) for n in range(40) for zone in ZONES)
+        groups = FailureDomainGroups(failure_domains=FAILURE_DOMAINS, groups=12)
+        found = Counter(groups.group_of(f'i-{n}', failure_domain) for n in range(40) for failure_domain in FAILURE_DOMAINS)
         self.assertEqual(set(range(12)), set(found))
         self.assertLessEqual(max(found.values()), 3 * min(found.values()))
 
     def test_boxes_that_come_and_go_move_nobody(self) -> None:
-        before, after = (ZoneGroups(zones=ZONES * n, groups=4) for n in (1, 3))
-        names = [(f'i-{n}', zone) for n in range(40) for zone in ZONES]
+        before, after = (FailureDomainGroups(failure_domains=FAILURE_DOMAINS * n, groups=4) for n in (1, 3))
+        names = [(f'i-{n}', failure_domain) for n in range(40) for failure_domain in FAILURE_DOMAINS]
         self.assertEqual([before.group_of(*i) for i in names], [after.group_of(*i) for i in names])
 
     def test_replicas_are_shared_by_zone(self) -> None:
-        groups = ZoneGroups(zones=ZONES, groups=2)
-        replicas = [replica(f'i-{n}', ZONES[n % 6]) for n in range(12)]
+        groups = FailureDomainGroups(failure_domains=FAILURE_DOMAINS, groups=2)
+        replicas = [replica(f'i-{n}', FAILURE_DOMAINS[n % 6]) for n in range(12)]
         shares = [groups.share_of(replicas, number) for number in (0, 1)]
         self.assertEqual([6, 6], [len(share) for share in shares])
-        self.assertEqual(3, len({item.zone for item in shares[0]}))
+        self.assertEqual(3, len({item.failure_domain for item in shares[0]}))
 
     def test_a_group_that_has_too_little_of_a_service_calls_all_of_it(self) -> None:
-        groups = ZoneGroups(zones=ZONES, groups=2)
-        near = groups.zones[0]
+        groups = FailureDomainGroups(failure_domains=FAILURE_DOMAINS, groups=2)
+        near = groups.failure_domains[0]
         replicas = [replica(f'i-{n}', near) for n in range(4)]
         self.assertEqual(replicas, groups.share_of(replicas, 0))
         self.assertEqual(replicas, groups.share_of(replicas, 1))
@@ -108,7 +108,7 @@
     def elections(self, count: int, groups: int = 1) -> list[Election]:
         """Return what each of some boxes has worked out."""
         boxes = [
-            BoxAddress(f'b{n}', f'b{n}:7', ZONES[n % 6], f'life-{n}', n)
+            BoxAddress(f'b{n}', f'b{n}:7', FAILURE_DOMAINS[n % 6], f'life-{n}', n)
             for n in range(1, count + 1)
         ]
         found = [Election(own=box) for box in boxes]
@@ -135,7 +135,7 @@
         self.assertEqual({0, 1, 2}, {group for group, _ in chosen})
 
     def test_each_replica_is_called_by_one_group_and_budgets_are_split_by_all(self) -> None:
-        replicas = [replica(f'i-{number}', ZONES[number % 6]) for number in range(30)]
+        replicas = [replica(f'i-{number}', FAILURE_DOMAINS[number % 6]) for number in range(30)]
         elections = self.elections(300, groups=3)
         shares = {item.group: tuple(item.share_of(replicas)) for item in elections}
         self.assertEqual(
--- a/packages/core/calicopath_core/scheduling/tests/stages_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/stages_tests.py
@@ -1,4 +1,4 @@
-"""Test how pieces become calls: order, filling, room, zones, slow replicas."""
+"""Test how pieces become calls: order, filling, room, failure domains, slow replicas."""
 
 from __future__ import annotations
 
@@ -220,9 +220,9 @@
 
 class Zones(testtools.TestCase):
     def reading(self, size: int, **changes: Any) -> Job:
-        """Return a job whose second phase reads a result in zone b."""
+        """Return a job whose second phase reads a result in failure domain b."""
         found = job('reader', phase(size=size), phase(needs=(0,), count=2), **changes)
-        found.results[0][0] = result('h', zone='b', size=size)
+        found.results[0][0] = result('h', failure_domain='b', size=size)
         return found
 
     def test_much_to_move_waits_for_its_zone_while_there_is_time(self) -> None:
--- a/packages/core/calicopath_core/scheduling/tests/starts_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/starts_tests.py
@@ -31,11 +31,11 @@
 MOST_A_SECOND = 15
 BOUND = bound_of(WARMUP, TERMS)
 
-ZONE_ENGINES, OTHER_ENGINES = 18, 52
+FAILURE_DOMAIN_ENGINES, OTHER_ENGINES = 18, 52
 RATE = 480.0
 LOAD_S = 2.0
 RUN_S = 0.3
-"""A burst on engines of which one zone is back: 27 runs a second for each engine of that."""
+"""A burst with one failure domain back: 27 runs a second for each engine of that."""
 
 
 class Bound(testtools.TestCase):
@@ -76,7 +76,7 @@
 
 class ZoneBackCold(testtools.TestCase):
     def most_a_second(self, bound: StartBound | None) -> int:
-        """Return the most runs that began within a second at an engine of the zone."""
+        """Return the most runs that began within a second at an engine of the failure domain."""
         board = EngineBoard(slots=24, kv_tokens=100_000)
         board.bound = bound
         others = [replica(f'o{n}', 'b', 'engine') for n in range(OTHER_ENGINES)]
@@ -86,7 +86,7 @@
             choice = board.choose(work, 0.0)
             if choice is not None:
                 board.begin(choice, work, 0.0)
-        back = [replica(f'z{n}', 'a', 'engine') for n in range(ZONE_ENGINES)]
+        back = [replica(f'z{n}', 'a', 'engine') for n in range(FAILURE_DOMAIN_ENGINES)]
         board.set_replicas([*others, *back], {item.id for item in others})
         times: dict[str, list[float]] = {}
         ends: list[tuple[float, str, str]] = []
@@ -103,9 +103,9 @@
             name = choice.engine.replica.id
             ends.append((now + RUN_S, name, work.id))
             times.setdefault(name, []).append(now)
-        zone = [found for name, found in times.items() if name.startswith('z')]
-        self.assertEqual(ZONE_ENGINES, len(zone))
-        return max(most_in_a_second(found) for found in zone)
+        failure_domain = [found for name, found in times.items() if name.startswith('z')]
+        self.assertEqual(FAILURE_DOMAIN_ENGINES, len(failure_domain))
+        return max(most_in_a_second(found) for found in failure_domain)
 
     def test_no_engine_gets_more_than_it_bears_though_none_is_known_to_be_cold(self) -> None:
         self.assertLessEqual(self.most_a_second(BOUND), MOST_A_SECOND)
--- a/packages/core/calicopath_core/scheduling/tests/work.py
+++ b/packages/core/calicopath_core/scheduling/tests/work.py
@@ -15,9 +15,9 @@
 )
 
 
-def replica(name: str, zone: str = 'a', service: str = 'look') -> Replica:
+def replica(name: str, failure_domain: str = 'a', service: str = 'look') -> Replica:
     """Return a replica."""
-    return Replica(name, service, f'{name}:1', zone, 1, False)
+    return Replica(name, service, f'{name}:1', failure_domain, 1, False)
 
 
 def prompt(*parts: tuple[str, int], out: int = 10) -> Prompt:
@@ -38,7 +38,7 @@
     fields: dict[str, Any] = {
         'job': name,
         'reply_to': 'b1:7',
-        'zone': 'a',
+        'failure_domain': 'a',
         'call_id': name,
         'piece_key': name,
         'priority': 0,
@@ -56,9 +56,9 @@
     return found
 
 
-def result(handle: str, zone: str = 'a', size: int = 100, made_at: float = 0.0) -> Result:
+def result(handle: str, failure_domain: str = 'a', size: int = 100, made_at: float = 0.0) -> Result:
     """Return a result."""
-    return Result(handle=handle, maker=f'maker-{zone}', zone=zone, size=size, made_at=made_at)
+    return Result(handle=handle, maker=f'maker-{failure_domain}', failure_domain=failure_domain, size=size, made_at=made_at)
 
 
 def queue(*replicas: Replica, spec: StageSpec = SPEC) -> StageQueue:
--- a/packages/daemon/calicopathd/events.py
+++ b/packages/daemon/calicopathd/events.py
@@ -116,8 +116,8 @@
 FEED_BACK = Event(804, 'info', 'feed back', 'The store answers again for a kind.')
 HISTORY_LOST = Event(805, 'warning', 'history lost', 'A kind is read anew as a whole.')
 SOURCE_CHANGED = Event(807, 'info', 'source changed', 'The store is heard another way now.')
-ZONE_TAKEN_OUT = Event(808, 'warning', 'zone taken out', 'Its replicas get no new work from here.')
-ZONE_GIVEN_BACK = Event(809, 'info', 'zone given back', 'Its replicas get new work again.')
+FAILURE_DOMAIN_TAKEN_OUT = Event(808, 'warning', 'zone taken out', 'Its replicas get no new work from here.')
+FAILURE_DOMAIN_GIVEN_BACK = Event(809, 'info', 'zone given back', 'Its replicas get new work again.')
 LISTING_DROPPED = Event(
     810, 'warning', 'listing dropped', 'A list older than what is held was not taken in.'
 )
--- a/packages/daemon/calicopathd/gateway/box.py
+++ b/packages/daemon/calicopathd/gateway/box.py
@@ -197,7 +197,7 @@
             balancer=Balancer(
                 replicas=self.replicas,
                 gate=self.gate,
-                zone=self.settings.failure_domain,
+                failure_domain=self.settings.failure_domain,
                 rng=self.rng,
                 cold_rate_of=self.cold_rate_of,
             ),
@@ -209,7 +209,7 @@
             crashes=self.crashes,
             new_job=self.new_job,
             may_serve=self.serves,
-            zone=self.settings.failure_domain,
+            failure_domain=self.settings.failure_domain,
         )
 
     def random_board(self, spec: EngineSpec) -> EngineBoard:
@@ -329,8 +329,8 @@
             events.DEPLOYMENT_APPLIED,
             version=deployment.version,
             routes=len(deployment.routes),
-            tenants=len(deployment.tenants_by_key),
-            ranks={item.name: item.priority for item in deployment.tenants_by_key.values()},
+            tenants=len(deployment.workspaces_by_key),
+            ranks={item.name: item.priority for item in deployment.workspaces_by_key.values()},
         )
 
     def send(self, address: str, message: msgspec.Struct) -> None:
--- a/packages/daemon/calicopathd/gateway/following.py
+++ b/packages/daemon/calicopathd/gateway/following.py
@@ -52,8 +52,8 @@
     ) -> None:
         self.evacuations = Evacuations(
             wall=clock.wall,
-            on_taken_out=observer.on_zone_taken_out,
-            on_given_back=observer.on_zone_given_back,
+            on_taken_out=observer.on_failure_domain_taken_out,
+            on_given_back=observer.on_failure_domain_given_back,
             on_changed=replicas.set_evacuated,
         )
         self.publisher = Publisher(own_address=own.address, clock=clock, send=send)
--- a/packages/daemon/calicopathd/gateway/metrics.py
+++ b/packages/daemon/calicopathd/gateway/metrics.py
@@ -12,7 +12,7 @@
 
 
 class GatewayMetrics:
-    """Hold the metrics; labels are kinds, services and outcomes, never tenants or callers."""
+    """Hold the metrics; labels are kinds, services and outcomes, never workspaces or callers."""
 
     def __init__(self, *, box: str) -> None:
         self.registry = Registry()
--- a/packages/daemon/calicopathd/gateway/observer.py
+++ b/packages/daemon/calicopathd/gateway/observer.py
@@ -50,7 +50,7 @@
             request=ticket.exchange.call_id,
             content=ticket.content,
             route=ticket.route.name,
-            tenant=ticket.tenant,
+            tenant=ticket.workspace,
             config=ticket.deployment.version,
             outcome=ticket.outcome,
             status=ticket.status,
@@ -214,9 +214,9 @@
             request=job.place.call_id,
             job=job.id,
             replica=replica.id,
-            zone=replica.zone,
-            result_zones=[item.zone for item in job.final_results()],
-            crossing_kb=job.crossing_bytes(job.final_results(), replica.zone) // 1000,
+            zone=replica.failure_domain,
+            result_zones=[item.failure_domain for item in job.final_results()],
+            crossing_kb=job.crossing_bytes(job.final_results(), replica.failure_domain) // 1000,
             cost_ms=round(cost_s * 1000),
             staged_ms=round(waited_s * 1000),
             expected_ms=round(job.expected_s * 1000),
@@ -267,18 +267,18 @@
         """Note that this box belongs to another group."""
         events.emit(log, events.GROUP_CHANGED, group=group, groups=groups)
 
-    def on_zone_taken_out(self, evacuation: Evacuation) -> None:
-        """Note that a zone's replicas get no new work from here."""
+    def on_failure_domain_taken_out(self, evacuation: Evacuation) -> None:
+        """Note that a failure domain's replicas get no new work from here."""
         revision = evacuation.revision
-        events.emit(log, events.ZONE_TAKEN_OUT, zone=evacuation.zone, revision=revision)
+        events.emit(log, events.FAILURE_DOMAIN_TAKEN_OUT, zone=evacuation.failure_domain, revision=revision)
 
-    def on_zone_given_back(self, held: HeldEvacuation) -> None:
-        """Note that a zone's replicas get new work again."""
+    def on_failure_domain_given_back(self, held: HeldEvacuation) -> None:
+        """Note that a failure domain's replicas get new work again."""
         evacuation = held.evacuation
         events.emit(
             log,
-            events.ZONE_GIVEN_BACK,
-            zone=evacuation.zone,
+            events.FAILURE_DOMAIN_GIVEN_BACK,
+            zone=evacuation.failure_domain,
             revision=evacuation.revision,
             taken_out_since=held.since,
         )
--- a/packages/daemon/calicopathd/gateway/records.py
+++ b/packages/daemon/calicopathd/gateway/records.py
@@ -24,7 +24,8 @@
 
 
 class RecordIntake(FeedHandler):
-    """Hold the boxes listed, and fill the tables of replicas, zones and the configuration.
+    """Hold the boxes listed, and fill the tables of replicas, failure domains and the
+    configuration.
 
     `on_boxes` is told when boxes have changed, `on_applied` of a newer configuration in force.
     """
--- a/packages/daemon/calicopathd/gateway/settings.py
+++ b/packages/daemon/calicopathd/gateway/settings.py
@@ -41,9 +41,10 @@
     """Hold the settings of one box; spans are in seconds.
 
     `drain_s` is how long a replica that leaves goes on serving, `stop_grace_s` how long a box may
-    take to stop before it is killed, `evacuate_s` how soon nothing more may reach a zone that is
-    taken out; there is none where operators do not take zones out. A replica writes its entry each
-    `replica_beat_s`. `warmup` says how far the rate may be passed that a cold replica bears.
+    take to stop before it is killed, `evacuate_s` how soon nothing more may reach a failure domain
+    that is taken out; there is none where operators do not take failure domains out. A replica
+    writes its entry each `replica_beat_s`. `warmup` says how far the rate may be passed that a cold
+    replica bears.
     """
 
     box: str
--- a/packages/daemon/calicopathd/gateway/state.py
+++ b/packages/daemon/calicopathd/gateway/state.py
@@ -118,7 +118,7 @@
         taken_out_at = self.box.held_position(RecordKind.EVACUATION)
         return InForce(
             box=self.box.own.name,
-            failure_domain=self.box.own.zone,
+            failure_domain=self.box.own.failure_domain,
             ready=self.box.ready(),
             settings=state.digest,
             settings_since=state.since,
@@ -134,8 +134,8 @@
         """Return the failure domains whose replicas get no new work from here."""
         held = self.box.evacuations.held
         return [
-            TakenOut(zone, item.since, item.evacuation.revision)
-            for zone, item in sorted(held.items())
+            TakenOut(failure_domain, item.since, item.evacuation.revision)
+            for failure_domain, item in sorted(held.items())
         ]
 
     def blocked(self) -> list[BlockedRequest]:
--- a/packages/daemon/calicopathd/gateway/tests/evacuating_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/evacuating_tests.py
@@ -1,4 +1,4 @@
-"""Test zones that operators take out and give back, on boxes together."""
+"""Test failure domains that operators take out and give back, on boxes together."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 WHOLE = list(range(1, EVENTS + 1))
 HEARD_S = 0.1
-"""How long after its record was written every box has heard that a zone is taken out, here."""
+"""How long after its record was written every box has heard of an evacuation, here."""
 
 RELAYED_BOXES = 12
 """Enough boxes for relays."""
@@ -235,7 +235,7 @@
 
 
 def south(names: list[str]) -> list[str]:
-    """Return the replicas of the southern zone among some."""
+    """Return the replicas of the southern failure domain among some."""
     return [name for name in names if name.endswith('south')]
 
 
--- a/packages/daemon/calicopathd/gateway/tests/exchanges_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/exchanges_tests.py
@@ -231,7 +231,7 @@
     def test_the_replica_learns_the_tenant_and_the_time_that_is_left(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
             outbound = fleet.replicas.sent[0]
-            self.assertEqual('hire', outbound.tenant)
+            self.assertEqual('hire', outbound.workspace)
             self.assertLessEqual(outbound.deadline_s, 0.7)
 
         self.play('read', {}, check, deadline_s=0.7, key=KEY)
--- a/packages/daemon/calicopathd/gateway/tests/following_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/following_tests.py
@@ -77,7 +77,7 @@
             await asyncio.sleep(1.5)
             self.assertTrue(box.box.ready())
             for replica in replicas():
-                if replica.zone == 'south':
+                if replica.failure_domain == 'south':
                     fleet.store.write(RecordKind.REPLICA, replica.id, replica)
             await asyncio.sleep(1.5)
             box.box.tick()
--- a/testkit/crashing_fleet.py
+++ b/testkit/crashing_fleet.py
@@ -6,13 +6,13 @@
 import itertools
 from typing import TYPE_CHECKING
 
-from calicopath_core.fleet.deployment import RouteKind, Tenant
+from calicopath_core.fleet.deployment import RouteKind, Workspace
 from calicopath_core.fleet.replicas import Replica
 from calicopath_core.fleet.store import RecordKind
 from testkit.cases import VirtualCase
 from testkit.crashing import CrashingReplicas, CrashingStages
 from testkit.gateway import GatewayFleet
-from testkit.gateway_world import KEY, ZONES, deployment, exchange, route
+from testkit.gateway_world import KEY, FAILURE_DOMAINS, deployment, exchange, route
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -29,7 +29,7 @@
 MOST_LATE = 3
 """Sends later than that which the users' rules allow."""
 
-TENANTS = (Tenant('hire', (KEY,), None), Tenant('other', ('key-2',), None))
+WORKSPACES = (Workspace('hire', (KEY,), None), Workspace('other', ('key-2',), None))
 
 
 class CrashingFleet(GatewayFleet):
@@ -45,7 +45,7 @@
         self.store.write(
             RecordKind.DEPLOYMENT,
             'main',
-            deployment(2, routes=(*deployment().routes, chat), tenants=TENANTS),
+            deployment(2, routes=(*deployment().routes, chat), workspaces=WORKSPACES),
         )
         for number in range(2, ENGINES):
             self.add_replica('engine', number)
@@ -62,8 +62,8 @@
 
     def add_replica(self, service: str, number: int) -> None:
         """Add a replica."""
-        name, zone = f'{service}-{number}', ZONES[number % len(ZONES)]
-        replica = Replica(name, service, f'{name}:1', zone, 6, False)
+        name, failure_domain = f'{service}-{number}', FAILURE_DOMAINS[number % len(FAILURE_DOMAINS)]
+        replica = Replica(name, service, f'{name}:1', failure_domain, 6, False)
         self.store.write(RecordKind.REPLICA, name, replica)
 
     def ask(self, box: str, target: str, **changes: object) -> FakeSink:
--- a/testkit/gateway.py
+++ b/testkit/gateway.py
@@ -25,10 +25,10 @@
 from testkit.gateway_callers import BoxReplicas, BoxStages, Notices
 from testkit.gateway_replicas import FakeReplicas, FakeSink, FakeStages
 from testkit.gateway_store import FakeStore, FakeStoreClient
-from testkit.gateway_world import TERMS, ZONES, deployment, replicas
+from testkit.gateway_world import TERMS, FAILURE_DOMAINS, deployment, replicas
 
 EVACUATE_S = 5.0
-"""How soon nothing more may reach a zone that is taken out, as the users' sheet says."""
+"""How soon nothing more may reach a failure domain that is taken out, as the users' sheet says."""
 
 
 class FleetBox:
@@ -77,7 +77,7 @@
         for replica in replicas():
             self.store.write(RecordKind.REPLICA, replica.id, replica)
         for number in range(count):
-            self.add(f'box-{number}', ZONES[number % len(ZONES)])
+            self.add(f'box-{number}', FAILURE_DOMAINS[number % len(FAILURE_DOMAINS)])
 
     def new_replicas(self) -> FakeReplicas:
         """Return the engines and plain services."""
@@ -87,11 +87,11 @@
         """Return the replicas of stages."""
         return FakeStages()
 
-    def add(self, name: str, zone: str) -> FleetBox:
+    def add(self, name: str, failure_domain: str) -> FleetBox:
         """Return a new box, not started."""
         client = FakeStoreClient(store=self.store)
         box = GatewayBox(
-            settings=settings(name, zone),
+            settings=settings(name, failure_domain),
             store=client,
             transport=FakeTransport(network=self.network, address=f'{name}:7'),
             exchanges=BoxReplicas(replicas=self.replicas, notices=self.notices, box=name),
@@ -113,14 +113,14 @@
         self.boxes.pop(name).kill()
         self.network.handlers.pop(f'{name}:7', None)
 
-    def take_out(self, zone: str) -> None:
-        """Take a zone out, as an operator does."""
-        record = Evacuation(zone, self.store.revision + 1)
-        self.store.write(RecordKind.EVACUATION, zone, record)
+    def take_out(self, failure_domain: str) -> None:
+        """Take a failure domain out, as an operator does."""
+        record = Evacuation(failure_domain, self.store.revision + 1)
+        self.store.write(RecordKind.EVACUATION, failure_domain, record)
 
-    def give_back(self, zone: str) -> None:
-        """Take a zone's evacuation back."""
-        self.store.write(RecordKind.EVACUATION, zone, None)
+    def give_back(self, failure_domain: str) -> None:
+        """Take a failure domain's evacuation back."""
+        self.store.write(RecordKind.EVACUATION, failure_domain, None)
 
     def schedulers(self) -> set[str]:
         """Return the addresses that boxes take for the scheduler."""
@@ -145,13 +145,13 @@
         await asyncio.sleep(0)
 
 
-def settings(name: str, zone: str) -> GatewaySettings:
+def settings(name: str, failure_domain: str) -> GatewaySettings:
     """Return a box's settings."""
     nowhere = HostPort('127.0.0.1', 0)
     return GatewaySettings(
         box=name,
         ip='127.0.0.1',
-        failure_domain=zone,
+        failure_domain=failure_domain,
         exchange_listen=nowhere,
         ready_listen=nowhere,
         peer_listen=HostPort(name, 7),
--- a/testkit/gateway_world.py
+++ b/testkit/gateway_world.py
@@ -16,13 +16,13 @@
     RouteKind,
     ServiceSpec,
     StageSpec,
-    Tenant,
+    Workspace,
     WeightedService,
 )
 from calicopath_core.fleet.replicas import Replica
 from calicopath_core.scheduling.messages import Prompt, PromptPart
 
-ZONES = ('north', 'south')
+FAILURE_DOMAINS = ('north', 'south')
 HOST = 'example.test'
 KEY = 'key-1'
 TERMS = BudgetTerms(0.2, 50.0, 10.0)
@@ -74,17 +74,17 @@
             ServiceSpec('rank', '/healthz', 100, STAGE, None),
             ServiceSpec('desk', '/healthz', 100, None, None),
         ),
-        'tenants': (Tenant('hire', (KEY,), None),),
+        'workspaces': (Workspace('hire', (KEY,), None),),
     }
     return Deployment(**(fields | changes))
 
 
 def replicas() -> list[Replica]:
-    """Return the replicas of the test deployment: one of each service in each zone."""
+    """Return the replicas of the test deployment: one of each service in each failure domain."""
     return [
-        Replica(f'{service}-{zone}', service, f'{service}-{zone}:1', zone, 6, False)
+        Replica(f'{service}-{failure_domain}', service, f'{service}-{failure_domain}:1', failure_domain, 6, False)
         for service in ('engine', 'look', 'rank', 'desk')
-        for zone in ZONES
+        for failure_domain in FAILURE_DOMAINS
     ]
 
 
--- a/testkit/notice_fleet.py
+++ b/testkit/notice_fleet.py
@@ -11,7 +11,7 @@
 from calicopath_core.fleet.replicas import Replica
 from calicopath_core.fleet.store import RecordKind
 from testkit.gateway import GatewayFleet
-from testkit.gateway_world import ZONES, exchange
+from testkit.gateway_world import FAILURE_DOMAINS, exchange
 
 if TYPE_CHECKING:
     from testkit.gateway_replicas import FakeSink
@@ -30,8 +30,8 @@
         self.rng = random.Random(count)
         for service, most in (('engine', ENGINES), ('desk', DESKS), ('look', LOOKS)):
             for number in range(2, most):
-                name, zone = f'{service}-{number}', ZONES[number % len(ZONES)]
-                self.announce(Replica(name, service, f'{name}:1', zone, 6, False))
+                name, failure_domain = f'{service}-{number}', FAILURE_DOMAINS[number % len(FAILURE_DOMAINS)]
+                self.announce(Replica(name, service, f'{name}:1', failure_domain, 6, False))
 
     def announce(self, replica: Replica) -> None:
         """Write a replica's entry."""
--- a/testkit/replay/blows.py
+++ b/testkit/replay/blows.py
@@ -1,4 +1,4 @@
-"""Let things happen to the replicas of a replay: slow, lost, or in a zone that is taken out."""
+"""Let things happen to the replicas of a replay: slow, lost, or in an evacuated failure domain."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 the store and the relays take."""
 
 
-async def take_zone_out(world: World, blow: Blow) -> None:
-    """Take the first zone out for a while; that its engines are cold then is told late."""
-    zone = world.fleet.zone_names[0]
-    world.table.set_evacuated(frozenset({zone}))
+async def take_failure_domain_out(world: World, blow: Blow) -> None:
+    """Take the first failure domain out for a while; that its engines are cold is told late."""
+    failure_domain = world.fleet.failure_domain_names[0]
+    world.table.set_evacuated(frozenset({failure_domain}))
     await asyncio.sleep(blow.for_s)
-    world.cold = {name for name in world.engines if world.zones[name] == zone}
+    world.cold = {name for name in world.engines if world.failure_domains[name] == failure_domain}
     world.table.set_evacuated(frozenset())
     await asyncio.sleep(COLD_TOLD_S)
     tell_cold(world, True)
--- a/testkit/replay/fleet.py
+++ b/testkit/replay/fleet.py
@@ -57,10 +57,10 @@
 
 
 class Fleet(NamedTuple):
-    """Hold how many boxes, zones and replicas there are, and what replicas can do."""
+    """Hold how many boxes, failure domains and replicas there are, and what replicas can do."""
 
     boxes: int
-    zones: int
+    failure_domains: int
     engines: int
     stages: dict[str, int]
     specs: dict[str, StageSpec]
@@ -70,20 +70,20 @@
     warmup: WarmupSpec | None = None
 
     @property
-    def zone_names(self) -> list[str]:
-        """Return the zones."""
-        return [f'zone-{number}' for number in range(self.zones)]
+    def failure_domain_names(self) -> list[str]:
+        """Return the failure domains."""
+        return [f'zone-{number}' for number in range(self.failure_domains)]
 
     def replicas(self) -> list[Replica]:
-        """Return every replica, those of a service spread over the zones."""
+        """Return every replica, those of a service spread over the failure domains."""
         counts = {ENGINE: self.engines, **self.stages}
-        names = self.zone_names
+        names = self.failure_domain_names
         found = []
         for service, count in counts.items():
             for number in range(count):
                 name = f'{service}-{number}'
-                zone = names[number % len(names)]
-                found.append(Replica(name, service, f'{name}:80', zone, 1, False))
+                failure_domain = names[number % len(names)]
+                found.append(Replica(name, service, f'{name}:80', failure_domain, 1, False))
         return found
 
 
@@ -95,7 +95,7 @@
 USUAL_BOXES = 195
 
 
-def fleet_of(boxes: int = USUAL_BOXES, zones: int = 6) -> Fleet:
+def fleet_of(boxes: int = USUAL_BOXES, failure_domains: int = 6) -> Fleet:
     """Return a fleet of so many boxes, with replicas and requests in proportion."""
     scale = boxes / USUAL_BOXES
 
@@ -103,7 +103,7 @@
         return max(2, round(count * scale))
 
     stages = {FIRST: share(11), SECOND: share(18), THIRD: share(21)}
-    return Fleet(boxes, zones, share(39), stages, SPECS, EngineSpec(48, 266_342), scale)
+    return Fleet(boxes, failure_domains, share(39), stages, SPECS, EngineSpec(48, 266_342), scale)
 
 
 SHIFTED_SPECS = {
@@ -118,7 +118,7 @@
     stages = {FIRST: 10, SECOND: 8, THIRD: 9}
     return Fleet(
         boxes=86,
-        zones=4,
+        failure_domains=4,
         engines=70,
         stages=stages,
         specs=SHIFTED_SPECS,
@@ -145,7 +145,7 @@
     """Return a fleet of six boxes with three replicas a stage and little time for each request."""
     return Fleet(
         boxes=6,
-        zones=3,
+        failure_domains=3,
         engines=6,
         stages={FIRST: 3, SECOND: 3, THIRD: 3},
         specs=HURRIED_SPECS,
--- a/testkit/replay/load.py
+++ b/testkit/replay/load.py
@@ -25,7 +25,7 @@
     name: str
     kind: JobKind
     workspace: str
-    zone: str
+    failure_domain: str
     phases: tuple[PhaseWork, ...]
     prompt: Prompt
 
@@ -34,7 +34,7 @@
     """Say what happens to replicas or schedulers at some time.
 
     `what` is `slow`, `lost`, `killed` (everything), `silent` (the scheduler alone) or `out`: the
-    first zone is taken out, and its engines are cold when it is given back.
+    first failure domain is taken out, and its engines are cold when it is given back.
     """
 
     at: float
@@ -49,7 +49,7 @@
 
     `burst_x` multiplies the rate of `burst_kinds` for `BLOW_S`; `flood_x` that of one workspace for
     `FLOOD_S`; `hot_share` of a kind's requests are of one session; `moved_share` of callers come
-    from the first zone while it lasts.
+    from the first failure domain while it lasts.
     """
 
     name: str
@@ -156,14 +156,14 @@
         during = BLOW_AT_S <= at < BLOW_AT_S + BLOW_S
         if during and rng.random() < self.pattern.hot_share:
             session = 0
-        names = self.fleet.zone_names
-        zone = names[0] if during and rng.random() < self.pattern.moved_share else rng.choice(names)
+        names = self.fleet.failure_domain_names
+        failure_domain = names[0] if during and rng.random() < self.pattern.moved_share else rng.choice(names)
         return Arrival(
             at,
             f'job-{self.count}',
             kind,
             workspace,
-            zone,
+            failure_domain,
             phases_of(kind, large, checks),
             self.prompt(kind, session),
         )
--- a/testkit/replay/stages.py
+++ b/testkit/replay/stages.py
@@ -24,10 +24,10 @@
 
 
 class Kept(NamedTuple):
-    """Hold a result: its maker, zone and size, until when it lives and what it took to make."""
+    """Hold a result: its maker, failure domain, size, end of life and what it took to make."""
 
     maker: str
-    zone: str
+    failure_domain: str
     size: int
     until: float
     work_s: float
@@ -122,14 +122,14 @@
             if item is None:
                 self.gone += 1
                 return 'gone'
-            if item.zone != replica.zone:
+            if item.failure_domain != replica.failure_domain:
                 self.crossed_bytes += item.size
         return ''
 
     def make(self, replica: Replica, call: PieceCall, until: float, work_s: float) -> str:
         """Keep a new result and return its handle."""
         handle = f'{replica.address}/{next(self.numbers)}'
-        self.kept[handle] = Kept(replica.id, replica.zone, self.size_of(call), until, work_s)
+        self.kept[handle] = Kept(replica.id, replica.failure_domain, self.size_of(call), until, work_s)
         return handle
 
     def expire(self, now: float) -> None:
--- a/testkit/replay/world.py
+++ b/testkit/replay/world.py
@@ -16,7 +16,7 @@
 from calicopath_core.scheduling.starts import WarmupTerms
 from testkit.ledgers import new_guard
 from testkit.replay import outcomes as counting
-from testkit.replay.blows import strike_replicas, take_zone_out
+from testkit.replay.blows import strike_replicas, take_failure_domain_out
 from testkit.replay.engines import AGAIN_WITHIN_S, ReplayEngine
 from testkit.replay.fleet import ENGINE, Fleet, fleet_of
 from testkit.replay.load import FLOODER, PATTERNS, Arrival, Blow, Generator, Pattern
@@ -83,7 +83,7 @@
             for item in fleet.replicas()
             if item.service == ENGINE
         }
-        self.zones = {item.id: item.zone for item in fleet.replicas()}
+        self.failure_domains = {item.id: item.failure_domain for item in fleet.replicas()}
         self.observer = CountingObserver()
         self.stopwatch = Stopwatch()
         self.asked: dict[str, Asked] = {}
@@ -134,7 +134,7 @@
             version=1,
             routes=(),
             services=(*stages, engine),
-            tenants=(),
+            workspaces=(),
             limits=None,  # type: ignore[arg-type]
         )
 
@@ -195,7 +195,7 @@
             await asyncio.sleep(NOTICED_S)
             await self.start_next(with_jobs=True)
         elif blow.what == 'out':
-            await take_zone_out(self, blow)
+            await take_failure_domain_out(self, blow)
         else:
             await strike_replicas(self, blow)
 
@@ -279,7 +279,7 @@
         return Place(
             job=name,
             reply_to='box',
-            zone=arrival.zone,
+            failure_domain=arrival.failure_domain,
             call_id=name,
             piece_key=name,
             priority=kind.priority,
@@ -293,7 +293,7 @@
 
     async def run_engine(self, arrival: Arrival, name: str, placed: Placed) -> float:
         """Run a placed request; return 0 once its first event came."""
-        engine, zone = self.engines[placed.replica], self.zones[placed.replica]
+        engine, failure_domain = self.engines[placed.replica], self.failure_domains[placed.replica]
         await asyncio.sleep(NETWORK_S)
         for handle in placed.inputs:
             item = self.stages.kept.get(handle)
@@ -302,7 +302,7 @@
                 self.forget(name)
                 return 0.01
             self.used_s += item.work_s
-            if item.zone != zone:
+            if item.failure_domain != failure_domain:
                 self.stages.crossed_bytes += item.size
         now = self.clock.monotonic()
         if placed.replica in self.cold:
--- a/tools/mutants/catalogue.py
+++ b/tools/mutants/catalogue.py
@@ -144,7 +144,7 @@
     Mutant(
         'zones taken out',
         f'{CORE}/fleet/replicas.py',
-        'if found.zone in self.evacuated:',
+        'if found.failure_domain in self.evacuated:',
         'if False:',
         f'{EVACUATING}::Evacuating',
     ),
@@ -158,7 +158,7 @@
     Mutant(
         'zones taken out',
         f'{CORE}/scheduling/freeing.py',
-        'if replica is None or replica.zone in self.replicas.evacuated:',
+        'if replica is None or replica.failure_domain in self.replicas.evacuated:',
         'if replica is None:',
         f'{EVACUATING}::Evacuating',
     ),
--- a/tools/soak/checks.py
+++ b/tools/soak/checks.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from tools.soak.records import Arrived, StopSeen, TurnedAway, ZoneOut
+    from tools.soak.records import Arrived, StopSeen, TurnedAway, FailureDomainOut
 
 CONTACT_S = 4.0
 """How long after a fault a box is not held to times; the users' pages say 3 to 4 s."""
@@ -21,7 +21,7 @@
 """How soon a replica that leaves gets nothing new: the users' 2 s, and one for a busy machine."""
 
 EVACUATE_S = 3.0
-"""How soon a zone that is taken out gets nothing new: well within the users' 5 s."""
+"""How soon a failure domain that is taken out gets nothing new: well within the users' 5 s."""
 
 OVERLAP_S = 1.4
 """How long two runs of one stream may go on together: the users' 0.4 s, and 1 s for a busy machine.
@@ -217,22 +217,22 @@
     return [f'{most} calls to the store in a second, {allowed} allowed'] if most > allowed else []
 
 
-def zones_out_get_nothing(
+def failure_domains_out_get_nothing(
     runs: Iterable[Run],
-    zones_out: list[ZoneOut],
-    zone_of: Callable[[str], str],
+    failure_domains_out: list[FailureDomainOut],
+    failure_domain_of: Callable[[str], str],
     steps: list[Step],
 ) -> list[str]:
-    """Check that zones which are taken out got nothing new after a while of calm."""
+    """Check that failure domains which are taken out got nothing new after a while of calm."""
     problems = []
     for run in runs:
-        zone = zone_of(run.replica)
-        for out in zones_out:
+        failure_domain = failure_domain_of(run.replica)
+        for out in failure_domains_out:
             late_s = run.began - out.began
-            if out.zone != zone or late_s < EVACUATE_S or run.began > out.ended:
+            if out.failure_domain != failure_domain or late_s < EVACUATE_S or run.began > out.ended:
                 continue
             if calm(steps, run.began - CONTACT_S - EVACUATE_S, run.began):
-                text = f'reached {run.replica} {late_s:.2f} s after {zone} was taken out'
+                text = f'reached {run.replica} {late_s:.2f} s after {failure_domain} was taken out'
                 problems.append(f'{run.call_id}: {text}')
     return problems
 
--- a/tools/soak/records.py
+++ b/tools/soak/records.py
@@ -96,10 +96,10 @@
     ended: float
 
 
-class ZoneOut(NamedTuple):
-    """Hold when a zone was taken out and given back, in the world's seconds."""
+class FailureDomainOut(NamedTuple):
+    """Hold when a failure domain was taken out and given back, in the world's seconds."""
 
-    zone: str
+    failure_domain: str
     began: float
     ended: float
 
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -16,7 +16,7 @@
 from tools.soak.limits import limits_are_kept
 from tools.soak.records import RequestKind, Seen
 from tools.soak.schedule import FaultKind, Step, draw
-from tools.soak.world import REPLICAS, ZONES, World
+from tools.soak.world import REPLICAS, FAILURE_DOMAINS, World
 
 if TYPE_CHECKING:
     from tools.soak.deadly import Repeat
@@ -77,7 +77,7 @@
         """Play it and judge."""
         plan = self.plan
         steps = draw(
-            plan.seed, seconds=plan.seconds, boxes=plan.boxes, replicas=REPLICAS, zones=len(ZONES)
+            plan.seed, seconds=plan.seconds, boxes=plan.boxes, replicas=REPLICAS, failure_domains=len(FAILURE_DOMAINS)
         )
         try:
             await self.world.start()
@@ -210,8 +210,8 @@
         if self.plan.timed:
             problems += checks.runs_do_not_overlap(world.runs, steps, world.now())
             problems += checks.drained_replicas_get_nothing(world.runs, world.drained, steps)
-            problems += checks.zones_out_get_nothing(
-                world.runs, world.zones_out, world.zone_of, steps
+            problems += checks.failure_domains_out_get_nothing(
+                world.runs, world.failure_domains_out, world.failure_domain_of, steps
             )
             problems += deadly.deadly_requests_are_stopped(self.seen, world.runs, world.ends, steps)
             problems += checks.stops_cut_nothing(world.stops, self.seen, steps)
--- a/tools/soak/schedule.py
+++ b/tools/soak/schedule.py
@@ -23,7 +23,7 @@
     REPLICA_CRASH = 'replica-crash'
     REPLICA_DRAINS = 'replica-drains'
     CHANGE = 'change'
-    ZONE_OUT = 'zone-out'
+    FAILURE_DOMAIN_OUT = 'zone-out'
     REPLICA_REBORN = 'replica-reborn'
     FOREIGN_ENTRY = 'foreign-entry'
     REPLICA_LEAVES = 'replica-leaves'
@@ -50,7 +50,7 @@
         FaultKind.RELOAD_BOX,
         FaultKind.CHANGE,
         FaultKind.REPLICA_DRAINS,
-        FaultKind.ZONE_OUT,
+        FaultKind.FAILURE_DOMAIN_OUT,
         FaultKind.FOREIGN_ENTRY,
         FaultKind.REPLICA_LEAVES,
         FaultKind.REPLICA_TURNS_AWAY,
@@ -61,7 +61,7 @@
 
 OWN_STREAMS = frozenset(
     {
-        FaultKind.ZONE_OUT,
+        FaultKind.FAILURE_DOMAIN_OUT,
         FaultKind.REPLICA_REBORN,
         FaultKind.FOREIGN_ENTRY,
         FaultKind.REPLICA_LEAVES,
@@ -84,9 +84,9 @@
 GAP_S = 0.7
 """The mean time between two steps; they last up to `LONGEST_S` and so overlap."""
 
-ZONE_GAP_S = 6.0
+FAILURE_DOMAIN_GAP_S = 6.0
 LONGEST_OUT_S = 8.0
-"""The mean time between two zones taken out, and how long one is."""
+"""The mean time between two failure domains taken out, and how long one is."""
 
 ENTRY_GAP_S = 2.0
 """The mean time between two replicas that start again under their name, or foreign entries."""
@@ -128,7 +128,7 @@
         return self.at_s + self.for_s
 
 
-def draw(seed: int, *, seconds: float, boxes: int, replicas: int, zones: int) -> list[Step]:
+def draw(seed: int, *, seconds: float, boxes: int, replicas: int, failure_domains: int) -> list[Step]:
     """Return the steps of a seed, in order; the same for the same arguments."""
     rng = random.Random(seed)
     kinds = [kind for kind in FaultKind if kind not in OWN_STREAMS]
@@ -149,7 +149,7 @@
             )
             found.append(step)
         at_s += rng.expovariate(1 / GAP_S)
-    found += draw_zones(seed, seconds=seconds, zones=zones)
+    found += draw_failure_domains(seed, seconds=seconds, failure_domains=failure_domains)
     found += draw_entries(seed, seconds=seconds, replicas=replicas)
     found += draw_words(seed, seconds=seconds, replicas=replicas)
     found += draw_deadly(seed, seconds=seconds)
@@ -158,16 +158,16 @@
     return sorted(found, key=lambda step: step.at_s)
 
 
-def draw_zones(seed: int, *, seconds: float, zones: int) -> list[Step]:
-    """Return which zones are taken out when."""
+def draw_failure_domains(seed: int, *, seconds: float, failure_domains: int) -> list[Step]:
+    """Return which failure domains are taken out when."""
     rng = random.Random(f'zones of {seed}')
     found: list[Step] = []
-    at_s = rng.expovariate(1 / ZONE_GAP_S)
+    at_s = rng.expovariate(1 / FAILURE_DOMAIN_GAP_S)
     while at_s < seconds:
         for_s = rng.uniform(0.2, LONGEST_OUT_S)
-        zone = rng.randrange(zones)
-        found.append(Step(round(at_s, 3), FaultKind.ZONE_OUT, zone, for_s, LinkMode.PASS))
-        at_s += rng.expovariate(1 / ZONE_GAP_S)
+        failure_domain = rng.randrange(failure_domains)
+        found.append(Step(round(at_s, 3), FaultKind.FAILURE_DOMAIN_OUT, failure_domain, for_s, LinkMode.PASS))
+        at_s += rng.expovariate(1 / FAILURE_DOMAIN_GAP_S)
     return found
 
 
--- a/tools/soak/tests/checks_tests.py
+++ b/tools/soak/tests/checks_tests.py
@@ -16,7 +16,7 @@
     Seen,
     StopSeen,
     TurnedAway,
-    ZoneOut,
+    FailureDomainOut,
 )
 from tools.soak.schedule import OWN_STREAMS, FaultKind, LinkMode, Step, calm, draw
 
@@ -180,7 +180,7 @@
 class Schedule(testtools.TestCase):
     def test_a_seed_always_gives_the_same_steps_and_another_seed_others(self) -> None:
         def steps(seed: int) -> list[Step]:
-            return draw(seed, seconds=20.0, boxes=4, replicas=9, zones=2)
+            return draw(seed, seconds=20.0, boxes=4, replicas=9, failure_domains=2)
 
         self.assertEqual(steps(1), steps(1))
         self.assertNotEqual(steps(1), steps(2))
@@ -189,7 +189,7 @@
         steps = [
             item
             for seed in range(20)
-            for item in draw(seed, seconds=20, boxes=4, replicas=9, zones=2)
+            for item in draw(seed, seconds=20, boxes=4, replicas=9, failure_domains=2)
         ]
         self.assertEqual(set(FaultKind), {item.kind for item in steps})
         pairs = itertools.pairwise(steps)
@@ -203,22 +203,22 @@
 
 
 class Zones(testtools.TestCase):
-    def problems(self, began: float, zone: str = 'north', steps: tuple[Step, ...] = ()) -> int:
-        """Return how many problems a run shows while a zone is taken out from 10 to 20 s."""
-        out = [ZoneOut('north', 10.0, 20.0)]
-        found = checks.zones_out_get_nothing([run(began)], out, lambda name: zone, list(steps))
+    def problems(self, began: float, failure_domain: str = 'north', steps: tuple[Step, ...] = ()) -> int:
+        """Return how many problems a run shows with a failure domain out from 10 to 20 s."""
+        out = [FailureDomainOut('north', 10.0, 20.0)]
+        found = checks.failure_domains_out_get_nothing([run(began)], out, lambda name: failure_domain, list(steps))
         return len(found)
 
     def test_new_work_in_a_zone_that_is_out_is_seen_once_all_should_know(self) -> None:
         self.assertEqual([0, 1, 1, 0], [self.problems(at) for at in (12.9, 13.1, 19.9, 20.1)])
-        self.assertEqual(0, self.problems(15.0, zone='south'))
+        self.assertEqual(0, self.problems(15.0, failure_domain='south'))
 
     def test_faults_excuse_it_for_a_while(self) -> None:
         self.assertEqual(0, self.problems(15.0, steps=(step(FaultKind.STORE_DOWN, 9.0),)))
         self.assertEqual(1, self.problems(19.5, steps=(step(FaultKind.STORE_DOWN, 9.0),)))
 
     def test_taking_zones_out_leaves_what_a_seed_meant_as_it_was(self) -> None:
-        steps = draw(57, seconds=20.0, boxes=4, replicas=9, zones=2)
+        steps = draw(57, seconds=20.0, boxes=4, replicas=9, failure_domains=2)
         others = [item for item in steps if item.kind not in OWN_STREAMS]
         first = [(item.at_s, item.kind.value, item.target) for item in others[:3]]
         self.assertEqual(FIRST_OF_57, first)
--- a/tools/soak/tests/limits_tests.py
+++ b/tools/soak/tests/limits_tests.py
@@ -19,7 +19,7 @@
             world = World(boxes=0)
             self.addCleanup(shutil.rmtree, world.folder)
             replica = SoakReplica(
-                name='i-6-1', service='engine', zone='a', clock=world.now, runs=[], handles={}
+                name='i-6-1', service='engine', failure_domain='a', clock=world.now, runs=[], handles={}
             )
             step = Step(0.0, FaultKind.REPLICA_LIMITS, 6, 0.1, LinkMode.PASS)
             limiting = asyncio.create_task(world.limit(step, replica))
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -26,7 +26,7 @@
 from testkit.ports import free_ports
 from tools.soak.boxes import BoxProcess
 from tools.soak.links import Link
-from tools.soak.records import LimitNamed, Run, StopSeen, ZoneOut
+from tools.soak.records import LimitNamed, Run, StopSeen, FailureDomainOut
 from tools.soak.schedule import FaultKind, LinkMode
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
 SERVICES = ('engine', 'look', 'desk')
 REPLICAS_A_SERVICE = 3
 REPLICAS = len(SERVICES) * REPLICAS_A_SERVICE
-ZONES = ('north', 'south')
+FAILURE_DOMAINS = ('north', 'south')
 DOWN_S = 0.5
 LONGEST_RUN_S = 0.06
 """How long a request runs that ends its replica: an engine has given its head then, or two events.
@@ -62,7 +62,7 @@
     def __init__(self, *, number: int, link: Link) -> None:
         self.number = number
         self.service = SERVICES[number % len(SERVICES)]
-        self.zone = ZONES[number % len(ZONES)]
+        self.failure_domain = FAILURE_DOMAINS[number % len(FAILURE_DOMAINS)]
         self.link = link
         self.life = 0
         self.replica: SoakReplica | None = None
@@ -86,8 +86,8 @@
         self.handles: dict[str, str] = {}
         self.drained: dict[str, float] = {}
         self.stops: list[StopSeen] = []
-        self.zones_out: list[ZoneOut] = []
-        self.zones_out_now: set[str] = set()
+        self.failure_domains_out: list[FailureDomainOut] = []
+        self.failure_domains_out_now: set[str] = set()
         self.limits_named: list[LimitNamed] = []
         self.ends: dict[str, list[float]] = {}
         self.ending: set[asyncio.Task[None]] = set()
@@ -137,9 +137,9 @@
         """Write a box's settings with ports that were free a moment ago."""
         frontend, ready, *internal = free_ports(4)
         peers, metrics = sorted(internal)
-        zone = ZONES[box.number % len(ZONES)]
+        failure_domain = FAILURE_DOMAINS[box.number % len(FAILURE_DOMAINS)]
         ports = (frontend, ready, peers, metrics)
-        box.path.write_text(soak_settings(f'box-{box.number}', zone, ports, store))
+        box.path.write_text(soak_settings(f'box-{box.number}', failure_domain, ports, store))
         box.frontend = f'127.0.0.1:{frontend}'
 
     async def enter_replica(self, slot: Slot, name: str | None = None) -> None:
@@ -148,7 +148,7 @@
         slot.replica = SoakReplica(
             name=name or f'i-{slot.number}-{slot.life}',
             service=slot.service,
-            zone=slot.zone,
+            failure_domain=slot.failure_domain,
             clock=self.now,
             runs=self.runs,
             handles=self.handles,
@@ -189,7 +189,7 @@
         spec = {
             'service': slot.service,
             'address': slot.link.address,
-            'zone': slot.zone,
+            'zone': slot.failure_domain,
             'version': '1',
             'slots': 8,
             'state': state,
@@ -250,8 +250,8 @@
                 await self.limit(step, self.slots[step.target].replica)
             case FaultKind.FOREIGN_ENTRY:
                 await self.write_foreign(step)
-            case FaultKind.ZONE_OUT:
-                await self.take_zone_out(ZONES[step.target], step.for_s)
+            case FaultKind.FAILURE_DOMAIN_OUT:
+                await self.take_failure_domain_out(FAILURE_DOMAINS[step.target], step.for_s)
             case FaultKind.DEADLY_REQUEST:
                 # Its callers send it; the replicas that run it end by themselves.
                 pass
@@ -267,17 +267,17 @@
         away_s, again_s = rng.uniform(0.1, MOST_AWAY_S), rng.uniform(0.0, MOST_AGAIN_S)
         await self.store.go_back(copy, away_s, again_s)
 
-    async def take_zone_out(self, zone: str, for_s: float) -> None:
-        """Take a zone out for a while, unless it is out already."""
-        if zone in self.zones_out_now:
+    async def take_failure_domain_out(self, failure_domain: str, for_s: float) -> None:
+        """Take a failure domain out for a while, unless it is out already."""
+        if failure_domain in self.failure_domains_out_now:
             return
-        self.zones_out_now.add(zone)
+        self.failure_domains_out_now.add(failure_domain)
         began = self.now()
-        self.store.put(names.EVACUATION_KIND, zone, {})
+        self.store.put(names.EVACUATION_KIND, failure_domain, {})
         await asyncio.sleep(for_s)
-        self.store.delete(names.EVACUATION_KIND, zone)
-        self.zones_out.append(ZoneOut(zone, began, self.now()))
-        self.zones_out_now.discard(zone)
+        self.store.delete(names.EVACUATION_KIND, failure_domain)
+        self.failure_domains_out.append(FailureDomainOut(failure_domain, began, self.now()))
+        self.failure_domains_out_now.discard(failure_domain)
 
     async def write_foreign(self, step: Step) -> None:
         """Have another writer's entry, which names no replica, stand among the replicas'."""
@@ -310,9 +310,9 @@
             named = LimitNamed(replica.name, per_s, replica.limited_at, ended)
             self.limits_named.append(named)
 
-    def zone_of(self, replica: str) -> str:
-        """Return the zone of a replica, by the place in its name."""
-        return ZONES[int(replica.split('-')[1]) % len(ZONES)]
+    def failure_domain_of(self, replica: str) -> str:
+        """Return the failure domain of a replica, by the place in its name."""
+        return FAILURE_DOMAINS[int(replica.split('-')[1]) % len(FAILURE_DOMAINS)]
 
     async def to_link(self, step: Step, link: Link, mode: LinkMode) -> None:
         """Break one link for a while."""
