--- a/packages/core/calicopath_core/exchanges/plain.py
+++ b/packages/core/calicopath_core/exchanges/plain.py
@@ -157,7 +157,7 @@
     if all(item.id in ticket.left_out for item in context.gate.usable(ticket.service)):
         return False
     now = context.clock.monotonic()
-    return context.budgets.of(ticket.service).take(now, context.election.boxes_sharing())
+    return context.budgets.of(ticket.service).take(now, context.election.box_count())
 
 
 def check_again(context: ExchangeContext, ticket: Ticket, error: BackendError) -> None:
--- a/packages/core/calicopath_core/exchanges/streams.py
+++ b/packages/core/calicopath_core/exchanges/streams.py
@@ -287,7 +287,7 @@
         now = self.context.clock.monotonic()
         allowed = not ticket.expired(now) and ticket.sends < MAX_SENDS and ticket.may_send_again()
         budget = self.context.budgets.of(ticket.service)
-        if allowed and budget.take(now, self.context.election.boxes_sharing()):
+        if allowed and budget.take(now, self.context.election.box_count()):
             return
         reason = 'deadline-passed' if ticket.expired(now) else 'engine-failed'
         raise self.refusal(reason, None) from error
--- a/packages/core/calicopath_core/fleet/registration.py
+++ b/packages/core/calicopath_core/fleet/registration.py
@@ -97,7 +97,7 @@
         if self.feed.position is None or self.is_leaving():
             return False
         listed = self.feed.records.get(self.own.name)
-        return not isinstance(listed, BoxAddress) or listed.life != self.own.life
+        return not isinstance(listed, BoxAddress) or listed.incarnation != self.own.incarnation
 
     def spread_s(self) -> float:
         """Return over what time boxes write again: any number of them may be missing."""
--- a/packages/core/calicopath_core/fleet/relays.py
+++ b/packages/core/calicopath_core/fleet/relays.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from calicopath_core.fleet.contact import UNKNOWN
-from calicopath_core.scheduling.election import CANDIDATES
+from calicopath_core.scheduling.election import CANDIDATE_COUNT
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -178,7 +178,7 @@
     second, a relay 325 subscriptions.
     """
     oldest = sorted(boxes, key=lambda box: (box.small, box.order, box.name))
-    ranked = oldest[CANDIDATES:] + oldest[:CANDIDATES]
+    ranked = oldest[CANDIDATE_COUNT:] + oldest[:CANDIDATE_COUNT]
     wanted = max(LEAST_RELAYS, math.ceil(len(ranked) / BOXES_A_RELAY))
     zones: dict[str, int] = {}
     places = []
--- a/packages/core/calicopath_core/fleet/restoring.py
+++ b/packages/core/calicopath_core/fleet/restoring.py
@@ -180,6 +180,6 @@
     if isinstance(gone, Replica) and isinstance(listed, Replica):
         return listed.born <= gone.born
     if isinstance(gone, BoxAddress) and isinstance(listed, BoxAddress):
-        return listed.life == gone.life
+        return listed.incarnation == gone.incarnation
     # The revision at which a zone was taken out tells one time from another.
     return isinstance(gone, Evacuation) and gone == listed
--- a/packages/core/calicopath_core/fleet/tests/lives_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/lives_tests.py
@@ -8,7 +8,7 @@
 
 from calicopath_core.exchanges.balancer import Balancer
 from calicopath_core.fleet.replicas import Replica, ReplicaTable
-from calicopath_core.scheduling.engines import EngineBoard
+from calicopath_core.scheduling.engines import EnginePool
 from calicopath_core.scheduling.messages import Prompt, PromptPart
 from calicopath_core.scheduling.stages import StageQueue
 from calicopath_core.scheduling.tests.work import SPEC, job
@@ -26,7 +26,7 @@
         self.balancer = Balancer(
             replicas=self.table, gate=new_gate(self.table), zone='north', rng=random.Random(1)
         )
-        self.board = EngineBoard(slots=2, kv_tokens=10_000)
+        self.board = EnginePool(slots=2, kv_tokens=10_000)
         self.queue = StageQueue(service='engine', spec=SPEC)
         self.table.listeners.append(self.follow)
         self.table.put(FIRST)
@@ -44,8 +44,8 @@
         item = job('j', prompt=PROMPT)
         choice = self.board.choose(item, 1.0)
         assert choice is not None
-        self.board.begin(choice, item, 1.0)
-        self.board.ended('i', 'j', failed=True, now=1.0)
+        self.board.start_run(choice, item, 1.0)
+        self.board.on_run_ended('i', 'j', failed=True, now=1.0)
         self.queue.book('i', 'handle', 1000, 1.0)
 
     def check_new(self, *, new: bool) -> None:
--- a/packages/core/calicopath_core/fleet/tests/suspension_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/suspension_tests.py
@@ -6,7 +6,7 @@
 
 from calicopath_core.clock import LOOK_S, SUSPENDED_S, SuspensionClock
 from calicopath_core.fleet.contact import UNKNOWN
-from calicopath_core.scheduling.election import SILENT_S, BoxAddress, Election
+from calicopath_core.scheduling.election import SILENCE_TIMEOUT_S, BoxAddress, Election
 from calicopath_core.scheduling.messages import Pong
 from testkit.cases import VirtualCase
 
@@ -51,11 +51,11 @@
             election.on_listed([OWN, OTHER], clock.monotonic())
             election.on_pong(pong(), clock.monotonic())
             self.assertEqual(OTHER, election.scheduler(clock.monotonic()))
-            lead[0] += 3 * SILENT_S
+            lead[0] += 3 * SILENCE_TIMEOUT_S
             await asyncio.sleep(LOOK_S)
-            self.assertFalse(election.hears('other:7', clock.monotonic()))
+            self.assertFalse(election.is_alive('other:7', clock.monotonic()))
             election.on_pong(pong(), clock.monotonic())
-            self.assertTrue(election.hears('other:7', clock.monotonic()))
+            self.assertTrue(election.is_alive('other:7', clock.monotonic()))
 
         self.run_virtual(scenario())
 
--- a/packages/core/calicopath_core/scheduling/admission.py
+++ b/packages/core/calicopath_core/scheduling/admission.py
@@ -13,27 +13,27 @@
     from calicopath_core.scheduling.jobs import Job
     from calicopath_core.scheduling.stages import StageQueue
 
-FIRST_TOKEN_S = 0.1
+FIRST_TOKEN_LATENCY_S = 0.1
 """What an engine takes from the end of the prompt to the first event, and the way there."""
 
-MIN_RETRY_S = 0.4
-RETRY_SHARE = 0.3
+MIN_RETRY_AFTER_S = 0.4
+MAX_RETRY_SHARE = 0.3
 """When a refused caller should come back: after what is missing, within this share of its time
 left; the users' clients wait at most a third of it."""
 
-RETRY_SPREAD = 0.5
+RETRY_JITTER_SHARE = 0.5
 """By how much of the wait returns are spread."""
 
-CRC_END = 2**32
-LEAST_RATE = 0.1
+CRC32_RANGE = 2**32
+MIN_PIECES_PER_S = 0.1
 """Pieces a second that a stage is taken to make at least, where all its replicas are gone."""
 
 BIAS_SMOOTHING = 0.05
-LEAST_BIAS, MOST_BIAS = 0.6, 2.0
+MIN_BIAS, MAX_BIAS = 0.6, 2.0
 """How the estimate follows what is measured, and how far."""
 
 
-class Verdict(NamedTuple):
+class AdmissionDecision(NamedTuple):
     """Hold whether a job is let in, what it is expected to take, and when to come back."""
 
     admitted: bool
@@ -47,47 +47,47 @@
     def __init__(self) -> None:
         self.bias = 1.0
 
-    def judge(
+    def decide(
         self,
         job: Job,
         others: Iterable[Job],
         queues: Mapping[str, StageQueue],
         engine_s: float,
         now: float,
-    ) -> Verdict:
+    ) -> AdmissionDecision:
         """Say whether a job is let in: if it can be made before its deadline, late or not.
 
         Those that will be late give way to those in time, so that they cost these little. To turn
         away what is expected to be late by a quarter loses 0.02 to 0.03 of the mean worth of days
         with faults where stages are scarce, since most of those who come back are late.
         """
-        stages_s = self.stages_s(job, others, queues, now)
-        expected_s = stages_s * self.bias + engine_s + FIRST_TOKEN_S
-        job.expected_s = stages_s
+        stages_duration_s = self.stages_duration_s(job, others, queues, now)
+        expected_s = stages_duration_s * self.bias + engine_s + FIRST_TOKEN_LATENCY_S
+        job.expected_s = stages_duration_s
         left_s = job.deadline_at - now
         if job.resumed or not job.place.phases or expected_s <= left_s:
-            return Verdict(True, expected_s)
-        return Verdict(False, expected_s, self.return_s(job, expected_s - left_s, now))
+            return AdmissionDecision(True, expected_s)
+        return AdmissionDecision(False, expected_s, self.retry_after_s(job, expected_s - left_s, now))
 
-    def room_in_s(
+    def backlog_wait_s(
         self, job: Job, others: Iterable[Job], queues: Mapping[str, StageQueue], now: float
     ) -> float:
         """Return in how many seconds what waits before a job will have been made."""
         ahead = backlog(job, others, now)
         services = {phase.service for phase in job.place.phases} & queues.keys() & ahead.keys()
-        waits = [ahead[name] / max(LEAST_RATE, queues[name].rate()) for name in services]
+        waits = [ahead[name] / max(MIN_PIECES_PER_S, queues[name].rate()) for name in services]
         return max(waits, default=0.0)
 
-    def return_s(self, job: Job, wait_s: float, now: float) -> float:
+    def retry_after_s(self, job: Job, wait_s: float, now: float) -> float:
         """Return when a refused caller should come back: when there is room, each a little apart.
 
         Callers that were refused together would come back as one burst, and be refused again.
         """
-        longest_s = max(MIN_RETRY_S, RETRY_SHARE * (job.deadline_at - now))
-        draw = zlib.crc32(job.id.encode()) / CRC_END
-        return min(longest_s, max(MIN_RETRY_S, wait_s) * (1 + RETRY_SPREAD * draw))
+        max_wait_s = max(MIN_RETRY_AFTER_S, MAX_RETRY_SHARE * (job.deadline_at - now))
+        jitter = zlib.crc32(job.id.encode()) / CRC32_RANGE
+        return min(max_wait_s, max(MIN_RETRY_AFTER_S, wait_s) * (1 + RETRY_JITTER_SHARE * jitter))
 
-    def stages_s(
+    def stages_duration_s(
         self, job: Job, others: Iterable[Job], queues: Mapping[str, StageQueue], now: float
     ) -> float:
         """Return what a job's stages take: the longest chain, behind the slowest backlog."""
@@ -105,7 +105,7 @@
             pieces = max(phase.pieces, round(queue.spec.batch * USUAL_FILL))
             done_at[number] = begin_s + queue.expected_s(min(pieces, queue.spec.batch))
             waits.append(
-                (ahead.get(phase.service, 0) + phase.pieces) / max(LEAST_RATE, queue.rate())
+                (ahead.get(phase.service, 0) + phase.pieces) / max(MIN_PIECES_PER_S, queue.rate())
             )
         return max(done_at.values(), default=0.0) + max(waits)
 
@@ -113,11 +113,11 @@
         """Correct the estimate by what a job's stages have taken."""
         if job.expected_s > 0:
             self.bias += BIAS_SMOOTHING * (took_s / job.expected_s - self.bias)
-            self.take_over(self.bias)
+            self.set_bias(self.bias)
 
-    def take_over(self, bias: float) -> None:
+    def set_bias(self, bias: float) -> None:
         """Go by a correction within its bounds."""
-        self.bias = min(MOST_BIAS, max(LEAST_BIAS, bias))
+        self.bias = min(MAX_BIAS, max(MIN_BIAS, bias))
 
 
 def backlog(job: Job, others: Iterable[Job], now: float) -> dict[str, int]:
@@ -126,7 +126,7 @@
     Jobs that are late give way to those in time. Were they counted, new jobs would be turned away
     for the sake of late ones, and a backlog would keep itself alive long after its cause.
     """
-    found: dict[str, int] = {}
+    pieces_by_service: dict[str, int] = {}
     for other in others:
         if other is job or other.placed_on is not None or outranks(job, other):
             continue
@@ -135,8 +135,8 @@
         for number, phase in enumerate(other.place.phases):
             pieces = other.uncalled[number]
             if pieces:
-                found[phase.service] = found.get(phase.service, 0) + pieces
-    return found
+                pieces_by_service[phase.service] = pieces_by_service.get(phase.service, 0) + pieces
+    return pieces_by_service
 
 
 def outranks(job: Job, other: Job) -> bool:
--- a/packages/core/calicopath_core/scheduling/baseline.py
+++ b/packages/core/calicopath_core/scheduling/baseline.py
@@ -6,7 +6,7 @@
 
 from calicopath_core.fleet.contact import STEADY
 from calicopath_core.scheduling.election import Election
-from calicopath_core.scheduling.engines import EngineBoard, EngineChoice
+from calicopath_core.scheduling.engines import EnginePool, EngineChoice
 
 if TYPE_CHECKING:
     import random
@@ -16,21 +16,21 @@
     from calicopath_core.scheduling.jobs import Job
 
 
-class AloneElection(Election):
+class StandaloneElection(Election):
     """Take no other box for the scheduler."""
 
-    def pinged(self, now: float) -> list[Candidate]:
+    def candidates_to_ping(self, now: float) -> list[Candidate]:
         """Return nobody."""
         return []
 
     def scheduler(
-        self, now: float, own: StoreContact = STEADY, *, knows: bool = True
+        self, now: float, own_contact: StoreContact = STEADY, *, has_configuration: bool = True
     ) -> BoxAddress:
         """Return this box."""
         return self.own
 
 
-class RandomEngineBoard(EngineBoard):
+class RandomEnginePool(EnginePool):
     """Choose any engine that has a slot, whatever it has to do."""
 
     def __init__(self, *, slots: int, kv_tokens: int, rng: random.Random) -> None:
--- a/packages/core/calicopath_core/scheduling/client.py
+++ b/packages/core/calicopath_core/scheduling/client.py
@@ -141,7 +141,7 @@
         """See who schedules now."""
         now = self.clock.monotonic()
         knows = self.knows()
-        target = self.election.scheduler(now, self.contact(), knows=knows).address
+        target = self.election.scheduler(now, self.contact(), has_configuration=knows).address
         if target == self.target:
             return
         self.target = target
@@ -164,7 +164,7 @@
             if not asked.answer.done()
             and asked.targets
             and asked.targets[-1] != self.target
-            and not self.election.hears(asked.targets[-1], now)
+            and not self.election.is_alive(asked.targets[-1], now)
         ]
 
     def ask_again(self) -> None:
--- a/packages/core/calicopath_core/scheduling/boards.py
+++ b/packages/core/calicopath_core/scheduling/engine_pools.py
@@ -6,8 +6,8 @@
 
 from calicopath_core.permits.holder import NoLimits, PermitLender
 from calicopath_core.scheduling.backoffs import FleetBackoffs
-from calicopath_core.scheduling.engines import EngineBoard
-from calicopath_core.scheduling.starts import bound_of
+from calicopath_core.scheduling.engines import EnginePool
+from calicopath_core.scheduling.starts import start_limit_of
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -17,7 +17,7 @@
     from calicopath_core.scheduling.starts import WarmupTerms
 
 
-class EngineBoards(dict[str, EngineBoard]):
+class EnginePools(dict[str, EnginePool]):
     """Hold a board for each service of engines, by its name."""
 
     def __init__(
@@ -25,7 +25,7 @@
         *,
         salt: str,
         warmup: WarmupTerms,
-        new_board: Callable[[EngineSpec], EngineBoard] | None = None,
+        pool_factory: Callable[[EngineSpec], EnginePool] | None = None,
         permits: PermitLender | None = None,
     ) -> None:
         super().__init__()
@@ -33,11 +33,11 @@
         self.salt = salt
         self.warmup = warmup
         self.backoffs = FleetBackoffs()
-        self.new_board = new_board or self.board_of
+        self.pool_factory = pool_factory or self.create_pool
 
-    def board_of(self, spec: EngineSpec) -> EngineBoard:
+    def create_pool(self, spec: EngineSpec) -> EnginePool:
         """Return the board of a service's engines."""
-        return EngineBoard(
+        return EnginePool(
             slots=spec.slots,
             kv_tokens=spec.kv_tokens,
             salt=self.salt,
@@ -50,34 +50,34 @@
         if service.engine is None:
             return
         if service.name not in self:
-            self[service.name] = self.new_board(service.engine)
-        bound = bound_of(service.warmup, self.warmup) if service.warmup else None
-        self[service.name].bound = bound
+            self[service.name] = self.pool_factory(service.engine)
+        start_limit = start_limit_of(service.warmup, self.warmup) if service.warmup else None
+        self[service.name].start_limit = start_limit
 
     def set_replicas(
         self, replicas: ReplicaTable, share_of: Callable[[list[Replica]], list[Replica]]
     ) -> None:
         """Take in which engines there are, and which of them may be chosen."""
-        for name, board in self.items():
-            board.set_replicas(share_of(replicas.usable(name)), replicas.replicas)
+        for name, pool in self.items():
+            pool.set_replicas(share_of(replicas.usable(name)), replicas.replicas)
 
-    def on_take_up(self, now: float) -> None:
+    def on_activated(self, now: float) -> None:
         """Note that another box may place runs a moment longer."""
-        for board in self.values():
-            board.on_take_up(now)
+        for pool in self.values():
+            pool.on_activated(now)
 
-    def forget_lost(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drop runs whose end was never told."""
-        for board in self.values():
-            board.forget_lost(now)
+        for pool in self.values():
+            pool.expire_lost_runs(now)
         self.backoffs.expire(now)
 
     def loads(self) -> dict[str, float]:
         """Return the work that waits at each engine, in seconds."""
-        return {name: load_s for board in self.values() for name, load_s in board.loads().items()}
+        return {name: load_s for pool in self.values() for name, load_s in pool.loads().items()}
 
     def on_foreign_loads(self, sender: str, loads: dict[str, float], now: float) -> None:
         """Count work that another scheduler has placed, for about as long as it takes."""
-        for board in self.values():
+        for pool in self.values():
             for replica_id, load_s in loads.items():
-                board.on_foreign_load(sender, replica_id, load_s, now)
+                pool.on_foreign_load(sender, replica_id, load_s, now)
--- a/packages/core/calicopath_core/scheduling/engine_queue.py
+++ b/packages/core/calicopath_core/scheduling/engine_queue.py
@@ -20,8 +20,8 @@
 class EngineQueue:
     """Hold waiting jobs; `engine_s` tells what an engine takes to a job's first event."""
 
-    def __init__(self, *, engine_s: Callable[[Job], float]) -> None:
-        self.engine_s = engine_s
+    def __init__(self, *, first_event_s: Callable[[Job], float]) -> None:
+        self.first_event_s = first_event_s
         self.jobs: dict[str, Job] = {}
 
     def __len__(self) -> int:
@@ -41,10 +41,10 @@
 
     def rank(self, job: Job, now: float) -> Rank:
         """Return by what a job is served, least first: as pieces are that wait for calls."""
-        return rank_job(job, job.objective_at - now - self.engine_s(job))
+        return rank_job(job, job.objective_at - now - self.first_event_s(job))
 
-    def hopeless(self, now: float) -> Iterator[Job]:
+    def infeasible(self, now: float) -> Iterator[Job]:
         """Yield the jobs that no engine can begin to answer before their deadline any more."""
         for job in list(self.jobs.values()):
-            if now + self.engine_s(job) > job.deadline_at:
+            if now + self.first_event_s(job) > job.deadline_at:
                 yield job
--- a/packages/core/calicopath_core/scheduling/engines.py
+++ b/packages/core/calicopath_core/scheduling/engines.py
@@ -8,7 +8,7 @@
 
 from calicopath_core.permits.holder import NoLimits, PermitLender
 from calicopath_core.scheduling.backoffs import FleetBackoffs
-from calicopath_core.scheduling.starts import WINDOW_S, Starts
+from calicopath_core.scheduling.starts import START_WINDOW_S, RecentStarts
 
 if TYPE_CHECKING:
     from collections.abc import Container, Iterable
@@ -16,46 +16,46 @@
     from calicopath_core.fleet.replicas import Replica
     from calicopath_core.scheduling.jobs import Job, Result
     from calicopath_core.scheduling.messages import Prompt
-    from calicopath_core.scheduling.starts import StartBound
+    from calicopath_core.scheduling.starts import StartLimit
 
-PREFILL_S_A_TOKEN = 1 / 32_400
+PREFILL_S_PER_TOKEN = 1 / 32_400
 """What reading a prompt token takes: engines that read 32 to 38 tokens a ms are known."""
 
-DECODE_S_A_TOKEN = 0.00005
+DECODE_S_PER_TOKEN = 0.00005
 """What one generated token costs those beside it: a step grows by 4 us for each run and by 9 us for
 each thousand tokens that the run holds. Counted as a share of the whole step, 0.3 ms, engines with
 many streams seemed to have no time: the mean worth of days with faults was 0.03 lower."""
 
-CROSSING_S_A_BYTE = 0.1 / 1_000_000
+TRANSFER_COST_S_PER_BYTE = 0.1 / 1_000_000
 """What moving a result between zones counts as: 100 ms a megabyte. Mean worth is the same to within
 0.01 from 40 to 150 ms."""
 
-REREAD_S_A_TOKEN = 0.15 / 1000
+RECOMPUTE_COST_S_PER_TOKEN = 0.15 / 1000
 """What reading a shared prompt part again counts as that another engine keeps: the users price a
 thousand tokens like 3.6 MB between zones. It leads the choice only while there is time for it."""
 
-KEPT_S = 9.0
+PREFIX_CACHE_TTL_S = 9.0
 """How long after its last use an engine is believed to keep a part; the users price what is read
 again within 9.1 to 9.6 s."""
 
-TIME_SHARE = 0.3
+LATENCY_BUDGET_SHARE = 0.3
 """The part of the time left that an engine may need for prices to decide; beyond it, time does."""
 
-HURRIED_SHARE = 0.3
+OVER_BUDGET_COST_WEIGHT = 0.3
 """The part of its price that counts for an engine when there is no time to wait for a cheap one."""
 
-TOO_LATE_S = 10.0
+OVER_BUDGET_PENALTY_S = 10.0
 """Sorts engines that need more time than that behind those that don't."""
 
-EJECT_S = 2.0
-MAX_EJECT_S = 10.0
+BASE_EJECTION_S = 2.0
+MAX_EJECTION_S = 10.0
 """How long an engine that failed a run is left alone; doubled with each failure in a row."""
 
-LOST_RUN_S = 30.0
+LOST_RUN_TIMEOUT_S = 30.0
 """A run not heard of for this long is forgotten; longer than any deadline of the users."""
 
 
-FOREIGN_S = 1.0
+MIN_FOREIGN_LOAD_TTL_S = 1.0
 """How long the work that a leaving scheduler has placed is counted at least: prompts are read by
 then, or told of no more."""
 
@@ -68,32 +68,32 @@
 
     prefill_s: float
     decode_s: float
-    until: float
+    expires_at: float
 
 
-class Kept(NamedTuple):
+class CachedPart(NamedTuple):
     """Hold a prompt part that an engine keeps; `used_at` is in monotonic seconds."""
 
     tokens: int
-    used_at: float
+    last_used_at: float
 
 
-class PartKeys(NamedTuple):
+class PromptKeys(NamedTuple):
     """Hold by what a prompt's parts are known, with their lengths in tokens, and its length."""
 
     keys: tuple[tuple[str, int], ...]
     tokens_in: int
 
     @property
-    def shared(self) -> tuple[tuple[str, int], ...]:
+    def shared_keys(self) -> tuple[tuple[str, int], ...]:
         """Return the parts that other requests may have too: all but the request's own."""
         return self.keys[:-1]
 
 
-def part_keys(prompt: Prompt) -> PartKeys:
+def prompt_keys(prompt: Prompt) -> PromptKeys:
     """Return by what a prompt's parts are known: a part is kept for one model."""
     keys = tuple((f'{prompt.model}/{part.id}', part.tokens) for part in prompt.parts)
-    return PartKeys(keys, prompt.tokens_in)
+    return PromptKeys(keys, prompt.tokens_in)
 
 
 class Engine:
@@ -104,22 +104,22 @@
 
     def __init__(self, *, replica: Replica, draw: int = 0) -> None:
         self.replica = replica
-        self.draw = draw
+        self.tie_breaker = draw
         self.runs: dict[str, Run] = {}
         self.load_s = 0.0
-        self.cached: OrderedDict[str, Kept] = OrderedDict()
+        self.cached_parts: OrderedDict[str, CachedPart] = OrderedDict()
         self.cached_tokens = 0
         self.failures = 0
         self.ejected_until = 0.0
-        self.starts = Starts()
+        self.recent_starts = RecentStarts()
 
-    def put_run(self, job_id: str, run: Run) -> None:
+    def add_run(self, job_id: str, run: Run) -> None:
         """Count a run in place of one of that name; `load_s` is the work that waits here."""
-        self.drop_run(job_id)
+        self.remove_run(job_id)
         self.runs[job_id] = run
         self.load_s += run.prefill_s + run.decode_s
 
-    def drop_run(self, job_id: str) -> None:
+    def remove_run(self, job_id: str) -> None:
         """Count a run no more."""
         run = self.runs.pop(job_id, None)
         if run is not None:
@@ -128,35 +128,35 @@
             # What sums of fractions leave over must not add up over days.
             self.load_s = 0.0
 
-    def may_begin(self, bound: StartBound | None, now: float) -> bool:
+    def can_start_run(self, limit: StartLimit | None, now: float) -> bool:
         """Tell whether one more run may begin here now."""
-        if bound is None:
+        if limit is None:
             return True
-        return self.starts.count(now) < (bound.cold if self.replica.cold else bound.warm)
+        return self.recent_starts.count(now) < (limit.cold if self.replica.cold else limit.warm)
 
-    def uncached(self, parts: PartKeys) -> int:
+    def uncached_tokens(self, prompt: PromptKeys) -> int:
         """Return the prompt tokens that would have to be read."""
-        kept = 0
-        for key, tokens in parts.keys:
-            if key not in self.cached:
+        cached_tokens = 0
+        for key, tokens in prompt.keys:
+            if key not in self.cached_parts:
                 break
-            kept += tokens
-        return max(0, parts.tokens_in - kept)
+            cached_tokens += tokens
+        return max(0, prompt.tokens_in - cached_tokens)
 
-    def remember(self, parts: PartKeys, capacity: int, now: float) -> None:
+    def record_cached(self, prompt: PromptKeys, capacity: int, now: float) -> None:
         """Note the parts that the engine holds once it has read a prompt."""
-        for key, tokens in parts.keys:
-            if key not in self.cached:
+        for key, tokens in prompt.keys:
+            if key not in self.cached_parts:
                 self.cached_tokens += tokens
-            self.cached[key] = Kept(tokens, now)
-            self.cached.move_to_end(key)
-        while self.cached_tokens > capacity and self.cached:
-            self.cached_tokens -= self.cached.popitem(last=False)[1].tokens
+            self.cached_parts[key] = CachedPart(tokens, now)
+            self.cached_parts.move_to_end(key)
+        while self.cached_tokens > capacity and self.cached_parts:
+            self.cached_tokens -= self.cached_parts.popitem(last=False)[1].tokens
 
-    def keeps(self, key: str, now: float) -> bool:
+    def has_cached(self, key: str, now: float) -> bool:
         """Tell whether the engine is believed to keep a part that was used lately."""
-        kept = self.cached.get(key)
-        return kept is not None and now - kept.used_at < KEPT_S
+        part = self.cached_parts.get(key)
+        return part is not None and now - part.last_used_at < PREFIX_CACHE_TTL_S
 
 
 class EngineChoice(NamedTuple):
@@ -166,7 +166,7 @@
     cost_s: float
 
 
-class EngineBoard:
+class EnginePool:
     """Hold the engines of one service.
 
     `salt` orders engines that cost the same: boxes that schedule without knowing of each other
@@ -186,11 +186,11 @@
         self.backoffs = backoffs or FleetBackoffs()
         self.slots = slots
         self.salt = salt
-        self.bound: StartBound | None = None
-        self.alone_from = 0.0
+        self.start_limit: StartLimit | None = None
+        self.exclusive_from = 0.0
         self.kv_tokens = kv_tokens
         self.engines: dict[str, Engine] = {}
-        self.known: dict[str, Engine] = {}
+        self.known_engines: dict[str, Engine] = {}
 
     def set_replicas(self, usable: Iterable[Replica], alive: Container[str] = ()) -> None:
         """Take in which engines may be chosen; of those that are only `alive` what is known stays.
@@ -199,78 +199,78 @@
         given back both count, or its first jobs would go where most is at work.
         """
         listed = {replica.id: replica for replica in usable}
-        self.known = {name: item for name, item in self.known.items() if name in alive}
+        self.known_engines = {name: item for name, item in self.known_engines.items() if name in alive}
         for name, replica in listed.items():
-            engine = self.known.get(name) or self.engines.get(name) or self.new_engine(replica)
+            engine = self.known_engines.get(name) or self.engines.get(name) or self.create_engine(replica)
             engine.replica = replica
-            self.known[name] = engine
-        order = sorted(listed, key=lambda name: self.known[name].draw)
-        self.engines = {name: self.known[name] for name in order}
+            self.known_engines[name] = engine
+        order = sorted(listed, key=lambda name: self.known_engines[name].tie_breaker)
+        self.engines = {name: self.known_engines[name] for name in order}
 
-    def new_engine(self, replica: Replica) -> Engine:
+    def create_engine(self, replica: Replica) -> Engine:
         """Return an engine of which nothing is known."""
         return Engine(replica=replica, draw=zlib.crc32(f'{self.salt}/{replica.id}'.encode()))
 
-    def on_take_up(self, now: float) -> None:
+    def on_activated(self, now: float) -> None:
         """Note that another box may have placed runs until now, and may do so a moment longer."""
-        self.alone_from = now + WINDOW_S
+        self.exclusive_from = now + START_WINDOW_S
 
-    def bound_now(self, now: float) -> StartBound | None:
+    def current_start_limit(self, now: float) -> StartLimit | None:
         """Return how many runs this scheduler may let begin at an engine."""
-        if self.bound is None or now >= self.alone_from:
-            return self.bound
-        return self.bound.shared()
+        if self.start_limit is None or now >= self.exclusive_from:
+            return self.start_limit
+        return self.start_limit.per_scheduler()
 
-    def serves(self, job: Job) -> bool:
+    def has_engine_for(self, job: Job) -> bool:
         """Tell whether there is an engine at all that a job may run on."""
         return any(name not in job.place.exclude for name in self.engines)
 
     def choose(self, job: Job, now: float) -> EngineChoice | None:
         """Return the engine that costs least, all its work and all transfers counted."""
         inputs = job.final_results()
-        bound = self.bound_now(now)
+        start_limit = self.current_start_limit(now)
         usable = [
             engine
             for engine in self.engines.values()
             if len(engine.runs) < self.slots
             and engine.replica.id not in job.place.exclude
-            and engine.may_begin(bound, now)
-            and self.may_take(engine, job, now)
+            and engine.can_start_run(start_limit, now)
+            and self.accepts_run(engine, job, now)
         ]
         healthy = [engine for engine in usable if self.is_healthy(engine, now)]
         candidates = healthy or usable
         if not candidates:
             return None
-        parts = part_keys(job.place.prompt)
-        kept = self.kept_elsewhere(parts, now)
-        left_s = (job.objective_at - now) * TIME_SHARE
+        prompt = prompt_keys(job.place.prompt)
+        cached_keys = self.cached_shared_keys(prompt, now)
+        latency_budget_s = (job.objective_at - now) * LATENCY_BUDGET_SHARE
         costs = []
         for engine in candidates:
-            time_s = self.time_s(engine, parts)
-            price_s = self.price_s(engine, parts, inputs, kept, now)
-            if time_s > left_s:
-                price_s = TOO_LATE_S + HURRIED_SHARE * price_s
-            costs.append((time_s + price_s, time_s, engine))
-        _, time_s, engine = min(costs, key=lambda item: item[0])
-        return EngineChoice(engine, time_s)
-
-    def may_take(self, engine: Engine, job: Job, now: float) -> bool:
+            first_event_s = self.first_event_s(engine, prompt)
+            transfer_cost_s = self.transfer_cost_s(engine, prompt, inputs, cached_keys, now)
+            if first_event_s > latency_budget_s:
+                transfer_cost_s = OVER_BUDGET_PENALTY_S + OVER_BUDGET_COST_WEIGHT * transfer_cost_s
+            costs.append((first_event_s + transfer_cost_s, first_event_s, engine))
+        _, first_event_s, engine = min(costs, key=lambda item: item[0])
+        return EngineChoice(engine, first_event_s)
+
+    def accepts_run(self, engine: Engine, job: Job, now: float) -> bool:
         """Tell whether an engine takes a run from a job's box now."""
         replica = engine.replica.id
-        barred = self.backoffs.bars(job.place.reply_to, replica, now)
-        if barred or self.backoffs.in_trial(replica, now):
+        backing_off = self.backoffs.is_backing_off(job.place.reply_to, replica, now)
+        if backing_off or self.backoffs.in_trial(replica, now):
             return False
         return self.permits.opens_in_s(engine.replica) <= 0
 
     def is_healthy(self, engine: Engine, now: float) -> bool:
         """Tell whether an engine has neither failed nor turned away runs of late."""
-        shunned = self.backoffs.is_shunned(engine.replica.id, now)
-        return engine.ejected_until <= now and not shunned
+        avoided = self.backoffs.is_avoided(engine.replica.id, now)
+        return engine.ejected_until <= now and not avoided
 
-    def first_back_s(self, job: Job, now: float) -> float:
+    def min_backoff_s(self, job: Job, now: float) -> float:
         """Return when the first engine takes a run from a job's box, 0 for now."""
-        names = (name for name in self.engines if name not in job.place.exclude)
-        return self.backoffs.first_back_s(job.place.reply_to, names, now)
+        replica_ids = (name for name in self.engines if name not in job.place.exclude)
+        return self.backoffs.min_remaining_s(job.place.reply_to, replica_ids, now)
 
     def permit_wait_s(self, job: Job, ahead: int) -> float:
         """Return when the first engine may be called for a job, behind so many others."""
@@ -278,73 +278,73 @@
         usable = [item.replica for name, item in self.engines.items() if name not in exclude]
         return self.permits.wait_s(usable, ahead)
 
-    def least_time_s(self, job: Job, now: float) -> float:
+    def min_first_event_s(self, job: Job, now: float) -> float:
         """Return when the first event of a job would come from the best engine of the moment."""
-        parts = part_keys(job.place.prompt)
+        prompt = prompt_keys(job.place.prompt)
         healthy = [item for item in self.engines.values() if item.ejected_until <= now]
         box = job.place.reply_to
         times = (
-            self.time_s(engine, parts) + self.backoffs.left_s(box, engine.replica.id, now)
+            self.first_event_s(engine, prompt) + self.backoffs.remaining_s(box, engine.replica.id, now)
             for engine in healthy
         )
         return min(times, default=0.0)
 
-    def time_s(self, engine: Engine, parts: PartKeys) -> float:
+    def first_event_s(self, engine: Engine, prompt: PromptKeys) -> float:
         """Return the seconds of work before a prompt's first event on an engine."""
-        return engine.load_s + engine.uncached(parts) * PREFILL_S_A_TOKEN
+        return engine.load_s + engine.uncached_tokens(prompt) * PREFILL_S_PER_TOKEN
 
-    def price_s(
-        self, engine: Engine, parts: PartKeys, inputs: list[Result], kept: set[str], now: float
+    def transfer_cost_s(
+        self, engine: Engine, prompt: PromptKeys, inputs: list[Result], cached_keys: set[str], now: float
     ) -> float:
         """Return what else a job costs on an engine: results moved and parts read again."""
         zone = engine.replica.zone
-        crossing = sum(item.size for item in inputs if item.zone != zone)
-        again = sum(
-            tokens for key, tokens in parts.shared if key in kept and not engine.keeps(key, now)
+        moved_bytes = sum(item.size for item in inputs if item.zone != zone)
+        recomputed_tokens = sum(
+            tokens for key, tokens in prompt.shared_keys if key in cached_keys and not engine.has_cached(key, now)
         )
-        return crossing * CROSSING_S_A_BYTE + again * REREAD_S_A_TOKEN
+        return moved_bytes * TRANSFER_COST_S_PER_BYTE + recomputed_tokens * RECOMPUTE_COST_S_PER_TOKEN
 
-    def kept_elsewhere(self, parts: PartKeys, now: float) -> set[str]:
+    def cached_shared_keys(self, prompt: PromptKeys, now: float) -> set[str]:
         """Return the shared parts of a prompt that any engine keeps."""
         engines = self.engines.values()
-        return {key for key, _ in parts.shared if any(item.keeps(key, now) for item in engines)}
+        return {key for key, _ in prompt.shared_keys if any(item.has_cached(key, now) for item in engines)}
 
-    def begin(self, choice: EngineChoice, job: Job, now: float) -> None:
+    def start_run(self, choice: EngineChoice, job: Job, now: float) -> None:
         """Count a run on its engine."""
-        engine, parts = choice.engine, part_keys(job.place.prompt)
-        prefill_s = engine.uncached(parts) * PREFILL_S_A_TOKEN
-        decode_s = job.place.prompt.tokens_out * DECODE_S_A_TOKEN
-        engine.put_run(job.id, Run(prefill_s, decode_s, now + LOST_RUN_S))
-        engine.starts.note(now)
+        engine, prompt = choice.engine, prompt_keys(job.place.prompt)
+        prefill_s = engine.uncached_tokens(prompt) * PREFILL_S_PER_TOKEN
+        decode_s = job.place.prompt.tokens_out * DECODE_S_PER_TOKEN
+        engine.add_run(job.id, Run(prefill_s, decode_s, now + LOST_RUN_TIMEOUT_S))
+        engine.recent_starts.note(now)
         self.backoffs.on_placed(engine.replica.id, now)
-        engine.remember(parts, self.kv_tokens, now)
+        engine.record_cached(prompt, self.kv_tokens, now)
 
-    def started(self, replica_id: str, job_id: str, placed_at: float, now: float) -> None:
+    def on_run_started(self, replica_id: str, job_id: str, placed_at: float, now: float) -> None:
         """Note that an engine has read a prompt, and so works well."""
         self.backoffs.on_started(replica_id, placed_at, now)
-        engine = self.known.get(replica_id)
+        engine = self.known_engines.get(replica_id)
         run = engine.runs.get(job_id) if engine else None
         if engine is None or run is None:
             return
         engine.failures = 0
-        engine.put_run(job_id, run._replace(prefill_s=0.0))
+        engine.add_run(job_id, run._replace(prefill_s=0.0))
 
-    def turned_away(self, replica_id: str, job_id: str, now: float) -> None:
+    def on_run_turned_away(self, replica_id: str, job_id: str, now: float) -> None:
         """Take a run off the engine that would not take it."""
         self.backoffs.on_turned_away(replica_id, now)
-        self.ended(replica_id, job_id, failed=False, now=now)
+        self.on_run_ended(replica_id, job_id, failed=False, now=now)
 
-    def ended(self, replica_id: str, job_id: str, *, failed: bool, now: float) -> None:
+    def on_run_ended(self, replica_id: str, job_id: str, *, failed: bool, now: float) -> None:
         """Take a run off its engine; a failure leaves the engine alone for a while."""
-        engine = self.known.get(replica_id)
+        engine = self.known_engines.get(replica_id)
         if engine is None:
             return
-        engine.drop_run(job_id)
+        engine.remove_run(job_id)
         if failed:
             engine.failures += 1
-            pause_s = min(MAX_EJECT_S, EJECT_S * 2 ** (engine.failures - 1))
-            engine.ejected_until = now + pause_s
-            engine.cached.clear()
+            ejection_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2 ** (engine.failures - 1))
+            engine.ejected_until = now + ejection_s
+            engine.cached_parts.clear()
             engine.cached_tokens = 0
 
     def loads(self) -> dict[str, float]:
@@ -355,11 +355,11 @@
         """Count work that another scheduler has placed, for about as long as it takes."""
         engine = self.engines.get(replica_id)
         if engine is not None:
-            engine.put_run(f'of {sender}', Run(load_s, 0.0, now + max(FOREIGN_S, load_s)))
+            engine.add_run(f'of {sender}', Run(load_s, 0.0, now + max(MIN_FOREIGN_LOAD_TTL_S, load_s)))
 
-    def forget_lost(self, now: float) -> None:
+    def expire_lost_runs(self, now: float) -> None:
         """Drop runs whose end was never told."""
-        for engine in self.known.values():
+        for engine in self.known_engines.values():
             for job_id, run in list(engine.runs.items()):
-                if run.until <= now:
-                    engine.drop_run(job_id)
+                if run.expires_at <= now:
+                    engine.remove_run(job_id)
--- a/packages/core/calicopath_core/scheduling/beliefs.py
+++ b/packages/core/calicopath_core/scheduling/estimates.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-FIRST_EVENT_S = 0.4
+DEFAULT_FIRST_EVENT_S = 0.4
 """What an engine is believed to take to a first event before any was seen, its queue included."""
 
-FOLLOW = 0.05
+SMOOTHING = 0.05
 """The weight of the newest observation: some twenty decide, a second or two of a busy fleet."""
 
-MOST_S = 2.0
+MAX_OBSERVATION_S = 2.0
 """An observation counts as this at most, so that one engine that hangs does not decide."""
 
 
-class Span:
+class MeanDuration:
     """Follow how long something takes, in seconds."""
 
     def __init__(self, *, prior_s: float) -> None:
@@ -20,8 +20,8 @@
 
     def learn(self, took_s: float) -> None:
         """Take an observation in."""
-        seen_s = min(MOST_S, max(0.0, took_s))
-        self.mean_s += FOLLOW * (seen_s - self.mean_s)
+        observed_s = min(MAX_OBSERVATION_S, max(0.0, took_s))
+        self.mean_s += SMOOTHING * (observed_s - self.mean_s)
 
 
 class EngineTimes:
@@ -31,23 +31,23 @@
     """
 
     def __init__(self) -> None:
-        self.spans: dict[int, Span] = {}
+        self.means: dict[int, MeanDuration] = {}
 
     def learn(self, prompt_tokens: int, took_s: float) -> None:
         """Take an observation in."""
-        size = prompt_tokens.bit_length()
-        self.spans.setdefault(size, Span(prior_s=FIRST_EVENT_S)).learn(took_s)
+        size_class = prompt_tokens.bit_length()
+        self.means.setdefault(size_class, MeanDuration(prior_s=DEFAULT_FIRST_EVENT_S)).learn(took_s)
 
     def expected_s(self, prompt_tokens: int) -> float:
         """Return what a prompt of some length is believed to take."""
-        span = self.spans.get(prompt_tokens.bit_length())
-        return FIRST_EVENT_S if span is None else span.mean_s
+        mean = self.means.get(prompt_tokens.bit_length())
+        return DEFAULT_FIRST_EVENT_S if mean is None else mean.mean_s
 
-    def known(self) -> dict[int, float]:
+    def snapshot(self) -> dict[int, float]:
         """Return what was learned, for the next scheduler."""
-        return {size: span.mean_s for size, span in self.spans.items()}
+        return {size: span.mean_s for size, span in self.means.items()}
 
-    def take_over(self, known: dict[int, float]) -> None:
+    def restore(self, snapshot: dict[int, float]) -> None:
         """Go by what another scheduler has learned of sizes that this one has not seen."""
-        for size, mean_s in known.items():
-            self.spans.setdefault(size, Span(prior_s=min(MOST_S, max(0.0, mean_s))))
+        for size, mean_s in snapshot.items():
+            self.means.setdefault(size, MeanDuration(prior_s=min(MAX_OBSERVATION_S, max(0.0, mean_s))))
--- a/packages/core/calicopath_core/scheduling/evenness.py
+++ b/packages/core/calicopath_core/scheduling/evenness.py
@@ -10,10 +10,10 @@
 
 from calicopath_core.scheduling.messages import ROUTE_PRIORITIES
 
-FOLLOW = 0.03
+SMOOTHING = 0.03
 """The weight of the newest job in the share of its rank: some thirty jobs decide."""
 
-MARGIN = 0.1
+MAX_SHARE_GAP = 0.1
 """By how much less of a rank may be in time than of the one before it. In replays of bursts and of
 stages that are lost, on three fleets, the least urgent kind earns 0.027 more of its worth in the
 mean, and all earn 0.003 more; at 0.05 all earn 0.001 more."""
@@ -23,21 +23,21 @@
     """Hold what share of the jobs of each rank was in time of late, 1 where none was seen."""
 
     def __init__(self) -> None:
-        self.shares: dict[int, float] = {}
+        self.on_time_shares: dict[int, float] = {}
 
     def learn(self, rank: int, *, in_time: bool) -> None:
         """Take in how a job fared."""
-        share = self.shares.setdefault(rank, 1.0)
-        self.shares[rank] = share + FOLLOW * (in_time - share)
+        share = self.on_time_shares.setdefault(rank, 1.0)
+        self.on_time_shares[rank] = share + SMOOTHING * (in_time - share)
 
-    def urgency(self, rank: int) -> int:
+    def effective_rank(self, rank: int) -> int:
         """Return the rank with which a new job of some rank goes."""
-        own = self.shares.get(rank, 1.0)
+        own = self.on_time_shares.get(rank, 1.0)
         found = rank
         tenant = rank // ROUTE_PRIORITIES
-        alike = [other for other in self.shares if other // ROUTE_PRIORITIES == tenant]
+        alike = [other for other in self.on_time_shares if other // ROUTE_PRIORITIES == tenant]
         for other in sorted((other for other in alike if other < rank), reverse=True):
-            if own >= self.shares[other] - MARGIN:
+            if own >= self.on_time_shares[other] - MAX_SHARE_GAP:
                 break
             found = other
         return found
--- a/packages/core/calicopath_core/scheduling/groups.py
+++ b/packages/core/calicopath_core/scheduling/groups.py
@@ -26,26 +26,26 @@
     from calicopath_core.clock import Clock
     from calicopath_core.fleet.replicas import Replica
 
-STRAINED_S = 0.05
+OVERLOAD_LAG_S = 0.05
 """How late a scheduler's event loop is on average when it has too much to do: a job goes through
 some ten decisions, so half a second of its objective is lost."""
 
-STRAINED_FOR_S = 5.0
+OVERLOAD_DURATION_S = 5.0
 """How long it must have been so: a start of all boxes or a burst of returning callers is over by
 then, and each change of groups hands work over."""
 
-EASY_S = 0.005
-EASY_FOR_S = 60.0
+IDLE_LAG_S = 0.005
+IDLE_DURATION_S = 60.0
 """How late at most, and for how long, before two groups are joined again; doubled each time that a
 fleet had to be split again."""
 
-MOST_GROUPS = 32
+MAX_GROUPS = 32
 """More than failure domains at the size designed for (26): beyond that groups lack replicas."""
 
-FAIR_SHARE = 0.5
+MIN_REPLICA_SHARE = 0.5
 """A group with less than this part of its even share of a service's replicas calls all of them."""
 
-DRAWS_KEPT = 65536
+HASH_CACHE_SIZE = 65536
 
 
 class GroupCount(msgspec.Struct, frozen=True, array_like=True):
@@ -59,45 +59,45 @@
         return max(self, other, key=lambda item: (item.epoch, item.groups))
 
 
-class GroupRule:
+class GroupPolicy:
     """Decide from what a scheduler measures of itself when the fleet is split or joined."""
 
     def __init__(self, *, clock: Clock) -> None:
         self.lag = LoopLag(clock=clock)
-        self.strained_since: float | None = None
-        self.easy_since: float | None = None
-        self.joins = 0
+        self.overloaded_since: float | None = None
+        self.idle_since: float | None = None
+        self.merge_count = 0
 
-    def next_count(self, count: GroupCount, *, leads: bool, now: float) -> GroupCount:
+    def next_count(self, count: GroupCount, *, is_leader: bool, now: float) -> GroupCount:
         """Return what count should be in force; only the scheduler that `leads` joins groups."""
-        self.strained_since = since(self.strained_since, self.lag.value_s > STRAINED_S, now)
-        self.easy_since = since(self.easy_since, self.lag.value_s < EASY_S, now)
-        if lasted(self.strained_since, STRAINED_FOR_S, now) and count.groups < MOST_GROUPS:
-            self.start_again()
+        self.overloaded_since = since(self.overloaded_since, self.lag.value_s > OVERLOAD_LAG_S, now)
+        self.idle_since = since(self.idle_since, self.lag.value_s < IDLE_LAG_S, now)
+        if has_lasted(self.overloaded_since, OVERLOAD_DURATION_S, now) and count.groups < MAX_GROUPS:
+            self.reset()
             return GroupCount(count.epoch + 1, count.groups + 1)
-        easy_for_s = EASY_FOR_S * 2**self.joins
-        if leads and count.groups > 1 and lasted(self.easy_since, easy_for_s, now):
-            self.start_again()
-            self.joins += 1
+        idle_duration_s = IDLE_DURATION_S * 2**self.merge_count
+        if is_leader and count.groups > 1 and has_lasted(self.idle_since, idle_duration_s, now):
+            self.reset()
+            self.merge_count += 1
             return GroupCount(count.epoch + 1, count.groups - 1)
         return count
 
-    def start_again(self) -> None:
+    def reset(self) -> None:
         """Forget what was measured: it belongs to another split, or to another's time."""
-        self.strained_since = self.easy_since = None
+        self.overloaded_since = self.idle_since = None
         self.lag.value_s = 0.0
 
 
-def since(before: float | None, holds: bool, now: float) -> float | None:
+def since(previous: float | None, holds: bool, now: float) -> float | None:
     """Return from when on something holds, nothing if it does not."""
     if not holds:
         return None
-    return now if before is None else before
+    return now if previous is None else previous
 
 
-def lasted(begun: float | None, for_s: float, now: float) -> bool:
+def has_lasted(started_at: float | None, for_s: float, now: float) -> bool:
     """Tell whether something holds for so long."""
-    return begun is not None and now - begun >= for_s
+    return started_at is not None and now - started_at >= for_s
 
 
 class ZoneGroups:
@@ -108,7 +108,7 @@
 
     def __init__(self, *, zones: Iterable[str], groups: int) -> None:
         self.groups = groups
-        self.zones = sorted(set(zones), key=lambda zone: draw(zone, -1))
+        self.zones = sorted(set(zones), key=lambda zone: rendezvous_hash(zone, -1))
         self.numbers = {zone: number for number, zone in enumerate(self.zones)}
 
     def group_of(self, name: str, zone: str) -> int:
@@ -116,19 +116,19 @@
         if self.groups == 1 or not self.zones:
             return 0
         number = self.numbers.get(zone, 0)
-        mine = range(number % self.groups, self.groups, len(self.zones))
+        groups = range(number % self.groups, self.groups, len(self.zones))
         if number >= self.groups:
-            mine = range(number % self.groups, number % self.groups + 1)
-        return max(mine, key=functools.partial(draw, name))
+            groups = range(number % self.groups, number % self.groups + 1)
+        return max(groups, key=functools.partial(rendezvous_hash, name))
 
     def share_of(self, replicas: Sequence[Replica], group: int) -> list[Replica]:
         """Return those of a service's replicas that a group calls."""
-        mine = [item for item in replicas if self.group_of(item.id, item.zone) == group]
-        fair = FAIR_SHARE * len(replicas) / self.groups
-        return mine if len(mine) >= fair and mine else list(replicas)
+        own = [item for item in replicas if self.group_of(item.id, item.zone) == group]
+        min_count = MIN_REPLICA_SHARE * len(replicas) / self.groups
+        return own if len(own) >= min_count and own else list(replicas)
 
 
-@functools.lru_cache(maxsize=DRAWS_KEPT)
-def draw(name: str, group: int) -> bytes:
+@functools.lru_cache(maxsize=HASH_CACHE_SIZE)
+def rendezvous_hash(name: str, group: int) -> bytes:
     """Return by what a name orders groups, and groups order names."""
     return hashlib.blake2b(f'{group}/{name}'.encode(), digest_size=8).digest()
--- a/packages/core/calicopath_core/scheduling/messages.py
+++ b/packages/core/calicopath_core/scheduling/messages.py
@@ -10,7 +10,7 @@
 
 # msgspec reads these annotations when the program runs.
 from calicopath_core.fleet.contact import StoreContact
-from calicopath_core.scheduling.fairness import Taken
+from calicopath_core.scheduling.fairness import UsualRate
 from calicopath_core.scheduling.groups import GroupCount
 
 ROUTE_PRIORITIES = 10
@@ -150,7 +150,7 @@
     """
 
     sender: str
-    taken: tuple[Taken, ...]
+    taken: tuple[UsualRate, ...]
     bias: float
     first_events_s: dict[int, float]
 
--- a/packages/core/calicopath_core/scheduling/pacing.py
+++ b/packages/core/calicopath_core/scheduling/pacing.py
@@ -17,7 +17,7 @@
     from calicopath_core.scheduling.jobs import Job
     from calicopath_core.scheduling.stages import StageQueue
 
-SPARE_SHARE = 0.15
+SLACK_SHARE = 0.15
 """The part of a job's time to spare for which more work may be begun ahead of a stage than is on
 its way there, up to one call. With 0.8 s of work for every stage, whatever comes before it, calls
 of a third stage were filled to 0.8 while jobs waited before the first one: in a burst of everybody
@@ -25,7 +25,7 @@
 call for all, jobs that have 1 s to spare became late behind it: where half of a stage was gone all
 earned 0.825 in place of 0.841 (six boxes, replay)."""
 
-HOLDS_S = 0.02
+RECHECK_INTERVAL_S = 0.02
 """How long a look at all jobs holds. At 74 boxes calls are decided on every 3 ms, and looking each
 time took two thirds of the scheduler's processor time."""
 
@@ -34,40 +34,40 @@
     """Decide which jobs wait before their first stage."""
 
     def __init__(self) -> None:
-        self.found: set[str] = set()
-        self.found_at = -HOLDS_S
+        self.last_held: set[str] = set()
+        self.checked_at = -RECHECK_INTERVAL_S
 
-    def held(self, jobs: Iterable[Job], queues: Mapping[str, StageQueue], now: float) -> set[str]:
+    def held_jobs(self, jobs: Iterable[Job], queues: Mapping[str, StageQueue], now: float) -> set[str]:
         """Return the jobs that wait, as found a moment ago at most."""
-        if now - self.found_at >= HOLDS_S:
-            self.found = self.find(jobs, queues)
-            self.found_at = now
-        return self.found
+        if now - self.checked_at >= RECHECK_INTERVAL_S:
+            self.last_held = self.find_held(jobs, queues)
+            self.checked_at = now
+        return self.last_held
 
-    def find(self, jobs: Iterable[Job], queues: Mapping[str, StageQueue]) -> set[str]:
+    def find_held(self, jobs: Iterable[Job], queues: Mapping[str, StageQueue]) -> set[str]:
         """Return the jobs not begun that would wait at a later stage behind what is begun."""
         open_jobs = [job for job in jobs if job.placed_on is None and not job.ended]
-        fresh = [job for job in open_jobs if not job.begun and not job.resumed]
-        if not fresh:
+        unstarted = [job for job in open_jobs if not job.begun and not job.resumed]
+        if not unstarted:
             return set()
         begun = [job for job in open_jobs if job.begun]
-        kinds = {precedence(job) for job in fresh}
-        waits = {kind: waiting_pieces(begun, kind) for kind in kinds}
-        rates = {name: full_rate(queue) for name, queue in queues.items()}
-        return {job.id for job in fresh if must_wait(job, waits[precedence(job)], rates, queues)}
+        precedences = {precedence(job) for job in unstarted}
+        waiting = {kind: waiting_pieces(begun, kind) for kind in precedences}
+        rates = {name: full_batch_rate(queue) for name, queue in queues.items()}
+        return {job.id for job in unstarted if must_hold(job, waiting[precedence(job)], rates, queues)}
 
 
-def must_wait(
+def must_hold(
     job: Job,
-    waits: Mapping[str, int],
+    waiting: Mapping[str, int],
     rates: Mapping[str, float],
     queues: Mapping[str, StageQueue],
 ) -> bool:
     """Tell whether a later stage of a job has enough to do, by pieces begun ahead of it."""
     if not job.ahead_s:
-        job.ahead_s = ahead_s(job, queues)
+        job.ahead_s = max_ahead_s(job, queues)
     return any(
-        waits.get(phase.service, 0) > job.ahead_s[number] * rates.get(phase.service, 0.0)
+        waiting.get(phase.service, 0) > job.ahead_s[number] * rates.get(phase.service, 0.0)
         for number, phase in enumerate(job.place.phases)
         if phase.needs
     )
@@ -85,46 +85,46 @@
     return Precedence(job.beyond, job.urgency)
 
 
-def ahead_s(job: Job, queues: Mapping[str, StageQueue]) -> dict[int, float]:
+def max_ahead_s(job: Job, queues: Mapping[str, StageQueue]) -> dict[int, float]:
     """Return for each phase how many seconds of full calls may be begun ahead of its stage."""
-    reached_s = reach_s(job, queues)
+    upstream_durations_s = upstream_duration_s(job, queues)
     total_s = max(job.tail_s.values(), default=0.0)
-    spare_s = max(0.0, job.place.objective_s - total_s)
+    slack_s = max(0.0, job.place.objective_s - total_s)
     found = {}
     for number, phase in enumerate(job.place.phases):
         queue = queues.get(phase.service)
         call_s = queue.expected_s(queue.spec.batch) if queue is not None else 0.0
-        found[number] = reached_s[number] + min(call_s, SPARE_SHARE * spare_s)
+        found[number] = upstream_durations_s[number] + min(call_s, SLACK_SHARE * slack_s)
     return found
 
 
-def reach_s(job: Job, queues: Mapping[str, StageQueue]) -> dict[int, float]:
+def upstream_duration_s(job: Job, queues: Mapping[str, StageQueue]) -> dict[int, float]:
     """Return for each phase how long the phases before it usually take."""
     found: dict[int, float] = {}
     for number, phase in enumerate(job.place.phases):
-        ends = (found[need] + usual_s(job, need, queues) for need in phase.needs)
+        ends = (found[need] + usual_call_s(job, need, queues) for need in phase.needs)
         found[number] = max(ends, default=0.0)
     return found
 
 
-def usual_s(job: Job, number: int, queues: Mapping[str, StageQueue]) -> float:
+def usual_call_s(job: Job, number: int, queues: Mapping[str, StageQueue]) -> float:
     """Return what a phase's call usually takes; one without pieces takes nothing."""
     phase = job.place.phases[number]
     queue = queues.get(phase.service)
     return queue.usual_s() if queue is not None and phase.pieces else 0.0
 
 
-def full_rate(queue: StageQueue) -> float:
+def full_batch_rate(queue: StageQueue) -> float:
     """Return the pieces a second that a stage's replicas make with full calls."""
     batch = queue.spec.batch
     return batch * queue.calls_per_s(queue.replicas.values(), batch)
 
 
-def waiting_pieces(begun: Iterable[Job], of: Precedence) -> dict[str, int]:
+def waiting_pieces(begun: Iterable[Job], limit: Precedence) -> dict[str, int]:
     """Return the pieces by service that go before a job of some precedence."""
     pieces: dict[str, int] = defaultdict(int)
     for job in begun:
-        if precedence(job) <= of:
+        if precedence(job) <= limit:
             for number, phase in enumerate(job.place.phases):
                 pieces[phase.service] += job.uncalled[number]
     return pieces
--- a/packages/core/calicopath_core/scheduling/rejections.py
+++ b/packages/core/calicopath_core/scheduling/rejections.py
@@ -13,7 +13,7 @@
     from calicopath_core.crashes.guard import CrashGuard
     from calicopath_core.permits.holder import PermitLender
     from calicopath_core.scheduling.admission import Admission
-    from calicopath_core.scheduling.boards import EngineBoards
+    from calicopath_core.scheduling.engine_pools import EnginePools
     from calicopath_core.scheduling.engine_queue import EngineQueue
     from calicopath_core.scheduling.engines import Engine
     from calicopath_core.scheduling.jobs import Job
@@ -34,7 +34,7 @@
         self,
         *,
         unplaced: Mapping[str, Job],
-        boards: EngineBoards,
+        boards: EnginePools,
         engine_queue: EngineQueue,
         queues: Mapping[str, StageQueue],
         admission: Admission,
@@ -72,10 +72,10 @@
         for job in list(self.unplaced.values()):
             if now + job.least_s() > job.deadline_at:
                 others, queues = self.unplaced.values(), self.queues
-                room_in_s = self.admission.room_in_s(job, others, queues, now)
-                self.reject(job, 'hopeless', self.admission.return_s(job, room_in_s, now))
-        for job in self.engine_queue.hopeless(now):
-            self.reject(job, 'no-engine', self.admission.return_s(job, NO_ENGINE_S, now))
+                room_in_s = self.admission.backlog_wait_s(job, others, queues, now)
+                self.reject(job, 'hopeless', self.admission.retry_after_s(job, room_in_s, now))
+        for job in self.engine_queue.infeasible(now):
+            self.reject(job, 'no-engine', self.admission.retry_after_s(job, NO_ENGINE_S, now))
 
     def reject_backing_off(self, now: float) -> None:
         """Tell callers at once that would wait in vain for engines which want nothing from them."""
@@ -90,7 +90,7 @@
         stages are begun, before its deadline.
         """
         board = self.boards.get(job.place.service)
-        back_s = board.first_back_s(job, now) if board is not None else 0.0
+        back_s = board.min_backoff_s(job, now) if board is not None else 0.0
         if back_s <= 0:
             return True
         engine_s = self.engine_s(job)
@@ -99,7 +99,7 @@
         limit = job.deadline_at if committed else job.objective_at
         if now + ready_s + engine_s <= limit:
             return True
-        self.reject(job, 'backing-off', self.admission.return_s(job, back_s, now))
+        self.reject(job, 'backing-off', self.admission.retry_after_s(job, back_s, now))
         return False
 
     def check_limits(self, job: Job, ahead: int, now: float) -> bool:
@@ -112,7 +112,7 @@
         ready_s = max(wait_s, job.least_s() - engine_s)
         if now + ready_s + engine_s <= job.deadline_at:
             return True
-        self.reject(job, 'limited', self.admission.return_s(job, wait_s, now))
+        self.reject(job, 'limited', self.admission.retry_after_s(job, wait_s, now))
         return False
 
     def ahead_of(self, job: Job, now: float) -> int:
--- a/packages/core/calicopath_core/scheduling/scheduler.py
+++ b/packages/core/calicopath_core/scheduling/scheduler.py
@@ -7,8 +7,8 @@
 
 from calicopath_core.permits.holder import NoLimits, PermitLender
 from calicopath_core.scheduling.admission import Admission
-from calicopath_core.scheduling.beliefs import EngineTimes
-from calicopath_core.scheduling.boards import EngineBoards
+from calicopath_core.scheduling.estimates import EngineTimes
+from calicopath_core.scheduling.engine_pools import EnginePools
 from calicopath_core.scheduling.engine_queue import EngineQueue
 from calicopath_core.scheduling.evenness import Evenness
 from calicopath_core.scheduling.fairness import Allowances
@@ -21,7 +21,7 @@
 )
 from calicopath_core.scheduling.rejections import NO_ENGINE_S, Rejections
 from calicopath_core.scheduling.stage_calls import MAX_PIECE_TRIES, StageCalls
-from calicopath_core.scheduling.starts import NO_ALLOWANCE, WarmupTerms
+from calicopath_core.scheduling.starts import NO_OVERAGE, WarmupTerms
 from calicopath_core.scheduling.succession import Succession
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
     from calicopath_core.crashes.guard import CrashGuard
     from calicopath_core.fleet.deployment import Deployment, EngineSpec
     from calicopath_core.fleet.replicas import Replica, ReplicaTable
-    from calicopath_core.scheduling.engines import EngineBoard
+    from calicopath_core.scheduling.engines import EnginePool
     from calicopath_core.scheduling.interfaces import SchedulerObserver, StageCaller
     from calicopath_core.scheduling.messages import (
         BackoffNews,
@@ -71,8 +71,8 @@
         own_address: str,
         share_of: Callable[[list[Replica]], list[Replica]],
         crashes: CrashGuard,
-        warmup: WarmupTerms = NO_ALLOWANCE,
-        new_board: Callable[[EngineSpec], EngineBoard] | None = None,
+        warmup: WarmupTerms = NO_OVERAGE,
+        new_board: Callable[[EngineSpec], EnginePool] | None = None,
         back_s: Callable[[Replica], float] = lambda replica: 0.0,
         support_back_s: Callable[[Replica], float] = lambda replica: 0.0,
         permits: PermitLender | None = None,
@@ -91,10 +91,10 @@
         self.engine_times = EngineTimes()
         self.jobs: dict[str, Job] = {}
         self.unplaced: dict[str, Job] = {}
-        self.engine_queue = EngineQueue(engine_s=self.engine_s)
+        self.engine_queue = EngineQueue(first_event_s=self.engine_s)
         self.wanted = asyncio.Event()
-        self.boards = EngineBoards(
-            salt=own_address, warmup=warmup, new_board=new_board, permits=self.permits
+        self.boards = EnginePools(
+            salt=own_address, warmup=warmup, pool_factory=new_board, permits=self.permits
         )
         self.stages = StageCalls(
             clock=clock,
@@ -167,7 +167,7 @@
         if self.is_idle:
             return
         now = self.clock.monotonic()
-        self.boards.forget_lost(now)
+        self.boards.expire(now)
         self.rejections.reject_blocked()
         self.place_waiting()
         self.rejections.judge_waiting(now)
@@ -207,17 +207,17 @@
         if board is None:
             self.reject(job, 'unknown-service')
             return
-        if not board.serves(job):
+        if not board.has_engine_for(job):
             self.reject_unserved(job)
             return
         if not self.rejections.lets_in(job, now):
             return
-        job.urgency = self.evenness.urgency(place.priority)
+        job.urgency = self.evenness.effective_rank(place.priority)
         if not place.resumed and not place.asked_before:
-            job.beyond = self.allowances.ask(place.workspace, self.stages.work_s(place), now)
-        engine_s = board.least_time_s(job, now)
+            job.beyond = self.allowances.charge(place.workspace, self.stages.work_s(place), now)
+        engine_s = board.min_first_event_s(job, now)
         others = self.unplaced.values()
-        verdict = self.admission.judge(job, others, self.stages.queues, engine_s, now)
+        verdict = self.admission.decide(job, others, self.stages.queues, engine_s, now)
         if not verdict.admitted:
             self.reject(job, 'overloaded', verdict.retry_after_s)
             return
@@ -296,13 +296,13 @@
     def reject_unserved(self, job: Job) -> None:
         """Tell the box at once that there is no engine for a job."""
         now = self.clock.monotonic()
-        self.reject(job, 'no-engine', self.admission.return_s(job, NO_ENGINE_S, now))
+        self.reject(job, 'no-engine', self.admission.retry_after_s(job, NO_ENGINE_S, now))
 
     def place_engine(self, job: Job) -> None:
         """Choose the engine and tell the box, or let the job wait on."""
         now = self.clock.monotonic()
         board = self.boards[job.place.service]
-        if not board.serves(job):
+        if not board.has_engine_for(job):
             self.reject_unserved(job)
             return
         choice = board.choose(job, now)
@@ -310,7 +310,7 @@
             return
         self.engine_queue.drop(job)
         permit = self.permits.take(choice.engine.replica)
-        board.begin(choice, job, now)
+        board.start_run(choice, job, now)
         replica = choice.engine.replica.id
         job.placed_on = replica
         del self.unplaced[job.id]
@@ -348,7 +348,7 @@
         if job.engine_at is not None:
             placed_at = job.engine_at
             self.engine_times.learn(job.place.prompt.tokens_in, now - placed_at)
-        self.boards[job.place.service].started(job.placed_on, job.id, placed_at, now)
+        self.boards[job.place.service].on_run_started(job.placed_on, job.id, placed_at, now)
         self.stages.release.give_up(job.all_results())
 
     def on_ended(self, message: RunEnded) -> None:
@@ -360,9 +360,9 @@
             now = self.clock.monotonic()
             board = self.boards[job.place.service]
             if message.turned_away:
-                board.turned_away(job.placed_on, job.id, now)
+                board.on_run_turned_away(job.placed_on, job.id, now)
             else:
-                board.ended(job.placed_on, job.id, failed=message.failed, now=now)
+                board.on_run_ended(job.placed_on, job.id, failed=message.failed, now=now)
         self.end(job)
         self.place_waiting()
 
--- a/packages/core/calicopath_core/scheduling/stage_calls.py
+++ b/packages/core/calicopath_core/scheduling/stage_calls.py
@@ -185,7 +185,7 @@
         now = self.clock.monotonic()
         if self.room_unknown and any(queue.waiting for queue in self.queues.values()):
             self.learn_all_room()
-        held = self.pacing.held(self.keeper.unplaced.values(), self.queues, now)
+        held = self.pacing.held_jobs(self.keeper.unplaced.values(), self.queues, now)
         for queue in self.queues.values():
             for batch in queue.batches(now, held):
                 self.permits.take_own(batch.target.replica)
--- a/packages/core/calicopath_core/scheduling/starts.py
+++ b/packages/core/calicopath_core/scheduling/starts.py
@@ -15,11 +15,11 @@
 if TYPE_CHECKING:
     from calicopath_core.fleet.deployment import WarmupSpec
 
-WINDOW_S = 1.25
+START_WINDOW_S = 1.25
 """The span in which runs are counted: the second that the users' bound speaks of, and a quarter
 for what the way of one run to its engine may take longer than that of another."""
 
-SCHEDULERS = 2
+CONCURRENT_SCHEDULERS = 2
 """Boxes that may schedule within one second of a change, each without the other's knowledge: the
 one that falls silent or gives way, and the next. For so long each takes this part of the bound. To
 halve it at all times would have a fourth more of shared prompt parts read again (893,000 tokens in
@@ -33,30 +33,30 @@
     slack: float = 0.0
 
 
-NO_ALLOWANCE = WarmupTerms()
+NO_OVERAGE = WarmupTerms()
 """Holds where operators name no other: a cold replica's rate may not be passed."""
 
 
-class StartBound(NamedTuple):
+class StartLimit(NamedTuple):
     """Hold the most runs that may begin at an engine within `WINDOW_S`, cold or not."""
 
     cold: int
     warm: int
 
-    def shared(self) -> StartBound:
+    def per_scheduler(self) -> StartLimit:
         """Return the bound while another scheduler may place runs too."""
-        return StartBound(max(1, self.cold // SCHEDULERS), max(1, self.warm // SCHEDULERS))
+        return StartLimit(max(1, self.cold // CONCURRENT_SCHEDULERS), max(1, self.warm // CONCURRENT_SCHEDULERS))
 
 
-def bound_of(warmup: WarmupSpec, terms: WarmupTerms) -> StartBound:
+def start_limit_of(warmup: WarmupSpec, terms: WarmupTerms) -> StartLimit:
     """Return the bound for a service's engines: one run at least, or nothing would be served."""
-    borne = warmup.per_s * terms.overage + terms.slack
-    warm = max(1, math.floor(borne))
+    sustained = warmup.per_s * terms.overage + terms.slack
+    warm = max(1, math.floor(sustained))
     cold = max(1, math.floor(warmup.per_s))
-    return StartBound(cold=min(cold, warm), warm=warm)
+    return StartLimit(cold=min(cold, warm), warm=warm)
 
 
-class Starts:
+class RecentStarts:
     """Hold when runs began at one engine, in monotonic seconds."""
 
     def __init__(self) -> None:
@@ -68,6 +68,6 @@
 
     def count(self, now: float) -> int:
         """Return how many runs have begun within the last `WINDOW_S`."""
-        while self.times and self.times[0] <= now - WINDOW_S:
+        while self.times and self.times[0] <= now - START_WINDOW_S:
             self.times.popleft()
         return len(self.times)
--- a/packages/core/calicopath_core/scheduling/succession.py
+++ b/packages/core/calicopath_core/scheduling/succession.py
@@ -20,37 +20,37 @@
         self.scheduler = scheduler
         self.successor: str | None = None
 
-    def take_up(self) -> None:
+    def activate(self) -> None:
         """Schedule what comes."""
         self.successor = None
-        self.scheduler.boards.on_take_up(self.scheduler.clock.monotonic())
+        self.scheduler.boards.on_activated(self.scheduler.clock.monotonic())
 
-    def give_way(self, successor: str) -> None:
+    def step_down(self, successor: str) -> None:
         """Hand every job to another scheduler as soon as no call for it is under way.
 
         A job that was handed to this one stays: two boxes that each take the other for the
         scheduler would send it to and fro.
         """
         self.successor = successor
-        self.tell_learned(successor)
+        self.send_estimates(successor)
         for job in list(self.scheduler.jobs.values()):
             if not job.adopted:
                 self.hand_over(job)
 
-    def tell_learned(self, successor: str) -> None:
+    def send_estimates(self, successor: str) -> None:
         """Tell the next scheduler what waits at engines, and what this one has learned."""
         scheduler = self.scheduler
         loads = scheduler.boards.loads()
         if loads:
             message = EngineLoads(sender=scheduler.own_address, loads=loads)
             scheduler.send(successor, message)
-        taken = scheduler.allowances.taken(scheduler.clock.monotonic())
+        taken = scheduler.allowances.usual_rates(scheduler.clock.monotonic())
         if taken:
             learned = Learned(
                 sender=scheduler.own_address,
                 taken=taken,
                 bias=scheduler.admission.bias,
-                first_events_s=scheduler.engine_times.known(),
+                first_events_s=scheduler.engine_times.snapshot(),
             )
             scheduler.send(successor, learned)
 
@@ -90,11 +90,11 @@
         if message.place.service not in scheduler.boards:
             scheduler.reject(job, 'unknown-service')
             return
-        self.take_results(job, message, now)
+        self.restore_results(job, message, now)
         job.tail_s = scheduler.tails(job)
         scheduler.advance(job)
 
-    def take_results(self, job: Job, message: Adopt, now: float) -> None:
+    def restore_results(self, job: Job, message: Adopt, now: float) -> None:
         """Take in what is made of a job, and count the room that it takes."""
         for item in message.results:
             made = Result(
@@ -116,7 +116,7 @@
         """Take in what a leaving scheduler has learned, unless this one has seen enough itself."""
         scheduler = self.scheduler
         now = scheduler.clock.monotonic()
-        if not scheduler.allowances.take_over(message.taken, now):
+        if not scheduler.allowances.restore(message.taken, now):
             return
-        scheduler.admission.take_over(message.bias)
-        scheduler.engine_times.take_over(message.first_events_s)
+        scheduler.admission.set_bias(message.bias)
+        scheduler.engine_times.restore(message.first_events_s)
--- a/packages/core/calicopath_core/scheduling/tests/admission_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/admission_tests.py
@@ -6,8 +6,8 @@
 
 import testtools
 
-from calicopath_core.scheduling.admission import MIN_RETRY_S, RETRY_SHARE, RETRY_SPREAD, Admission
-from calicopath_core.scheduling.pacing import HOLDS_S, Pacing
+from calicopath_core.scheduling.admission import MIN_RETRY_AFTER_S, MAX_RETRY_SHARE, RETRY_JITTER_SHARE, Admission
+from calicopath_core.scheduling.pacing import RECHECK_INTERVAL_S, Pacing
 from calicopath_core.scheduling.stages import GATHER_S
 from calicopath_core.scheduling.tests.work import job, phase, queue, replica, result, wait
 
@@ -19,7 +19,7 @@
     return [job(f'other-{number}', phase(count=4), **changes) for number in range(count)]
 
 
-class Door(testtools.TestCase):
+class AdmissionDecisions(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.queues = {'look': queue(replica('r'))}
@@ -27,7 +27,7 @@
 
     def judge(self, item: Any, others: list[Any]) -> Any:
         """Return the verdict on a job."""
-        return self.admission.judge(item, others, self.queues, 0.1, 0.0)
+        return self.admission.decide(item, others, self.queues, 0.1, 0.0)
 
     def test_a_job_that_can_be_made_in_time_is_let_in(self) -> None:
         self.assertTrue(self.judge(job('one', phase()), []).admitted)
@@ -35,18 +35,18 @@
     def test_one_that_would_be_far_too_late_is_told_when_to_come_back(self) -> None:
         verdict = self.judge(job('one', phase()), crowd(40))
         self.assertFalse(verdict.admitted)
-        self.assertGreaterEqual(verdict.retry_after_s, MIN_RETRY_S)
-        self.assertLessEqual(verdict.retry_after_s, RETRY_SHARE * 8.0)
+        self.assertGreaterEqual(verdict.retry_after_s, MIN_RETRY_AFTER_S)
+        self.assertLessEqual(verdict.retry_after_s, MAX_RETRY_SHARE * 8.0)
 
     def test_callers_refused_together_come_back_apart(self) -> None:
-        waits = {self.admission.return_s(job(f'one-{n}', phase()), 1.0, 0.0) for n in range(20)}
+        waits = {self.admission.retry_after_s(job(f'one-{n}', phase()), 1.0, 0.0) for n in range(20)}
         self.assertGreater(len(waits), 10)
-        self.assertGreater(max(waits) - min(waits), RETRY_SPREAD / 2)
+        self.assertGreater(max(waits) - min(waits), RETRY_JITTER_SHARE / 2)
         self.assertGreaterEqual(min(waits), 1.0)
 
     def test_room_is_expected_when_what_goes_before_is_made(self) -> None:
         item = job('one', phase())
-        waits = [self.admission.room_in_s(item, crowd(n), self.queues, 0.0) for n in (0, 10, 20)]
+        waits = [self.admission.backlog_wait_s(item, crowd(n), self.queues, 0.0) for n in (0, 10, 20)]
         self.assertEqual(0.0, waits[0])
         self.assertAlmostEqual(40 / self.queues['look'].rate(), waits[1])
         self.assertAlmostEqual(2 * waits[1], waits[2])
@@ -97,7 +97,7 @@
             item.results[0][0] = result('h')
         fresh = job('fresh', *chain)
         short = job('short', phase('look'))
-        return Pacing().held([*jobs, fresh, short], queues, 0.0)
+        return Pacing().held_jobs([*jobs, fresh, short], queues, 0.0)
 
     def test_a_job_waits_while_its_later_stages_have_enough_to_do(self) -> None:
         self.assertEqual(set(), self.held(1))
@@ -111,9 +111,9 @@
         for item in jobs:
             item.results[0][0] = result('h')
         fresh = job('fresh', *chain)
-        self.assertEqual({'fresh'}, pacing.held([*jobs, fresh], queues, 0.0))
-        self.assertEqual({'fresh'}, pacing.held([fresh], queues, HOLDS_S / 2))
-        self.assertEqual(set(), pacing.held([fresh], queues, HOLDS_S))
+        self.assertEqual({'fresh'}, pacing.held_jobs([*jobs, fresh], queues, 0.0))
+        self.assertEqual({'fresh'}, pacing.held_jobs([fresh], queues, RECHECK_INTERVAL_S / 2))
+        self.assertEqual(set(), pacing.held_jobs([fresh], queues, RECHECK_INTERVAL_S))
 
     def test_pieces_not_in_a_call_are_counted_as_they_are_called_and_come_back(self) -> None:
         target = queue(replica('r'))
--- a/packages/core/calicopath_core/scheduling/tests/backoffs_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/backoffs_tests.py
@@ -8,7 +8,7 @@
 
 from calicopath_core.fleet.deployment import EngineSpec, ServiceSpec
 from calicopath_core.fleet.replicas import ReplicaTable
-from calicopath_core.scheduling.backoffs import LEAST_SHUN_S, TRIAL_S
+from calicopath_core.scheduling.backoffs import MIN_AVOIDANCE_S, TRIAL_TIMEOUT_S
 from calicopath_core.scheduling.interfaces import SchedulerObserver, StageCaller
 from calicopath_core.scheduling.messages import (
     Adopt,
@@ -85,7 +85,7 @@
 
         self.run_virtual(scenario())
 
-    def test_a_box_is_given_none_that_wants_nothing_from_it(self) -> None:
+    def test_a_box_is_given_no_engine_that_told_it_to_back_off(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
             scheduler.on_backoffs(BackoffNews(address=BOX, backoffs={'e1': 3.0, 'e2': 3.0}))
             for number in range(6):
@@ -104,7 +104,7 @@
 
         self.play(work, slots=1)
 
-    def test_the_question_itself_tells_of_it(self) -> None:
+    def test_the_place_message_itself_carries_backoffs(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
             scheduler.on_place(place('j', backoffs={'e1': 3.0, 'e3': 3.0}))
             self.assertEqual({'j': 'e2'}, told.placed)
@@ -166,7 +166,7 @@
 
         self.play(work)
 
-    def test_one_that_turns_runs_away_without_a_wish_draws_no_more_than_the_others(self) -> None:
+    def test_one_that_turns_runs_away_without_a_backoff_draws_no_more_than_the_others(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
             for number in range(100):
                 name = f'j{number}'
@@ -186,13 +186,13 @@
         async def work(scheduler: Scheduler, told: Told) -> None:
             backoffs = scheduler.boards.backoffs
             backoffs.on_turned_away('e1', 0.0)
-            self.assertTrue(backoffs.is_shunned('e1', LEAST_SHUN_S / 2))
-            backoffs.on_placed('e1', LEAST_SHUN_S)
-            self.assertTrue(backoffs.in_trial('e1', LEAST_SHUN_S + TRIAL_S / 2))
-            backoffs.on_started('e1', -1.0, LEAST_SHUN_S + TRIAL_S / 2)
-            self.assertTrue(backoffs.in_trial('e1', LEAST_SHUN_S + TRIAL_S / 2))
-            backoffs.on_started('e1', LEAST_SHUN_S, LEAST_SHUN_S + TRIAL_S / 2)
-            self.assertFalse(backoffs.in_trial('e1', LEAST_SHUN_S + TRIAL_S / 2))
+            self.assertTrue(backoffs.is_avoided('e1', MIN_AVOIDANCE_S / 2))
+            backoffs.on_placed('e1', MIN_AVOIDANCE_S)
+            self.assertTrue(backoffs.in_trial('e1', MIN_AVOIDANCE_S + TRIAL_TIMEOUT_S / 2))
+            backoffs.on_started('e1', -1.0, MIN_AVOIDANCE_S + TRIAL_TIMEOUT_S / 2)
+            self.assertTrue(backoffs.in_trial('e1', MIN_AVOIDANCE_S + TRIAL_TIMEOUT_S / 2))
+            backoffs.on_started('e1', MIN_AVOIDANCE_S, MIN_AVOIDANCE_S + TRIAL_TIMEOUT_S / 2)
+            self.assertFalse(backoffs.in_trial('e1', MIN_AVOIDANCE_S + TRIAL_TIMEOUT_S / 2))
 
         self.play(work)
 
@@ -217,7 +217,7 @@
             scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=lefts))
             scheduler.on_place(place('j', objective_s=3.0))
             await asyncio.sleep(0.4)
-            scheduler.succession.give_way(OTHER)
+            scheduler.succession.step_down(OTHER)
             found = told.handed[0].place.backoffs
             self.assertEqual(set(ENGINES), set(found))
             self.assertAlmostEqual(0.6, found['e1'], places=3)
@@ -228,8 +228,8 @@
         async def work(scheduler: Scheduler, told: Told) -> None:
             lefts = dict.fromkeys(ENGINES, 1.0)
             scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=lefts))
-            scheduler.boards.forget_lost(30.0)
+            scheduler.boards.expire(30.0)
             backoffs = scheduler.boards.backoffs
-            self.assertEqual(({}, {}), (backoffs.by_box, backoffs.shuns))
+            self.assertEqual(({}, {}), (backoffs.by_box, backoffs.avoidances))
 
         self.play(work)
--- a/packages/core/calicopath_core/scheduling/tests/election_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/election_tests.py
@@ -6,13 +6,13 @@
 
 from calicopath_core.fleet.contact import BEHIND_S, STEADY, StoreContact
 from calicopath_core.scheduling.election import (
-    CANDIDATES,
-    NEW_GRACE_S,
-    PING_S,
-    SILENT_S,
-    STANDBY_PING_S,
-    TRUST_S,
-    UNANSWERED_S,
+    CANDIDATE_COUNT,
+    NEW_BOX_GRACE_S,
+    PING_INTERVAL_S,
+    SILENCE_TIMEOUT_S,
+    STANDBY_PING_INTERVAL_S,
+    PROBATION_S,
+    RECONNECT_AFTER_S,
     BoxAddress,
     Election,
 )
@@ -52,36 +52,36 @@
 
     def test_connections_to_a_box_that_stops_answering_are_renewed_in_time(self) -> None:
         candidate = self.election.candidates['b1']
-        candidate.due(0.5, standby=False)
-        self.assertFalse(candidate.must_renew(5.0))
+        candidate.mark_ping_if_due(0.5, standby=False)
+        self.assertFalse(candidate.mark_reconnect_if_due(5.0))
         self.hear(5.0, 1)
-        candidate.due(5.2, standby=False)
-        silent = 5.2 + UNANSWERED_S
-        asked = [candidate.must_renew(now) for now in (silent - 0.1, silent, silent + 0.1)]
+        candidate.mark_ping_if_due(5.2, standby=False)
+        silent = 5.2 + RECONNECT_AFTER_S
+        asked = [candidate.mark_reconnect_if_due(now) for now in (silent - 0.1, silent, silent + 0.1)]
         self.assertEqual([False, True, False], asked)
-        self.assertLess(UNANSWERED_S, SILENT_S)
+        self.assertLess(RECONNECT_AFTER_S, SILENCE_TIMEOUT_S)
 
     def test_a_box_that_is_not_listed_yet_ranks_itself_last(self) -> None:
-        election = Election(own=box(1)._replace(life='another'))
+        election = Election(own=box(1)._replace(incarnation='another'))
         election.on_listed([box(1), box(2)], 0.0)
         election.on_pong(pong(2), 0.1)
         self.assertEqual('b2', election.scheduler(0.1).name)
 
     def test_a_silent_box_is_passed_over_and_trusted_again_after_a_while(self) -> None:
         self.hear(1.0, 1, 2)
-        self.hear(1.0 + SILENT_S / 2, 2)
-        self.assertEqual('b2', self.chosen(1.0 + SILENT_S))
-        back = 1.1 + SILENT_S
+        self.hear(1.0 + SILENCE_TIMEOUT_S / 2, 2)
+        self.assertEqual('b2', self.chosen(1.0 + SILENCE_TIMEOUT_S))
+        back = 1.1 + SILENCE_TIMEOUT_S
         self.hear(back, 1, 2)
         self.assertEqual('b2', self.chosen(back))
-        end = back + TRUST_S
+        end = back + PROBATION_S
         for step in range(1, 5):
-            self.hear(back + step * TRUST_S / 4, 1, 2)
+            self.hear(back + step * PROBATION_S / 4, 1, 2)
         self.assertEqual('b1', self.chosen(end))
 
     def test_one_never_heard_is_waited_for_no_longer_than_its_grace(self) -> None:
-        self.assertEqual('b1', self.chosen(NEW_GRACE_S / 2))
-        self.assertEqual('b3', self.chosen(NEW_GRACE_S))
+        self.assertEqual('b1', self.chosen(NEW_BOX_GRACE_S / 2))
+        self.assertEqual('b3', self.chosen(NEW_BOX_GRACE_S))
 
     def hear_contact(self, contact: StoreContact, *numbers: int) -> None:
         """Hear how the store answers boxes."""
@@ -114,7 +114,7 @@
         for number in (1, 2, 4, 5):
             self.election.on_pong(pong(number, version=0), 1.0)
         self.assertEqual('b3', self.chosen(1.0))
-        self.assertEqual('b1', self.election.scheduler(1.0, knows=False).name)
+        self.assertEqual('b1', self.election.scheduler(1.0, has_configuration=False).name)
         self.hear(1.1, 2)
         self.assertEqual('b2', self.chosen(1.1))
 
@@ -122,23 +122,23 @@
         self.election.on_pong(pong(1, leaving=True), 1.0)
         self.hear(1.0, 2)
         self.assertEqual('b2', self.chosen(1.0))
-        self.assertTrue(self.election.hears('b1:7', 1.0))
+        self.assertTrue(self.election.is_alive('b1:7', 1.0))
 
     def test_enough_candidates_are_pinged_before_they_are_needed(self) -> None:
-        self.assertEqual(CANDIDATES, len(self.election.pinged(0.1)))
+        self.assertEqual(CANDIDATE_COUNT, len(self.election.candidates_to_ping(0.1)))
         self.hear(0.2, 1, 2, 4, 5)
-        self.assertEqual({'b1', 'b2', 'b4'}, self.pinged_within(0.3, STANDBY_PING_S))
+        self.assertEqual({'b1', 'b2', 'b4'}, self.pinged_within(0.3, STANDBY_PING_INTERVAL_S))
 
     def pinged_within(self, now: float, for_s: float) -> set[str]:
         """Return the boxes that are pinged in the rounds of some time."""
-        rounds = [now + step * PING_S for step in range(int(for_s / PING_S) + 1)]
-        return {item.box.name for at in rounds for item in self.election.pinged(at)}
+        rounds = [now + step * PING_INTERVAL_S for step in range(int(for_s / PING_INTERVAL_S) + 1)]
+        return {item.box.name for at in rounds for item in self.election.candidates_to_ping(at)}
 
     def test_those_behind_the_one_that_schedules_are_pinged_seldom(self) -> None:
         counts: dict[str, int] = {}
         for step in range(30):
-            now = step * PING_S
-            for item in self.election.pinged(now):
+            now = step * PING_INTERVAL_S
+            for item in self.election.candidates_to_ping(now):
                 counts[item.box.name] = counts.get(item.box.name, 0) + 1
                 self.election.on_pong(pong(int(item.box.name[1:])), now + 0.01)
         self.assertEqual(30, counts['b1'])
@@ -147,26 +147,26 @@
     def test_when_the_scheduler_dies_the_next_is_trusted_at_once_and_stays(self) -> None:
         chosen = []
         for step in range(60):
-            now = step * PING_S
-            for item in self.election.pinged(now):
+            now = step * PING_INTERVAL_S
+            for item in self.election.candidates_to_ping(now):
                 if item.box.name != 'b1' or now < 6.1:
                     self.election.on_pong(pong(int(item.box.name[1:])), now + 0.01)
             chosen.append((now, self.chosen(now + 0.02)))
         self.assertEqual({'b1'}, {name for now, name in chosen if now < 6.1})
-        self.assertEqual({'b2'}, {name for now, name in chosen if now > 6.1 + SILENT_S})
+        self.assertEqual({'b2'}, {name for now, name in chosen if now > 6.1 + SILENCE_TIMEOUT_S})
 
     def test_one_that_does_not_answer_in_time_has_another_pinged_beside_it(self) -> None:
-        self.election.pinged(0.1)
+        self.election.candidates_to_ping(0.1)
         self.hear(0.2, 2, 4)
-        self.assertEqual({'b1', 'b2'}, {item.box.name for item in self.election.pinged(0.3)})
-        self.hear(0.1 + SILENT_S, 2, 4)
-        self.assertEqual(CANDIDATES + 1, len(self.election.pinged(0.1 + SILENT_S)))
+        self.assertEqual({'b1', 'b2'}, {item.box.name for item in self.election.candidates_to_ping(0.3)})
+        self.hear(0.1 + SILENCE_TIMEOUT_S, 2, 4)
+        self.assertEqual(CANDIDATE_COUNT + 1, len(self.election.candidates_to_ping(0.1 + SILENCE_TIMEOUT_S)))
 
     def test_hundreds_of_boxes_that_start_at_once_do_not_all_ping_each_other(self) -> None:
         election = Election(own=box(300))
         election.on_listed([box(number) for number in range(1, 301)], 0.0)
         for step in range(20):
-            self.assertLessEqual(len(election.pinged(0.2 * step)), CANDIDATES * (1 + step // 3))
+            self.assertLessEqual(len(election.candidates_to_ping(0.2 * step)), CANDIDATE_COUNT * (1 + step // 3))
 
     def test_budgets_are_split_among_all_boxes_listed(self) -> None:
-        self.assertEqual(5, self.election.boxes_sharing())
+        self.assertEqual(5, self.election.box_count())
--- a/packages/core/calicopath_core/scheduling/tests/fairness_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/fairness_tests.py
@@ -5,7 +5,7 @@
 import testtools
 
 from calicopath_core.scheduling.admission import outranks
-from calicopath_core.scheduling.fairness import LEARNING_S, USUAL_S, Allowances
+from calicopath_core.scheduling.fairness import LEARNING_PERIOD_S, USUAL_WINDOW_S, Allowances
 from calicopath_core.scheduling.pacing import Pacing
 from calicopath_core.scheduling.tests.work import job, phase, queue, replica, result
 from calicopath_core.scheduling.waiting import rank
@@ -37,7 +37,7 @@
                 while due[name] >= 1:
                     due[name] -= 1
                     asked[name] += 1
-                    beyond[name] += self.allowances.ask(name, COST_S, self.now)
+                    beyond[name] += self.allowances.charge(name, COST_S, self.now)
         return {name: beyond[name] / max(1, asked[name]) for name in rates}
 
     def test_a_flood_is_beyond_and_what_others_ask_is_not(self) -> None:
@@ -57,18 +57,18 @@
 
     def test_a_workspace_that_has_grown_for_good_is_served_like_others(self) -> None:
         self.ask(20.0, grown=2.0, other=10.0)
-        self.ask(5 * USUAL_S, grown=8.0, other=10.0)
+        self.ask(5 * USUAL_WINDOW_S, grown=8.0, other=10.0)
         self.assertEqual(0.0, self.ask(10.0, grown=8.0, other=10.0)['grown'])
 
     def test_nothing_is_beyond_while_the_past_is_not_known(self) -> None:
-        found = self.ask(LEARNING_S - 1, one=20.0, other=1.0)
+        found = self.ask(LEARNING_PERIOD_S - 1, one=20.0, other=1.0)
         self.assertEqual(0.0, max(found.values()))
 
     def test_the_next_scheduler_goes_by_what_was_usual(self) -> None:
         self.ask(20.0, small=2.0, other=10.0)
-        taken = self.allowances.taken(self.now)
+        taken = self.allowances.usual_rates(self.now)
         self.allowances = Allowances()
-        self.allowances.take_over(taken, self.now)
+        self.allowances.restore(taken, self.now)
         found = self.ask(6.0, small=15.0, other=10.0)
         self.assertGreater(found['small'], 0.5)
         self.assertEqual(0.0, found['other'])
@@ -84,7 +84,7 @@
         ranked = sorted(jobs, key=lambda name: rank(jobs[name].pieces[0][0], 0.0))
         self.assertEqual(['allowed', 'beyond', 'late'], ranked)
 
-    def test_it_is_in_nobodys_way_at_the_door(self) -> None:
+    def test_it_does_not_delay_the_admission_of_allowed_jobs(self) -> None:
         allowed = job('allowed', phase(), priority=2)
         beyond = job('beyond', phase(), priority=0, beyond=True)
         self.assertTrue(outranks(allowed, beyond))
@@ -97,7 +97,7 @@
         for item in begun:
             item.results[0][0] = result('h')
         fresh = [job('allowed', *chain), job('beyond', *chain, beyond=True)]
-        self.assertEqual({'beyond'}, Pacing().held([*begun, *fresh], queues, 0.0))
+        self.assertEqual({'beyond'}, Pacing().held_jobs([*begun, *fresh], queues, 0.0))
 
 
 class Flood(testtools.TestCase):
--- a/packages/core/calicopath_core/scheduling/tests/groups_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/groups_tests.py
@@ -7,14 +7,14 @@
 import testtools
 
 from calicopath_core.limits.lag import INTERVAL_S, MAX_SAMPLE_S
-from calicopath_core.scheduling.election import LEAD_PING_S, BoxAddress, Election
+from calicopath_core.scheduling.election import LEADER_PING_INTERVAL_S, BoxAddress, Election
 from calicopath_core.scheduling.groups import (
-    EASY_FOR_S,
-    MOST_GROUPS,
-    STRAINED_FOR_S,
-    STRAINED_S,
+    IDLE_DURATION_S,
+    MAX_GROUPS,
+    OVERLOAD_DURATION_S,
+    OVERLOAD_LAG_S,
     GroupCount,
-    GroupRule,
+    GroupPolicy,
     ZoneGroups,
 )
 from calicopath_core.scheduling.tests.work import replica
@@ -28,7 +28,7 @@
 class Rule(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.rule = GroupRule(clock=VirtualClock())
+        self.rule = GroupPolicy(clock=VirtualClock())
         self.count = GroupCount()
         self.now = 0.0
 
@@ -39,32 +39,32 @@
             self.now += STEP_S
             for _ in range(NOTES_A_STEP):
                 self.rule.lag.note(lag_s)
-            self.count = self.rule.next_count(self.count, leads=leads, now=self.now)
+            self.count = self.rule.next_count(self.count, is_leader=leads, now=self.now)
         return self.count.groups
 
     def test_a_scheduler_that_is_late_for_seconds_has_the_fleet_split(self) -> None:
-        self.assertEqual(2, self.live(3 * STRAINED_S, STRAINED_FOR_S + 1))
+        self.assertEqual(2, self.live(3 * OVERLOAD_LAG_S, OVERLOAD_DURATION_S + 1))
 
     def test_one_that_still_is_has_it_split_again_and_not_without_end(self) -> None:
-        self.assertEqual(MOST_GROUPS, self.live(MAX_SAMPLE_S, 100 * STRAINED_FOR_S))
+        self.assertEqual(MAX_GROUPS, self.live(MAX_SAMPLE_S, 100 * OVERLOAD_DURATION_S))
 
     def test_a_pause_or_a_start_of_all_boxes_changes_nothing(self) -> None:
         self.assertEqual(1, self.live(30.0, STEP_S))
         self.live(0.0, 1.0)
-        self.assertEqual(1, self.live(0.3, STRAINED_FOR_S - 1))
-        self.assertEqual(1, self.live(0.0, STRAINED_FOR_S))
+        self.assertEqual(1, self.live(0.3, OVERLOAD_DURATION_S - 1))
+        self.assertEqual(1, self.live(0.0, OVERLOAD_DURATION_S))
 
     def test_groups_are_joined_after_a_long_calm_by_the_first_of_all_boxes(self) -> None:
-        self.live(3 * STRAINED_S, STRAINED_FOR_S + 1)
-        self.assertEqual(2, self.live(0.0, 2 * EASY_FOR_S, leads=False))
-        self.assertEqual(1, self.live(0.0, 2 * EASY_FOR_S))
+        self.live(3 * OVERLOAD_LAG_S, OVERLOAD_DURATION_S + 1)
+        self.assertEqual(2, self.live(0.0, 2 * IDLE_DURATION_S, leads=False))
+        self.assertEqual(1, self.live(0.0, 2 * IDLE_DURATION_S))
 
     def test_a_fleet_that_had_to_be_split_again_is_joined_later(self) -> None:
         for _ in range(2):
-            self.live(3 * STRAINED_S, STRAINED_FOR_S + 1)
-            self.live(0.0, EASY_FOR_S + 5)
+            self.live(3 * OVERLOAD_LAG_S, OVERLOAD_DURATION_S + 1)
+            self.live(0.0, IDLE_DURATION_S + 5)
         self.assertEqual(2, self.count.groups)
-        self.assertEqual(1, self.live(0.0, EASY_FOR_S + 5))
+        self.assertEqual(1, self.live(0.0, IDLE_DURATION_S + 5))
 
     def test_the_newest_count_is_in_force(self) -> None:
         self.assertEqual(GroupCount(2, 1), GroupCount(2, 1).newer(GroupCount(1, 5)))
@@ -114,7 +114,7 @@
         found = [Election(own=box) for box in boxes]
         for election in found:
             election.on_listed(boxes, 0.0)
-            election.on_count(GroupCount(groups, groups))
+            election.on_group_count(GroupCount(groups, groups))
         return found
 
     def test_boxes_are_one_group_however_many_there_are(self) -> None:
@@ -141,13 +141,13 @@
         self.assertEqual(
             sorted(replicas), sorted(item for share in shares.values() for item in share)
         )
-        self.assertEqual({300}, {item.boxes_sharing() for item in elections})
+        self.assertEqual({300}, {item.box_count() for item in elections})
 
     def test_boxes_of_other_groups_hear_of_the_count_from_the_first_of_all(self) -> None:
         elections = self.elections(60, groups=2)
         lead = elections[0]
-        self.assertTrue(lead.leads(0.1))
+        self.assertTrue(lead.is_leader(0.1))
         other = next(item for item in elections if item.group != lead.group)
-        for now in (0.0, LEAD_PING_S):
-            self.assertIn('b1', [item.box.name for item in other.pinged(now)])
-        self.assertNotIn('b1', [item.box.name for item in other.pinged(LEAD_PING_S + 0.2)])
+        for now in (0.0, LEADER_PING_INTERVAL_S):
+            self.assertIn('b1', [item.box.name for item in other.candidates_to_ping(now)])
+        self.assertNotIn('b1', [item.box.name for item in other.candidates_to_ping(LEADER_PING_INTERVAL_S + 0.2)])
--- a/packages/core/calicopath_core/scheduling/tests/hopeless_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/hopeless_tests.py
@@ -7,8 +7,8 @@
 from unittest import mock
 
 from calicopath_core.fleet.replicas import ReplicaTable
-from calicopath_core.scheduling.beliefs import FIRST_EVENT_S
-from calicopath_core.scheduling.engines import EngineBoard
+from calicopath_core.scheduling.estimates import DEFAULT_FIRST_EVENT_S
+from calicopath_core.scheduling.engines import EnginePool
 from calicopath_core.scheduling.interfaces import StageCaller
 from calicopath_core.scheduling.messages import Rejected
 from calicopath_core.scheduling.scheduler import TICK_S, Scheduler
@@ -46,7 +46,7 @@
             crashes=new_guard(),
         )
         found.stages.set_spec('look', SPEC)
-        found.boards['engine'] = EngineBoard(slots=4, kv_tokens=1000)
+        found.boards['engine'] = EnginePool(slots=4, kv_tokens=1000)
         found.on_replicas()
         return found
 
@@ -70,7 +70,7 @@
         return self.run_virtual(scenario())
 
     def test_a_begun_job_is_rejected_once_what_is_left_of_it_takes_too_long(self) -> None:
-        least_s = SPEC.call_s + SPEC.piece_s + FIRST_EVENT_S
+        least_s = SPEC.call_s + SPEC.piece_s + DEFAULT_FIRST_EVENT_S
         found = self.rejected_at(*CHAIN)
         self.assertLess(found, DEADLINE_S - least_s + 3 * TICK_S)
 
--- a/packages/core/calicopath_core/scheduling/tests/pacing_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/pacing_tests.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from calicopath_core.scheduling.pacing import SPARE_SHARE, Pacing, ahead_s, full_rate, reach_s
+from calicopath_core.scheduling.pacing import SLACK_SHARE, Pacing, max_ahead_s, full_batch_rate, upstream_duration_s
 from calicopath_core.scheduling.tests.work import SPEC, job, phase, queue, replica, result
 from testkit.replay.fleet import fleet_of, hurried_fleet
 from testkit.replay.plain import OURS, VARIANTS
@@ -20,31 +20,31 @@
         self.call_s = self.queues['look'].usual_s()
 
     def test_a_stage_is_reached_when_those_before_it_are_done(self) -> None:
-        found = reach_s(job('one', *CHAIN), self.queues)
+        found = upstream_duration_s(job('one', *CHAIN), self.queues)
         self.assertEqual({0: 0.0, 1: self.call_s, 2: 2 * self.call_s}, found)
 
     def test_a_phase_without_pieces_takes_no_time(self) -> None:
         left_out = job('one', phase('look', count=0), phase('rank', (0,)))
-        self.assertEqual({0: 0.0, 1: 0.0}, reach_s(left_out, self.queues))
+        self.assertEqual({0: 0.0, 1: 0.0}, upstream_duration_s(left_out, self.queues))
 
     def test_what_is_on_its_way_is_enough_for_jobs_without_time_to_spare(self) -> None:
         hurried = job('one', *CHAIN, objective_s=0.1)
         hurried.tail_s = {0: 1.0}
-        self.assertEqual(reach_s(hurried, self.queues), ahead_s(hurried, self.queues))
+        self.assertEqual(upstream_duration_s(hurried, self.queues), max_ahead_s(hurried, self.queues))
 
     def test_a_call_more_at_most_is_enough_for_jobs_with_much_time(self) -> None:
         full_s = self.queues['look'].expected_s(SPEC.batch)
-        for objective_s, extra_s in ((1.0, SPARE_SHARE), (100.0, full_s)):
-            found = ahead_s(job('one', *CHAIN, objective_s=objective_s), self.queues)
+        for objective_s, extra_s in ((1.0, SLACK_SHARE), (100.0, full_s)):
+            found = max_ahead_s(job('one', *CHAIN, objective_s=objective_s), self.queues)
             self.assertAlmostEqual(self.call_s + extra_s, found[1])
 
     def test_a_job_waits_before_its_first_stage_while_a_later_one_has_enough(self) -> None:
         fresh = job('fresh', *CHAIN)
-        needed = int(ahead_s(fresh, self.queues)[1] * full_rate(self.queues['rank']))
+        needed = int(max_ahead_s(fresh, self.queues)[1] * full_batch_rate(self.queues['rank']))
         for count, held in ((needed, set()), (needed + 1, {'fresh'})):
             begun = job('begun', phase('look'), phase('rank', (0,), count=count))
             begun.results[0][0] = result('h')
-            self.assertEqual(held, Pacing().held([begun, fresh], self.queues, 0.0))
+            self.assertEqual(held, Pacing().held_jobs([begun, fresh], self.queues, 0.0))
 
 
 class Burst(testtools.TestCase):
--- a/packages/core/calicopath_core/scheduling/tests/stages_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/stages_tests.py
@@ -146,7 +146,7 @@
                 crashes=new_guard(),
             )
             found = mock.Mock(return_value=set())
-            with mock.patch.object(calls.pacing, 'held', found):
+            with mock.patch.object(calls.pacing, 'held_jobs', found):
                 for _ in range(50):
                     calls.dispatch_soon()
                 await asyncio.sleep(0.01)
--- a/packages/core/calicopath_core/scheduling/tests/starts_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/starts_tests.py
@@ -11,11 +11,11 @@
 
 from calicopath_core.fleet.deployment import WarmupSpec
 from calicopath_core.fleet.replicas import ReplicaTable
-from calicopath_core.scheduling.engines import EngineBoard
+from calicopath_core.scheduling.engines import EnginePool
 from calicopath_core.scheduling.interfaces import StageCaller
 from calicopath_core.scheduling.messages import Placed, Rejected, RunEnded
 from calicopath_core.scheduling.scheduler import Scheduler
-from calicopath_core.scheduling.starts import NO_ALLOWANCE, WINDOW_S, WarmupTerms, bound_of
+from calicopath_core.scheduling.starts import NO_OVERAGE, START_WINDOW_S, WarmupTerms, start_limit_of
 from calicopath_core.scheduling.tests.work import job, prompt, replica
 from testkit.cases import VirtualCase
 from testkit.ledgers import new_guard
@@ -24,12 +24,12 @@
 if TYPE_CHECKING:
     import msgspec
 
-    from calicopath_core.scheduling.starts import StartBound
+    from calicopath_core.scheduling.starts import StartLimit
 
 WARMUP = WarmupSpec(per_s=6.7)
 TERMS = WarmupTerms(overage=1.5, slack=5.0)
 MOST_A_SECOND = 15
-BOUND = bound_of(WARMUP, TERMS)
+BOUND = start_limit_of(WARMUP, TERMS)
 
 ZONE_ENGINES, OTHER_ENGINES = 18, 52
 RATE = 480.0
@@ -41,32 +41,32 @@
 class Bound(testtools.TestCase):
     def test_it_is_what_a_cold_engine_bears(self) -> None:
         self.assertEqual((6, MOST_A_SECOND), BOUND)
-        self.assertEqual((3, 7), BOUND.shared())
+        self.assertEqual((3, 7), BOUND.per_scheduler())
 
     def test_one_run_may_begin_in_any_case(self) -> None:
-        self.assertEqual((1, 1), bound_of(WarmupSpec(per_s=0.2), NO_ALLOWANCE).shared())
+        self.assertEqual((1, 1), start_limit_of(WarmupSpec(per_s=0.2), NO_OVERAGE).per_scheduler())
 
     def test_an_engine_that_says_it_is_cold_gets_what_it_bears(self) -> None:
-        board = EngineBoard(slots=100, kv_tokens=1000)
-        board.bound = BOUND
+        board = EnginePool(slots=100, kv_tokens=1000)
+        board.start_limit = BOUND
         board.set_replicas([replica('e', service='engine')._replace(cold=True)])
         self.assertEqual(BOUND.cold, placed_at_once(board, 40))
 
     def test_while_another_may_schedule_each_keeps_to_its_part(self) -> None:
-        boards = [EngineBoard(slots=100, kv_tokens=1000) for _ in range(2)]
+        boards = [EnginePool(slots=100, kv_tokens=1000) for _ in range(2)]
         total = 0
         for board in boards:
-            board.bound = BOUND
+            board.start_limit = BOUND
             board.set_replicas([replica('e', service='engine')])
-            board.on_take_up(0.0)
+            board.on_activated(0.0)
             total += placed_at_once(board, 40, now=0.1)
         self.assertLessEqual(total, MOST_A_SECOND)
-        self.assertGreater(placed_at_once(boards[0], 40, now=0.1 + WINDOW_S), total // 2)
+        self.assertGreater(placed_at_once(boards[0], 40, now=0.1 + START_WINDOW_S), total // 2)
 
     def test_boxes_that_schedule_for_themselves_do_not_all_choose_the_same_engine(self) -> None:
         chosen = set()
         for number in range(30):
-            board = EngineBoard(slots=4, kv_tokens=1000, salt=f'box-{number}:7')
+            board = EnginePool(slots=4, kv_tokens=1000, salt=f'box-{number}:7')
             board.set_replicas([replica(f'e{n}', service='engine') for n in range(70)])
             choice = board.choose(job('one'), 0.0)
             assert choice is not None
@@ -75,17 +75,17 @@
 
 
 class ZoneBackCold(testtools.TestCase):
-    def most_a_second(self, bound: StartBound | None) -> int:
+    def most_a_second(self, bound: StartLimit | None) -> int:
         """Return the most runs that began within a second at an engine of the zone."""
-        board = EngineBoard(slots=24, kv_tokens=100_000)
-        board.bound = bound
+        board = EnginePool(slots=24, kv_tokens=100_000)
+        board.start_limit = bound
         others = [replica(f'o{n}', 'b', 'engine') for n in range(OTHER_ENGINES)]
         board.set_replicas(others)
         for number in range(OTHER_ENGINES * 8):
             work = job(f'old-{number}', prompt=prompt((f'x{number}', 3000), out=300))
             choice = board.choose(work, 0.0)
             if choice is not None:
-                board.begin(choice, work, 0.0)
+                board.start_run(choice, work, 0.0)
         back = [replica(f'z{n}', 'a', 'engine') for n in range(ZONE_ENGINES)]
         board.set_replicas([*others, *back], {item.id for item in others})
         times: dict[str, list[float]] = {}
@@ -94,12 +94,12 @@
             now = 2.0 + number / RATE
             while ends and ends[0][0] <= now:
                 _, engine, name = ends.pop(0)
-                board.ended(engine, name, failed=False, now=now)
+                board.on_run_ended(engine, name, failed=False, now=now)
             work = job(f'new-{number}', prompt=prompt((f'y{number}', 300)))
             choice = board.choose(work, now)
             if choice is None:
                 continue
-            board.begin(choice, work, now)
+            board.start_run(choice, work, now)
             name = choice.engine.replica.id
             ends.append((now + RUN_S, name, work.id))
             times.setdefault(name, []).append(now)
@@ -132,7 +132,7 @@
             share_of=lambda replicas: replicas,
             crashes=new_guard(),
         )
-        found.boards['engine'] = EngineBoard(slots=slots, kv_tokens=1000)
+        found.boards['engine'] = EnginePool(slots=slots, kv_tokens=1000)
         found.on_replicas()
         return found
 
@@ -158,7 +158,7 @@
             sent: list[msgspec.Struct] = []
             scheduler = self.scheduler(sent, slots=1)
             scheduler.replicas.put(replica('other', service='other-engine'))
-            scheduler.boards['other-engine'] = EngineBoard(slots=1, kv_tokens=1000)
+            scheduler.boards['other-engine'] = EnginePool(slots=1, kv_tokens=1000)
             scheduler.on_replicas()
             scheduler.on_place(job('at-work').place)
             scheduler.on_place(job('waits', priority=0).place)
@@ -173,12 +173,12 @@
         async def scenario() -> None:
             sent: list[msgspec.Struct] = []
             scheduler = self.scheduler(sent, slots=100)
-            scheduler.boards['engine'].bound = BOUND
+            scheduler.boards['engine'].start_limit = BOUND
             running = asyncio.create_task(scheduler.run())
             for number in range(20):
                 scheduler.on_place(job(f'j{number}').place)
             self.assertEqual(MOST_A_SECOND, len(names(sent, Placed)))
-            await asyncio.sleep(WINDOW_S + 0.1)
+            await asyncio.sleep(START_WINDOW_S + 0.1)
             self.assertEqual(20, len(names(sent, Placed)))
             running.cancel()
 
@@ -223,14 +223,14 @@
         self.run_virtual(scenario())
 
 
-def placed_at_once(board: EngineBoard, count: int, now: float = 0.0) -> int:
+def placed_at_once(board: EnginePool, count: int, now: float = 0.0) -> int:
     """Return how many of some jobs get an engine at one moment."""
     placed = 0
     for number in range(count):
         work = job(f'{now}-{number}', prompt=prompt((f'p{number}', 1)))
         choice = board.choose(work, now)
         if choice is not None:
-            board.begin(choice, work, now)
+            board.start_run(choice, work, now)
             placed += 1
     return placed
 
--- a/packages/core/calicopath_core/scheduling/tests/succession_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/succession_tests.py
@@ -7,8 +7,8 @@
 from unittest import mock
 
 from calicopath_core.fleet.replicas import ReplicaTable
-from calicopath_core.scheduling.admission import MOST_BIAS
-from calicopath_core.scheduling.beliefs import FIRST_EVENT_S
+from calicopath_core.scheduling.admission import MAX_BIAS
+from calicopath_core.scheduling.estimates import DEFAULT_FIRST_EVENT_S
 from calicopath_core.scheduling.interfaces import StageCaller
 from calicopath_core.scheduling.messages import Learned
 from calicopath_core.scheduling.scheduler import Scheduler
@@ -41,8 +41,8 @@
         """Let a scheduler learn something of everything."""
         for _ in range(200):
             scheduler.engine_times.learn(SIZE, SEEN_S)
-        scheduler.admission.take_over(1.4)
-        scheduler.allowances.ask('w', 1.0, scheduler.clock.monotonic())
+        scheduler.admission.set_bias(1.4)
+        scheduler.allowances.charge('w', 1.0, scheduler.clock.monotonic())
 
     def test_the_next_goes_by_what_was_learned(self) -> None:
         async def scenario() -> None:
@@ -50,7 +50,7 @@
             before, after = self.scheduler(sent), self.scheduler([])
             self.learned(before)
             await asyncio.sleep(20.0)
-            before.succession.give_way('next:7')
+            before.succession.step_down('next:7')
             (told,) = [message for message in sent if isinstance(message, Learned)]
             after.succession.on_learned(told)
             self.assertAlmostEqual(SEEN_S, after.engine_times.expected_s(SIZE), delta=0.01)
@@ -64,23 +64,23 @@
             sent: list[msgspec.Struct] = []
             before, after = self.scheduler(sent), self.scheduler([])
             self.learned(before)
-            after.allowances.ask('w', 1.0, 0.0)
+            after.allowances.charge('w', 1.0, 0.0)
             await asyncio.sleep(20.0)
-            before.succession.give_way('next:7')
+            before.succession.step_down('next:7')
             for message in sent:
                 if isinstance(message, Learned):
                     after.succession.on_learned(message)
             self.assertEqual(1.0, after.admission.bias)
-            self.assertEqual(FIRST_EVENT_S, after.engine_times.expected_s(SIZE))
+            self.assertEqual(DEFAULT_FIRST_EVENT_S, after.engine_times.expected_s(SIZE))
 
         self.run_virtual(scenario())
 
-    def test_what_can_not_be_is_not_believed(self) -> None:
+    def test_implausible_estimates_are_clamped(self) -> None:
         async def scenario() -> None:
             after = self.scheduler([])
             wild = Learned(sender='x', taken=(), bias=99.0, first_events_s={14: -5.0})
             after.succession.on_learned(wild)
-            self.assertEqual(MOST_BIAS, after.admission.bias)
+            self.assertEqual(MAX_BIAS, after.admission.bias)
             self.assertGreaterEqual(after.engine_times.expected_s(SIZE), 0.0)
 
         self.run_virtual(scenario())
--- a/packages/daemon/calicopathd/gateway/box.py
+++ b/packages/daemon/calicopathd/gateway/box.py
@@ -22,10 +22,10 @@
 from calicopath_core.fleet.deployment import DEFAULT_LIMITS, Deployment, DeploymentView
 from calicopath_core.fleet.positions import NOTHING, Position
 from calicopath_core.fleet.store import RecordKind
-from calicopath_core.scheduling.baseline import AloneElection, RandomEngineBoard
+from calicopath_core.scheduling.baseline import StandaloneElection, RandomEnginePool
 from calicopath_core.scheduling.client import SchedulerClient
 from calicopath_core.scheduling.election import BoxAddress, Election
-from calicopath_core.scheduling.groups import GroupRule
+from calicopath_core.scheduling.groups import GroupPolicy
 from calicopath_core.scheduling.messages import BackoffNews, Pong
 from calicopath_core.scheduling.scheduler import Scheduler
 from calicopathd import events
@@ -42,7 +42,7 @@
     from calicopath_core.fleet.replicas import Replica
     from calicopath_core.fleet.store import FleetStore
     from calicopath_core.membership.transport import PeerTransport
-    from calicopath_core.scheduling.engines import EngineBoard
+    from calicopath_core.scheduling.engines import EnginePool
     from calicopath_core.scheduling.interfaces import StageCaller
     from calicopathd.gateway.observer import GatewayObserver
     from calicopathd.gateway.settings import GatewaySettings
@@ -108,11 +108,11 @@
             self.life,
             small=settings.small,
         )
-        self.election = AloneElection(own=self.own) if alone else Election(own=self.own)
+        self.election = StandaloneElection(own=self.own) if alone else Election(own=self.own)
         self.config_since = 0.0
         self.synced_at: float | None = None
         self.group = (0, 1)
-        self.group_rule = GroupRule(clock=self.clock)
+        self.group_rule = GroupPolicy(clock=self.clock)
         self.link = PeerLink(
             transport=transport,
             election=self.election,
@@ -212,9 +212,9 @@
             zone=self.settings.failure_domain,
         )
 
-    def random_board(self, spec: EngineSpec) -> EngineBoard:
+    def random_board(self, spec: EngineSpec) -> EnginePool:
         """Return a board of the naive baseline."""
-        return RandomEngineBoard(slots=spec.slots, kv_tokens=spec.kv_tokens, rng=self.rng)
+        return RandomEnginePool(slots=spec.slots, kv_tokens=spec.kv_tokens, rng=self.rng)
 
     def new_job(self) -> str:
         """Return an identifier that no other job has, of this or another life."""
@@ -239,7 +239,7 @@
         service = deployment.services.get(replica.service) if deployment and replica else None
         if service is None:
             return LEAST_CONNECTIONS
-        share = service.max_connections * CONNECTIONS_USED / self.election.boxes_sharing()
+        share = service.max_connections * CONNECTIONS_USED / self.election.box_count()
         return max(LEAST_CONNECTIONS, int(share))
 
     def cold_rate_of(self, service: str) -> float | None:
@@ -248,7 +248,7 @@
         spec = deployment.services.get(service) if deployment is not None else None
         if spec is None or spec.warmup is None:
             return None
-        return spec.warmup.per_s / max(1, self.election.boxes_sharing())
+        return spec.warmup.per_s / max(1, self.election.box_count())
 
     def limits(self) -> ClientLimits:
         """Return what callers may send at the moment."""
@@ -313,11 +313,11 @@
     def judge_groups(self, now: float) -> None:
         """Have the fleet split, or joined, if this box schedules and finds that it should be."""
         if self.client.target != self.own.address or self.leaving:
-            self.group_rule.start_again()
+            self.group_rule.reset()
             return
-        leads = self.election.leads(now)
-        self.election.on_count(
-            self.group_rule.next_count(self.election.count, leads=leads, now=now)
+        leads = self.election.is_leader(now)
+        self.election.on_group_count(
+            self.group_rule.next_count(self.election.group_count, is_leader=leads, now=now)
         )
 
     def on_applied(self, deployment: Deployment) -> None:
@@ -339,7 +339,7 @@
 
     def hubs(self) -> list[str]:
         """Return the boxes that all others ping, which hear first of what a box has seen."""
-        return self.election.hubs(self.clock.monotonic())
+        return self.election.candidate_addresses(self.clock.monotonic())
 
     def on_replica_backoff(self, replica: Replica) -> None:
         """Tell the box that schedules which engine wants nothing from this one."""
@@ -358,11 +358,11 @@
         for service in self.scheduler.boards:
             self.tell_backoffs(self.gate.backoffs_of(service))
         if address == self.own.address:
-            self.scheduler.succession.take_up()
+            self.scheduler.succession.activate()
             self.scheduler.stages.on_take_over(has_work=asked_again > 0)
         else:
             self.scheduler.stages.release.on_hand_over()
-            self.scheduler.succession.give_way(address)
+            self.scheduler.succession.step_down(address)
         self.notices.on_lender(own=address == self.own.address)
         self.observer.on_scheduler(address, asked_again)
 
@@ -384,9 +384,9 @@
         self.subscription.leave()
         self.link.ping_all()
         for candidate in self.election.candidates.values():
-            if candidate.heard_at is not None:
+            if candidate.last_heard_at is not None:
                 # Boxes that see this one as a candidate learn at once that it leaves.
                 self.link.send(candidate.box.address, self.link.presence(Pong, 0))
         successor = self.election.scheduler(self.clock.monotonic(), self.contact()).address
         if successor != self.own.address:
-            self.scheduler.succession.give_way(successor)
+            self.scheduler.succession.step_down(successor)
--- a/packages/daemon/calicopathd/gateway/peers.py
+++ b/packages/daemon/calicopathd/gateway/peers.py
@@ -19,7 +19,7 @@
 from calicopath_core.membership.messages import BadMessage, MessageDecoder, encode
 from calicopath_core.permits.messages import PERMIT_MESSAGES
 from calicopath_core.permits.sharing import LIMIT_MESSAGES
-from calicopath_core.scheduling.election import PING_S
+from calicopath_core.scheduling.election import PING_INTERVAL_S
 from calicopath_core.scheduling.messages import (
     MESSAGES,
     Adopt,
@@ -172,7 +172,7 @@
             contact=self.contact(),
             leaving=self.election.leaving,
             sequence=sequence,
-            groups=self.election.count,
+            groups=self.election.group_count,
             crashes=self.crashes.digest(),
             replicas=self.notices.leaving_sharing.digest(),
             limits=self.notices.limit_sharing.digest(),
@@ -183,9 +183,9 @@
         self.election.sequence += 1
         now = self.clock.monotonic()
         ping = self.presence(Ping, self.election.sequence)
-        for candidate in self.election.pinged(now):
+        for candidate in self.election.candidates_to_ping(now):
             address = candidate.box.address
-            if candidate.must_renew(now):
+            if candidate.mark_reconnect_if_due(now):
                 self.transport.renew(address)
                 self.send(address, msgspec.structs.replace(ping, unanswered=True))
             else:
@@ -199,4 +199,4 @@
             self.ping_all()
             self.crashes.tell_hubs()
             self.notices.tell_hubs()
-            await asyncio.sleep(PING_S)
+            await asyncio.sleep(PING_INTERVAL_S)
--- a/packages/daemon/calicopathd/gateway/run.py
+++ b/packages/daemon/calicopathd/gateway/run.py
@@ -164,7 +164,7 @@
             permits_waiting=len(box.notices.holder.waiting),
             permits_unused=box.notices.permits.unused,
             requests_suspected=len(box.ledger.suspects),
-            boxes_listed=box.election.boxes_sharing(),
+            boxes_listed=box.election.box_count(),
             jobs=len(box.scheduler.jobs),
             groups=box.election.groups,
             loop_lag_seconds=box.group_rule.lag.value_s,
--- a/packages/daemon/calicopathd/gateway/settings.py
+++ b/packages/daemon/calicopathd/gateway/settings.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from calicopath_core.fleet.store import RecordKind
-from calicopath_core.scheduling.starts import NO_ALLOWANCE, WarmupTerms
+from calicopath_core.scheduling.starts import NO_OVERAGE, WarmupTerms
 
 if TYPE_CHECKING:
     from calicopath_core.exchanges.budget import BudgetTerms
@@ -62,7 +62,7 @@
     max_descriptors: int
     evacuate_s: float | None = None
     replica_beat_s: float = DEFAULT_BEAT_S
-    warmup: WarmupTerms = NO_ALLOWANCE
+    warmup: WarmupTerms = NO_OVERAGE
 
     @property
     def followed(self) -> tuple[RecordKind, ...]:
--- a/packages/daemon/calicopathd/gateway/tests/crashing_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/crashing_tests.py
@@ -19,7 +19,7 @@
 
 from calicopath_core.crashes.messages import Evidence
 from calicopath_core.crashes.suspects import keys_of
-from calicopath_core.scheduling.election import PING_S
+from calicopath_core.scheduling.election import PING_INTERVAL_S
 from calicopath_core.scheduling.messages import Prompt, PromptPart, Rejected
 from testkit.crashing_fleet import CONTACT_S, MOST_LATE, POISON, CrashingCase, CrashingFleet
 
@@ -161,7 +161,7 @@
         async def work(fleet: CrashingFleet) -> None:
             box, scheduler = fleet.boxes['box-2'].box, fleet.boxes['box-0'].box
             self.assertEqual({scheduler.own.address}, fleet.schedulers())
-            await asyncio.sleep(PING_S / 4)
+            await asyncio.sleep(PING_INTERVAL_S / 4)
             sink = fleet.ask('box-2', POISON)
             await asyncio.sleep(0.0)
             content = next(iter(box.client.asked.values())).place.content
--- a/packages/daemon/calicopathd/gateway/tests/fleet_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/fleet_tests.py
@@ -110,13 +110,13 @@
             fleet.kill('box-0')
             candidate = fleet.boxes['box-1'].box.election.candidates['box-0']
             for _ in range(30):
-                candidate.heard_at = now()
+                candidate.last_heard_at = now()
                 await asyncio.sleep(0.05)
             self.assertEqual('box-1:7', fleet.boxes['box-2'].box.client.target)
             begun, sent = now(), fleet.boxes['box-2'].box.link.sent
             sinks = [fleet.serve('box-2', exchange(number, 'draft', now())) for number in range(4)]
             for _ in range(10):
-                candidate.heard_at = now()
+                candidate.last_heard_at = now()
                 await asyncio.sleep(0.05)
             await fleet.settle()
             self.assertEqual([WHOLE] * 4, [sink.event_ids for sink in sinks])
--- a/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from calicopath_core.fleet.notices import NOTHING_TOLD, Bar, Notice
-from calicopath_core.scheduling.election import CANDIDATES
+from calicopath_core.scheduling.election import CANDIDATE_COUNT
 from testkit.cases import VirtualCase
 from testkit.notice_fleet import NoticeFleet
 
@@ -99,7 +99,7 @@
         async def work(fleet: NoticeFleet) -> None:
             self.hear(fleet, 'box-3', 'engine-4', LEAVES)
             await asyncio.sleep(0.3)
-            for number in range(CANDIDATES - 1):
+            for number in range(CANDIDATE_COUNT - 1):
                 fleet.kill(f'box-{number}')
             await asyncio.sleep(3.0)
             self.assertEqual(set(fleet.boxes), self.knowing(fleet, 'engine-4'))
--- a/packages/daemon/calicopathd/gateway/tests/restored_store_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/restored_store_tests.py
@@ -211,7 +211,7 @@
             await asyncio.sleep(5.0)
             self.assertIn('box-new', fleet.store.records[RecordKind.BOX])
             for box in fleet.boxes.values():
-                self.assertEqual(count + 1, box.box.election.boxes_sharing())
+                self.assertEqual(count + 1, box.box.election.box_count())
             self.assertEqual(1, len(fleet.schedulers()))
 
         for count in (FEW, MANY):
@@ -227,7 +227,7 @@
             await fleet.store.go_back(copy, AWAY_S)
             await asyncio.sleep(5.0)
             listed = fleet.store.records[RecordKind.BOX]['box-1']
-            self.assertEqual(again.box.life, getattr(listed, 'life', ''))
+            self.assertEqual(again.box.life, getattr(listed, 'incarnation', ''))
 
         for count in (FEW, MANY):
             self.play(count, work)
@@ -256,7 +256,7 @@
             await asyncio.sleep(APPLY_S)
             self.assertNotIn('box-2', fleet.store.records[RecordKind.BOX])
             for box in fleet.boxes.values():
-                self.assertEqual(len(fleet.boxes), box.box.election.boxes_sharing())
+                self.assertEqual(len(fleet.boxes), box.box.election.box_count())
 
         for count in (FEW, MANY):
             self.play(count, work)
--- a/packages/daemon/calicopathd/gateway/tests/starting_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/starting_tests.py
@@ -52,7 +52,7 @@
             again = await self.restarted(fleet, f'box-{COUNT - 1}')
             await asyncio.sleep(0.1)
             self.assertTrue(again.box.ready())
-            self.assertEqual(COUNT, again.box.election.boxes_sharing())
+            self.assertEqual(COUNT, again.box.election.box_count())
             await asyncio.sleep(5.0)
             self.assertEqual(2, again.store.calls)
             await fleet.stop()
--- a/testkit/replay/plain.py
+++ b/testkit/replay/plain.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING
 
-from calicopath_core.scheduling.admission import Admission, Verdict
+from calicopath_core.scheduling.admission import Admission, AdmissionDecision
 from calicopath_core.scheduling.evenness import Evenness
 from calicopath_core.scheduling.fairness import Allowances
-from calicopath_core.scheduling.pacing import Pacing, full_rate
+from calicopath_core.scheduling.pacing import Pacing, full_batch_rate
 from testkit.replay.world import Variant
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
 class NoAllowances(Allowances):
     """Take no workspace for a flood."""
 
-    def ask(self, workspace: str, cost_s: float, now: float) -> bool:
+    def charge(self, workspace: str, cost_s: float, now: float) -> bool:
         """Allow everything."""
         return False
 
@@ -29,7 +29,7 @@
 class NoPacing(Pacing):
     """Hold no job back before its first stage."""
 
-    def find(self, jobs: Iterable[Job], queues: Mapping[str, StageQueue]) -> set[str]:
+    def find_held(self, jobs: Iterable[Job], queues: Mapping[str, StageQueue]) -> set[str]:
         """Hold nobody."""
         return set()
 
@@ -40,29 +40,29 @@
 class SameAhead(Pacing):
     """Let as many seconds of work be begun ahead of every stage, whatever comes before it."""
 
-    def find(self, jobs: Iterable[Job], queues: Mapping[str, StageQueue]) -> set[str]:
+    def find_held(self, jobs: Iterable[Job], queues: Mapping[str, StageQueue]) -> set[str]:
         """Hold jobs back by that."""
         listed = list(jobs)
         for job in listed:
             for number, phase in enumerate(job.place.phases):
                 queue = queues[phase.service]
-                job.ahead_s[number] = SAME_AHEAD_S * queue.rate() / full_rate(queue)
-        return super().find(listed, queues)
+                job.ahead_s[number] = SAME_AHEAD_S * queue.rate() / full_batch_rate(queue)
+        return super().find_held(listed, queues)
 
 
 class NoAdmission(Admission):
     """Let everybody in."""
 
-    def judge(
+    def decide(
         self,
         job: Job,
         others: Iterable[Job],
         queues: Mapping[str, StageQueue],
         engine_s: float,
         now: float,
-    ) -> Verdict:
+    ) -> AdmissionDecision:
         """Let a job in."""
-        return Verdict(True, engine_s)
+        return AdmissionDecision(True, engine_s)
 
 
 def without_allowances(scheduler: Scheduler) -> None:
@@ -88,7 +88,7 @@
 class RanksAlone(Evenness):
     """Let every rank give way to those before it, however it fares."""
 
-    def urgency(self, rank: int) -> int:
+    def effective_rank(self, rank: int) -> int:
         """Return the rank itself."""
         return rank
 
@@ -101,7 +101,7 @@
 def without_start_bound(scheduler: Scheduler) -> None:
     """Let any number of runs begin at an engine within a second."""
     for board in scheduler.boards.values():
-        board.bound = None
+        board.start_limit = None
 
 
 OURS = Variant('ours')
--- a/tools/mutants/catalogue.py
+++ b/tools/mutants/catalogue.py
@@ -165,14 +165,14 @@
     Mutant(
         'cold replicas',
         f'{CORE}/scheduling/engines.py',
-        'if self.bound is None or now >= self.alone_from:',
+        'if self.start_limit is None or now >= self.exclusive_from:',
         'if True:',
         f'{CORE}/scheduling/tests/starts_tests.py::Bound',
     ),
     Mutant(
         'cold replicas',
         f'{CORE}/scheduling/engines.py',
-        'if bound is None:',
+        'if limit is None:',
         'if True:',
         f'{CORE}/scheduling/tests/starts_tests.py::ZoneBackCold',
     ),
--- a/tools/mutants/limits.py
+++ b/tools/mutants/limits.py
@@ -90,7 +90,7 @@
     Mutant(
         'what exceeds limits is refused at once',
         f'{CORE}/scheduling/rejections.py',
-        "        self.reject(job, 'limited', self.admission.return_s(job, wait_s, now))\n"
+        "        self.reject(job, 'limited', self.admission.retry_after_s(job, wait_s, now))\n"
         '        return False',
         '        return True',
         f'{FLEET}::Served',
--- a/tools/mutants/notices.py
+++ b/tools/mutants/notices.py
@@ -78,7 +78,7 @@
     Mutant(
         'runs come back gradually',
         f'{CORE}/scheduling/backoffs.py',
-        'return shun is not None and shun.trial_until > now',
+        'return avoidance is not None and avoidance.trial_until > now',
         'return False',
         PLACING,
     ),
@@ -92,7 +92,7 @@
     Mutant(
         'an engine that turns away draws nothing',
         f'{CORE}/scheduling/backoffs.py',
-        'return shun is not None and shun.until > now',
+        'return avoidance is not None and avoidance.until > now',
         'return False',
         PLACING,
     ),
