--- a/bench/permits.py
+++ b/bench/permits.py
@@ -16,9 +16,9 @@
 from calicopath_core.membership.messages import encode
 from calicopath_core.permits.buckets import PermitBucket
 from calicopath_core.permits.client import PermitClient
-from calicopath_core.permits.holder import PermitHolder, PermitObserver
-from calicopath_core.permits.limits import NamedLimits
-from calicopath_core.permits.messages import PermitAnswer, PermitAsk
+from calicopath_core.permits.holder import LimitIssuer, PermitObserver
+from calicopath_core.permits.limits import AdvertisedLimits
+from calicopath_core.permits.messages import PermitAnswer, PermitRequest
 from testkit.virtual import VirtualClock, run_virtual
 
 if TYPE_CHECKING:
@@ -77,26 +77,26 @@
         self.traffic: dict[str, list[int]] = {}
         table = ReplicaTable()
         table.replace(replicas, 0.0)
-        limits = NamedLimits(clock=clock, observer=mock.Mock(spec=NoticeObserver))
+        limits = AdvertisedLimits(clock=clock, observer=mock.Mock(spec=NoticeObserver))
         for replica in replicas:
             limits.on_notice(replica, Notice(limit_per_s=per_s))
         self.clients = [
-            PermitClient(clock=clock, own_address=f'{n}', holder=lambda: '0', send=self.send)
+            PermitClient(clock=clock, own_address=f'{n}', issuer_address=lambda: '0', send=self.send)
             for n in range(boxes)
         ]
-        self.holder = PermitHolder(
+        self.holder = LimitIssuer(
             clock=clock,
             limits=limits,
             replicas=table,
             share=lambda: 1.0,
             send=self.answer,
-            own=self.clients[0],
+            own_client=self.clients[0],
             observer=mock.Mock(spec=PermitObserver),
         )
 
     async def ask(self, box: int) -> str:
         """Return a replica for which a permit was lent in time."""
-        permit = await self.clients[box].ask(self.replicas, wait_s=WAIT_S, priority=0)
+        permit = await self.clients[box].request_permit(self.replicas, wait_s=WAIT_S, priority=0)
         return permit.replica
 
     def count(self, *addresses: str, message: msgspec.Struct) -> None:
@@ -106,9 +106,9 @@
 
     def send(self, address: str, message: msgspec.Struct) -> None:
         """Bring an ask to the lender."""
-        assert isinstance(message, PermitAsk)
+        assert isinstance(message, PermitRequest)
         self.count(message.address, address, message=message)
-        asyncio.get_running_loop().call_later(DELAY_S, self.holder.on_ask, message)
+        asyncio.get_running_loop().call_later(DELAY_S, self.holder.on_request, message)
 
     def answer(self, address: str, message: msgspec.Struct) -> None:
         """Bring an answer to a box."""
--- a/packages/core/calicopath_core/crashes/fate.py
+++ b/packages/core/calicopath_core/crashes/fate.py
@@ -65,9 +65,9 @@
         ends_at = loop.time() + LAPSE_S
         while loop.time() < ends_at:
             known = self.replicas.replicas.get(self.replica.id)
-            if self.replicas.leaves(known or self.replica):
+            if self.replicas.is_leaving(known or self.replica):
                 return False
-            if known is None or self.replicas.has_ended(known):
+            if known is None or self.replicas.is_replaced(known):
                 return True
             await asyncio.sleep(LAPSE_CHECK_S)
         return False
--- a/packages/core/calicopath_core/exchanges/balancer.py
+++ b/packages/core/calicopath_core/exchanges/balancer.py
@@ -126,7 +126,7 @@
 
     def limited(self, service: str, tried: set[str], now: float) -> list[Replica]:
         """Return the replicas that may be called with a permit, the quickest first."""
-        found = [item for item in self.gate.limited(service) if item.id not in tried]
+        found = [item for item in self.gate.limited_replicas(service) if item.id not in tried]
         return sorted(self.cold.allowed(found, now), key=lambda item: self.cost_s(item, now))
 
     def usual_s(self, replicas: Iterable[Replica]) -> float:
--- a/packages/core/calicopath_core/exchanges/context.py
+++ b/packages/core/calicopath_core/exchanges/context.py
@@ -19,7 +19,7 @@
     from calicopath_core.exchanges.messages import Exchange, ReplicaCaller
     from calicopath_core.fleet.deployment import Deployment, DeploymentView, Route
     from calicopath_core.fleet.gate import CallGate
-    from calicopath_core.fleet.notices import Bar
+    from calicopath_core.fleet.notices import Exclusion
     from calicopath_core.fleet.replicas import ReplicaTable
     from calicopath_core.scheduling.client import SchedulerClient
     from calicopath_core.scheduling.election import Election
@@ -144,7 +144,7 @@
         """Note an attempt that gave no whole answer, and the time that was left."""
 
     @abstractmethod
-    def on_passed_over(self, ticket: Ticket, replica: str, bar: Bar) -> None:
+    def on_passed_over(self, ticket: Ticket, replica: str, bar: Exclusion) -> None:
         """Note a replica that was chosen for a request and must not get it."""
 
     @abstractmethod
--- a/packages/core/calicopath_core/exchanges/messages.py
+++ b/packages/core/calicopath_core/exchanges/messages.py
@@ -5,12 +5,12 @@
 from abc import ABC, abstractmethod
 from typing import TYPE_CHECKING, NamedTuple
 
-from calicopath_core.fleet.notices import Deaf
+from calicopath_core.fleet.notices import NoInterceptor
 
 if TYPE_CHECKING:
     from calicopath_core.backends.base import Reach
     from calicopath_core.exchanges.balancer import LoadReport
-    from calicopath_core.fleet.notices import ReplicaListener
+    from calicopath_core.fleet.notices import CallInterceptor
     from calicopath_core.fleet.replicas import Replica
     from calicopath_core.scheduling.messages import Prompt
 
@@ -93,7 +93,7 @@
 class ReplicaReach(ABC):
     """Look whether replicas can be reached; `listener` learns of every call and answer."""
 
-    listener: ReplicaListener = Deaf()
+    listener: CallInterceptor = NoInterceptor()
 
     @abstractmethod
     async def reach(self, replica: Replica, watch_s: float) -> Reach:
--- a/packages/core/calicopath_core/exchanges/plain.py
+++ b/packages/core/calicopath_core/exchanges/plain.py
@@ -22,7 +22,7 @@
     check_sendable,
 )
 from calicopath_core.exchanges.messages import Outbound
-from calicopath_core.fleet.notices import Barred
+from calicopath_core.fleet.notices import ReplicaExcluded
 
 if TYPE_CHECKING:
     from calicopath_core.exchanges.context import ExchangeContext, Ticket
@@ -64,10 +64,10 @@
             continue
         try:
             answer = await attempt(context, ticket, replica)
-        except Barred as error:
+        except ReplicaExcluded as error:
             ticket.on_unsent()
             ticket.passed_over.append(replica.id)
-            context.observer.on_passed_over(ticket, replica.id, error.bar)
+            context.observer.on_passed_over(ticket, replica.id, error.exclusion)
             continue
         except BackendError as error:
             left_s = ticket.deadline_at - context.clock.monotonic()
@@ -111,10 +111,10 @@
     """
     now = context.clock.monotonic()
     replica = context.balancer.choose(ticket.service, ticket.left_out, now)
-    if replica is not None and context.gate.limits.of(replica) is None:
+    if replica is not None and context.gate.limits.limit_of(replica) is None:
         return replica
     if replica is not None:
-        permit = await context.gate.permits.ask([replica], wait_s=0.0, priority=ticket.priority)
+        permit = await context.gate.permits.request_permit([replica], wait_s=0.0, priority=ticket.priority)
         return replica if permit.replica else None
     limited = context.balancer.limited(ticket.service, ticket.left_out, now)
     if not limited:
@@ -122,32 +122,32 @@
     left_s = ticket.deadline_at - now - context.balancer.usual_s(limited)
     wait_s = max(0.0, WAIT_SHARE * left_s)
     priority = ticket.priority
-    permit = await context.gate.permits.ask(limited, wait_s=wait_s, priority=priority)
+    permit = await context.gate.permits.request_permit(limited, wait_s=wait_s, priority=priority)
     waited_s = context.clock.monotonic() - now
-    context.observer.on_permit_awaited(ticket, permit.replica, waited_s, permit.opens_in_s)
+    context.observer.on_permit_awaited(ticket, permit.replica, waited_s, permit.available_in_s)
     found = context.replicas.replicas.get(permit.replica)
     if found is None:
-        raise none_left(context, ticket, permit.opens_in_s)
+        raise none_left(context, ticket, permit.available_in_s)
     context.balancer.cold.on_sent(found, context.clock.monotonic())
     return found
 
 
 def none_left(
-    context: ExchangeContext, ticket: Ticket, permit_in_s: float | None = None
+    context: ExchangeContext, ticket: Ticket, permit_available_in_s: float | None = None
 ) -> RefusedExchange:
     """Return how a request ends for which there is no replica, or no permit in time."""
     if ticket.may_have_run:
         return RefusedExchange(STATUS_BAD_GATEWAY, 'no-other-endpoint')
-    if permit_in_s is None:
+    if permit_available_in_s is None:
         wait_s = return_s(context, ticket)
         return RefusedExchange(STATUS_UNAVAILABLE, 'no-endpoint', retry_after_s=wait_s)
-    wait_s = max(RETRY_SOON_S, permit_in_s * context.balancer.rng.uniform(1.0, RETURN_SPREAD))
+    wait_s = max(RETRY_SOON_S, permit_available_in_s * context.balancer.rng.uniform(1.0, RETURN_SPREAD))
     return RefusedExchange(STATUS_UNAVAILABLE, 'limited', retry_after_s=wait_s)
 
 
 def return_s(context: ExchangeContext, ticket: Ticket) -> float:
     """Return when a caller may come back: not before the first replica that may be called."""
-    return max(RETRY_SOON_S, context.gate.first_back_s(ticket.service))
+    return max(RETRY_SOON_S, context.gate.earliest_available_in_s(ticket.service))
 
 
 def may_repeat(context: ExchangeContext, ticket: Ticket) -> bool:
@@ -191,7 +191,7 @@
         ticket.runs += 1
         stats.on_failure(context.clock.monotonic())
         raise MayHaveRun(f'{replica.id} did not answer within {limit_s:.3f} s') from error
-    except Barred:
+    except ReplicaExcluded:
         raise
     except NotStarted:
         stats.on_failure(context.clock.monotonic())
--- a/packages/core/calicopath_core/exchanges/streams.py
+++ b/packages/core/calicopath_core/exchanges/streams.py
@@ -17,7 +17,7 @@
 from calicopath_core.exchanges.events import EventSplitter
 from calicopath_core.exchanges.messages import Outbound
 from calicopath_core.exchanges.plain import note_crash, read_all
-from calicopath_core.fleet.notices import Bar, Barred
+from calicopath_core.fleet.notices import Exclusion, ReplicaExcluded
 from calicopath_core.scheduling.client import PlacementRejected
 from calicopath_core.scheduling.messages import PhaseWork, Place, Prompt
 
@@ -73,17 +73,17 @@
         try:
             placed = await self.place(job)
             replica = self.context.replicas.replicas.get(placed.replica)
-            bar = Bar.GONE if replica is None else self.context.gate.bar_of(replica)
+            bar = Exclusion.GONE if replica is None else self.context.gate.exclusion_of(replica)
             if replica is None or bar is not None:
                 # This box knows of the replica what the scheduler did not; nothing was sent.
-                return self.pass_over(placed, bar or Bar.GONE)
+                return self.pass_over(placed, bar or Exclusion.GONE)
             await self.take_permit(placed, replica)
             check_sendable(self.context, self.ticket)
             try:
                 return await self.run(job, placed, replica)
-            except Barred as error:
+            except ReplicaExcluded as error:
                 self.ticket.on_unsent()
-                return self.pass_over(placed, error.bar)
+                return self.pass_over(placed, error.exclusion)
             except BackendError as error:
                 failed = not isinstance(error, Declined)
                 turned_away = isinstance(error, Declined) and error.turned_away
@@ -105,11 +105,11 @@
         """
         permits = self.context.gate.permits
         if placed.permit:
-            permits.lend(replica.id)
-        elif self.context.gate.limits.binds(replica):
-            await permits.ask([replica], wait_s=PERMIT_WAIT_S, priority=self.ticket.priority)
+            permits.add_permit(replica.id)
+        elif self.context.gate.limits.requires_permit(replica):
+            await permits.request_permit([replica], wait_s=PERMIT_WAIT_S, priority=self.ticket.priority)
 
-    def pass_over(self, placed: Placed, bar: Bar) -> bool:
+    def pass_over(self, placed: Placed, bar: Exclusion) -> bool:
         """Have another engine chosen, unless that went wrong too often."""
         self.context.observer.on_passed_over(self.ticket, placed.replica, bar)
         self.ticket.passed_over.append(placed.replica)
@@ -155,7 +155,7 @@
             piece_key=exchange.piece_key,
             priority=ticket.priority,
             objective_s=ticket.route.objective_s - spent_s,
-            deadline_s=min(self.left_s(), ticket.route.patience_s - spent_s),
+            deadline_s=min(self.left_s(), ticket.route.first_event_timeout_s - spent_s),
             service=ticket.service,
             phases=phases,
             prompt=exchange.prompt or Prompt('', (), 0, 0),
@@ -163,7 +163,7 @@
             resumed=bool(ticket.replicas),
             workspace=ticket.tenant or '',
             content=ticket.content,
-            backoffs=self.context.gate.backoffs_of(ticket.service),
+            backoffs=self.context.gate.remaining_backoffs(ticket.service),
             may_have_run=ticket.may_have_run,
         )
 
--- a/packages/core/calicopath_core/fleet/contact.py
+++ b/packages/core/calicopath_core/fleet/contact.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-BEHIND_S = 2.0
+MIN_BEHIND_S = 2.0
 """How long the store must have failed a box, and answered another, before the other schedules
 instead: a box cut off does not hear of replicas that leave. A store that fails all boxes is noticed
 by each within this time (a watch waits 2 s), and so is its return (see `fleet.feed`): no box may
@@ -26,7 +26,7 @@
     failing_s: float = 0.0
     steady_s: float = math.inf
 
-    def later(self, seconds: float) -> StoreContact:
+    def aged_by(self, seconds: float) -> StoreContact:
         """Return the same contact some seconds after it was told."""
         failing_s = self.failing_s + seconds if self.failing_s else 0.0
         return StoreContact(self.age_s + seconds, failing_s, self.steady_s + seconds)
@@ -34,7 +34,7 @@
     def is_behind(self, other: StoreContact) -> bool:
         """Tell whether the store has answered another box steadily while it has failed this one."""
         answered = other.failing_s == 0.0 and other.age_s < self.failing_s
-        return self.failing_s > BEHIND_S and answered and other.steady_s > BEHIND_S
+        return self.failing_s > MIN_BEHIND_S and answered and other.steady_s > MIN_BEHIND_S
 
     def is_behind_any(self, others: Iterable[StoreContact]) -> bool:
         """Tell whether a box is behind any other."""
--- a/packages/core/calicopath_core/fleet/deployment.py
+++ b/packages/core/calicopath_core/fleet/deployment.py
@@ -48,7 +48,7 @@
     phases: tuple[Phase, ...]
     anonymous: bool
     resumable: bool
-    patience_s: float = math.inf
+    first_event_timeout_s: float = math.inf
 
     @property
     def repeatable(self) -> bool:
@@ -68,7 +68,7 @@
     batch: int
     call_s: float
     piece_s: float
-    room_bytes: float
+    result_capacity_bytes: float
     result_ttl_s: float
 
 
@@ -163,7 +163,7 @@
         self.current: Deployment | None = None
         self.applied_at = 0.0
 
-    def offer(self, deployment: Deployment, now: float) -> bool:
+    def apply_if_newer(self, deployment: Deployment, now: float) -> bool:
         """Apply a deployment if it is newer than the one held; say whether it was."""
         if self.current is not None and deployment.version <= self.current.version:
             return False
--- a/packages/core/calicopath_core/fleet/evacuations.py
+++ b/packages/core/calicopath_core/fleet/evacuations.py
@@ -19,7 +19,7 @@
     revision: int
 
 
-class HeldEvacuation(NamedTuple):
+class ActiveEvacuation(NamedTuple):
     """Hold an evacuation and since when this box knows of it, in seconds since 1970."""
 
     evacuation: Evacuation
@@ -36,46 +36,46 @@
     def __init__(
         self,
         *,
-        wall: Callable[[], float],
-        on_taken_out: Callable[[Evacuation], None],
-        on_given_back: Callable[[HeldEvacuation], None],
+        wall_clock: Callable[[], float],
+        on_evacuation_started: Callable[[Evacuation], None],
+        on_evacuation_ended: Callable[[ActiveEvacuation], None],
         on_changed: Callable[[frozenset[str]], None],
     ) -> None:
-        self.wall = wall
-        self.on_taken_out = on_taken_out
-        self.on_given_back = on_given_back
+        self.wall_clock = wall_clock
+        self.on_evacuation_started = on_evacuation_started
+        self.on_evacuation_ended = on_evacuation_ended
         self.on_changed = on_changed
-        self.held: dict[str, HeldEvacuation] = {}
+        self.active: dict[str, ActiveEvacuation] = {}
 
-    def replace(self, evacuations: Iterable[Evacuation]) -> None:
+    def replace_all(self, evacuations: Iterable[Evacuation]) -> None:
         """Take in every evacuation there is."""
         listed = {item.zone: item for item in evacuations}
-        changes = [(zone, None) for zone in self.held if zone not in listed]
-        self.change([*changes, *listed.items()])
+        changes = [(zone, None) for zone in self.active if zone not in listed]
+        self.apply_changes([*changes, *listed.items()])
 
-    def change(self, changes: Iterable[tuple[str, Evacuation | None]]) -> None:
+    def apply_changes(self, changes: Iterable[tuple[str, Evacuation | None]]) -> None:
         """Take in the newest state of some zones: taken out, or nothing if given back."""
-        before = frozenset(self.held)
+        before = frozenset(self.active)
         for zone, evacuation in changes:
             if evacuation is None:
-                self.give_back(zone)
+                self.end_evacuation(zone)
             else:
-                self.take_out(evacuation)
-        after = frozenset(self.held)
+                self.start_evacuation(evacuation)
+        after = frozenset(self.active)
         if after != before:
             self.on_changed(after)
 
-    def take_out(self, evacuation: Evacuation) -> None:
+    def start_evacuation(self, evacuation: Evacuation) -> None:
         """Hold a zone for taken out; one written anew keeps the time since which it is."""
-        known = self.held.get(evacuation.zone)
+        known = self.active.get(evacuation.zone)
         if known is not None:
-            self.held[evacuation.zone] = known._replace(evacuation=evacuation)
+            self.active[evacuation.zone] = known._replace(evacuation=evacuation)
             return
-        self.held[evacuation.zone] = HeldEvacuation(evacuation, self.wall())
-        self.on_taken_out(evacuation)
+        self.active[evacuation.zone] = ActiveEvacuation(evacuation, self.wall_clock())
+        self.on_evacuation_started(evacuation)
 
-    def give_back(self, zone: str) -> None:
+    def end_evacuation(self, zone: str) -> None:
         """Hold a zone for given back."""
-        known = self.held.pop(zone, None)
+        known = self.active.pop(zone, None)
         if known is not None:
-            self.on_given_back(known)
+            self.on_evacuation_ended(known)
--- a/packages/core/calicopath_core/fleet/feed.py
+++ b/packages/core/calicopath_core/fleet/feed.py
@@ -17,19 +17,19 @@
     from calicopath_core.fleet.positions import Position
     from calicopath_core.fleet.store import Change, Changes, FleetStore, Record
 
-PROBE_S = 0.1
+PROBE_WAIT_S = 0.1
 """How long a watch waits while the store does not answer: a call that hangs is then noticed within
 0.9 s, so that a box hears of the store's return, and of what was changed since, in under 2 s. The
 users count a box as in touch 3 s after it, and a change as in force 2 s after it was made."""
 
-MODE_CHECK_S = 0.2
+RELAY_CHECK_INTERVAL_S = 0.2
 """How often a box that hears the store through others looks whether it still does."""
 
 
-HELD_CHECK_S = 0.02
+READ_CHECK_INTERVAL_S = 0.02
 """How often a box looks whether it may read the store by itself by now."""
 
-GATHER_S = {
+BATCH_DELAY_S = {
     RecordKind.DEPLOYMENT: 0.0,
     RecordKind.REPLICA: 0.04,
     RecordKind.BOX: 0.4,
@@ -55,11 +55,11 @@
         """Note that the store could not be read until now."""
 
 
-class FollowMode(ABC):
+class FollowPolicy(ABC):
     """Say how a box follows the store."""
 
     @abstractmethod
-    def follows(self) -> bool:
+    def uses_relay(self) -> bool:
         """Tell whether the box hears the store through others."""
 
     @abstractmethod
@@ -67,7 +67,7 @@
         """Tell whether the box may read a kind of the store: not while relays may still tell it."""
 
     @abstractmethod
-    def wait_s(self, kind: RecordKind) -> float:
+    def watch_wait_s(self, kind: RecordKind) -> float:
         """Return how long a watch waits."""
 
     @abstractmethod
@@ -75,7 +75,7 @@
         """Give relays the time to tell what the store has forgotten the history of."""
 
     @abstractmethod
-    async def wait_out(self, kind: RecordKind, failures: int) -> None:
+    async def back_off(self, kind: RecordKind, failures: int) -> None:
         """Wait before a kind is asked for again of which so many calls in a row have failed."""
 
 
@@ -83,11 +83,11 @@
     """Learn how a feed does."""
 
     @abstractmethod
-    def on_lost(self, kind: RecordKind, error: Exception) -> None:
+    def on_contact_lost(self, kind: RecordKind, error: Exception) -> None:
         """Note that the store stopped answering."""
 
     @abstractmethod
-    def on_regained(self, kind: RecordKind, silent_s: float) -> None:
+    def on_contact_restored(self, kind: RecordKind, silent_s: float) -> None:
         """Note that the store answers again."""
 
     @abstractmethod
@@ -99,7 +99,7 @@
         """Note that a list was not taken in, as its position is before the one held."""
 
 
-class KindFeed:
+class RecordFeed:
     """Follow one kind and hand on what comes; times are monotonic seconds.
 
     While `follows` says so, what others have read of the store comes through `take_update` and the
@@ -114,14 +114,14 @@
         clock: Clock,
         observer: FeedObserver,
         handler: FeedHandler,
-        mode: FollowMode,
+        policy: FollowPolicy,
     ) -> None:
         self.store = store
         self.kind = kind
         self.clock = clock
         self.observer = observer
         self.handler = handler
-        self.mode = mode
+        self.policy = policy
         self.position: Position | None = None
         self.records: dict[str, Record] = {}
         self.contact_at: float | None = None
@@ -140,27 +140,27 @@
         """Follow the store until cancelled."""
         failures = losses = 0
         while True:
-            if not self.mode.may_read(self.kind):
-                await asyncio.sleep(HELD_CHECK_S)
+            if not self.policy.may_read(self.kind):
+                await asyncio.sleep(READ_CHECK_INTERVAL_S)
                 continue
-            if self.synced and self.mode.follows():
-                self.end_failure()
-                await asyncio.sleep(MODE_CHECK_S)
+            if self.synced and self.policy.uses_relay():
+                self.clear_failure()
+                await asyncio.sleep(RELAY_CHECK_INTERVAL_S)
                 continue
             try:
                 changed = await self.step()
                 failures = 0
                 losses = losses if self.has_listed else 0
-                await asyncio.sleep(GATHER_S[self.kind] if changed else 0.0)
+                await asyncio.sleep(BATCH_DELAY_S[self.kind] if changed else 0.0)
             except HistoryLost:
                 # No entry lapses by that: what the list does not hold is gone.
                 self.must_list = True
                 losses += 1
-                await self.outlast_loss(losses)
+                await self.wait_after_history_loss(losses)
             except FleetStoreError as error:
                 self.on_failure(error)
                 failures += 1
-                await self.mode.wait_out(self.kind, failures)
+                await self.policy.back_off(self.kind, failures)
 
     async def step(self) -> bool:
         """Make one call and hand on what it brings; tell whether that was a change."""
@@ -169,24 +169,24 @@
         if self.position is None or self.must_list:
             listing = await self.store.list(self.kind)
             self.on_contact()
-            self.take_listing(listing)
+            self.apply_listing(listing)
             return False
         since = self.position
-        wait_s = PROBE_S if self.failing_since is not None else self.mode.wait_s(self.kind)
+        wait_s = PROBE_WAIT_S if self.failing_since is not None else self.policy.watch_wait_s(self.kind)
         found = await self.store.watch(self.kind, since.revision, wait_s)
         self.on_contact()
-        self.take_watched(since, found)
+        self.apply_watch_result(since, found)
         return bool(found.changes)
 
-    async def outlast_loss(self, losses: int) -> None:
+    async def wait_after_history_loss(self, losses: int) -> None:
         """Wait before everything is read anew after so many losses without a change between."""
         assert self.position is not None
         self.observer.on_history_lost(self.kind, self.position)
         if losses > 1:
-            await self.mode.wait_out(self.kind, losses - 1)
-        await self.mode.wait_for_relays()
+            await self.policy.back_off(self.kind, losses - 1)
+        await self.policy.wait_for_relays()
 
-    def take_watched(self, since: Position, found: Changes) -> None:
+    def apply_watch_result(self, since: Position, found: Changes) -> None:
         """Take in what a watch from a position brought, if it is of the same era.
 
         What was written in a later era under revisions up to that one is not among the changes.
@@ -196,9 +196,9 @@
         if found.position.era > since.era:
             self.must_list = True
             return
-        self.take_changes(found.changes, found.position)
+        self.apply_changes(found.changes, found.position)
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Take every record in, unless newer ones are held."""
         self.must_list = False
         if self.position is not None and listing.position < self.position:
@@ -208,7 +208,7 @@
         self.position = listing.position
         self.handler.on_listing(self.kind, listing)
 
-    def take_changes(self, changes: Iterable[Change], position: Position) -> None:
+    def apply_changes(self, changes: Iterable[Change], position: Position) -> None:
         """Take changes in that lead to a position, unless that is held already.
 
         Of several changes of one record the last counts: those before it may be older than what
@@ -218,7 +218,7 @@
             return
         self.position = position
         newest = {change.name: change for change in changes}
-        newest = {name: item for name, item in newest.items() if self.is_news(item)}
+        newest = {name: item for name, item in newest.items() if self.is_change(item)}
         for change in newest.values():
             if change.record is None:
                 self.records.pop(change.name, None)
@@ -227,22 +227,22 @@
         if newest:
             self.handler.on_changes(self.kind, position, list(newest.values()))
 
-    def is_news(self, change: Change) -> bool:
+    def is_change(self, change: Change) -> bool:
         """Tell whether a change is one in what boxes know of the record.
 
         The beats of 200 cold replicas would else be 200 changes a second to each box.
         """
         return change.record is None or change.record != self.records.get(change.name)
 
-    def take_update(
+    def apply_update(
         self, since: Position | None, position: Position, changes: list[Change]
     ) -> None:
         """Take in what a relay has sent: changes after `since`, or every record if that is none."""
         if since is None:
             records = {change.name: change.record for change in changes if change.record}
-            self.take_listing(Listing(records, position))
+            self.apply_listing(Listing(records, position))
         elif self.position is not None and since <= self.position and since.era == position.era:
-            self.take_changes(changes, position)
+            self.apply_changes(changes, position)
 
     def contact(self) -> StoreContact:
         """Return how the store answers this box."""
@@ -254,22 +254,22 @@
     def on_contact(self) -> None:
         """Note that the store answered."""
         if self.failing_since is not None:
-            self.end_failure()
+            self.clear_failure()
             self.handler.on_disrupted()
         self.contact_at = self.clock.monotonic()
 
-    def end_failure(self) -> None:
+    def clear_failure(self) -> None:
         """Note that the store is heard again, by this box or through others."""
         if self.failing_since is None:
             return
         now = self.clock.monotonic()
         self.failing_since = None
         self.steady_since = now
-        self.observer.on_regained(self.kind, now - (self.contact_at or now))
+        self.observer.on_contact_restored(self.kind, now - (self.contact_at or now))
 
     def on_failure(self, error: FleetStoreError) -> None:
         """Note that the store did not answer."""
         self.handler.on_disrupted()
         if self.failing_since is None:
             self.failing_since = self.clock.monotonic()
-            self.observer.on_lost(self.kind, error)
+            self.observer.on_contact_lost(self.kind, error)
--- a/packages/core/calicopath_core/fleet/gate.py
+++ b/packages/core/calicopath_core/fleet/gate.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from calicopath_core.fleet.notices import Bar, Barred, ReplicaListener
+from calicopath_core.fleet.notices import Exclusion, ReplicaExcluded, CallInterceptor
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -18,10 +18,10 @@
     from calicopath_core.fleet.notices import Notice, NoticeObserver
     from calicopath_core.fleet.replicas import Replica, ReplicaTable
     from calicopath_core.permits.client import PermitClient
-    from calicopath_core.permits.limits import NamedLimits
+    from calicopath_core.permits.limits import AdvertisedLimits
 
 
-class CallGate(ReplicaListener):
+class CallGate(CallInterceptor):
     """Know by which orders a replica must not be called from this box.
 
     `on_leaving` is told of replicas that this box is the first to hear of, `on_backoff` of each
@@ -34,7 +34,7 @@
         replicas: ReplicaTable,
         leaving: LeavingReplicas,
         backoffs: Backoffs,
-        limits: NamedLimits,
+        limits: AdvertisedLimits,
         permits: PermitClient,
         observer: NoticeObserver,
         on_leaving: Callable[[str], None],
@@ -49,96 +49,96 @@
         self.on_leaving = on_leaving
         self.on_backoff = on_backoff
 
-    def bar_of(self, replica: Replica) -> Bar | None:
+    def exclusion_of(self, replica: Replica) -> Exclusion | None:
         """Return why a replica gets no new work from this box."""
-        bar = self.replicas.bar_of(replica)
-        if bar is None and self.backoffs.left_s(replica) > 0:
-            return Bar.BACKOFF
-        return bar
+        exclusion = self.replicas.exclusion_of(replica)
+        if exclusion is None and self.backoffs.remaining_s(replica) > 0:
+            return Exclusion.BACKOFF
+        return exclusion
 
     def usable(self, service: str) -> list[Replica]:
         """Return the replicas of a service that may be called now."""
         found = self.replicas.usable(service)
-        if not self.backoffs.held and not self.permits.closed_until:
+        if not self.backoffs.by_replica and not self.permits.unavailable_until:
             return found
-        return [item for item in found if self.opens_in_s(item) <= 0]
+        return [item for item in found if self.available_in_s(item) <= 0]
 
-    def opens_in_s(self, replica: Replica) -> float:
+    def available_in_s(self, replica: Replica) -> float:
         """Return for how long a replica wants nothing from this box, or has no permit for it."""
-        return max(self.backoffs.left_s(replica), self.permit_in_s(replica))
+        return max(self.backoffs.remaining_s(replica), self.permit_available_in_s(replica))
 
-    def permit_in_s(self, replica: Replica) -> float:
+    def permit_available_in_s(self, replica: Replica) -> float:
         """Return when it makes sense to ask for a permit for a replica, 0 for now."""
-        if self.limits.of(replica) is None:
+        if self.limits.limit_of(replica) is None:
             return 0.0
-        return self.permits.opens_in_s(replica.id)
+        return self.permits.available_in_s(replica.id)
 
-    def limited(self, service: str) -> list[Replica]:
+    def limited_replicas(self, service: str) -> list[Replica]:
         """Return the replicas of a service that may be called with a permit."""
-        if not self.limits.held:
+        if not self.limits.by_replica:
             return []
         found = self.replicas.usable(service)
         return [
             item
             for item in found
-            if self.limits.of(item) is not None and self.backoffs.left_s(item) <= 0
+            if self.limits.limit_of(item) is not None and self.backoffs.remaining_s(item) <= 0
         ]
 
-    def support_opens_in_s(self, replica: Replica) -> float:
+    def control_call_available_in_s(self, replica: Replica) -> float:
         """Return when a call without new work may go to a replica, 0 for now."""
-        return max(self.backoffs.left_s(replica), self.limits.support_opens_in_s(replica))
+        return max(self.backoffs.remaining_s(replica), self.limits.control_call_available_in_s(replica))
 
-    def backoffs_of(self, service: str) -> dict[str, float]:
+    def remaining_backoffs(self, service: str) -> dict[str, float]:
         """Return the replicas of a service that want nothing from this box, for how long yet."""
-        return self.backoffs.left_of(self.replicas.usable(service))
+        return self.backoffs.remaining_by_replica(self.replicas.usable(service))
 
-    def first_back_s(self, service: str) -> float:
+    def earliest_available_in_s(self, service: str) -> float:
         """Return when the first replica of a service may be called, 0 if one may or none will."""
         usable = self.replicas.usable(service)
-        return min((self.opens_in_s(item) for item in usable), default=0.0)
+        return min((self.available_in_s(item) for item in usable), default=0.0)
 
     def check_call(self, replica: Replica, *, new_work: bool) -> None:
         """Raise `Barred` if a call must not be sent now.
 
         One that leaves may still be asked for its state, and have results given up.
         """
-        bar = self.bar_of(replica)
-        if bar is not None and not new_work and bar is not Bar.BACKOFF:
-            bar = None
-        if bar is None and not self.may_pass(replica, new_work=new_work):
-            bar = Bar.LIMIT
-        if bar is not None:
-            self.observer.on_held_back(replica, bar)
-            raise Barred(replica, bar)
+        exclusion = self.exclusion_of(replica)
+        if exclusion is not None and not new_work and exclusion is not Exclusion.BACKOFF:
+            exclusion = None
+        if exclusion is None and not self.consume_permit(replica, new_work=new_work):
+            exclusion = Exclusion.LIMIT
+        if exclusion is not None:
+            self.observer.on_held_back(replica, exclusion)
+            raise ReplicaExcluded(replica, exclusion)
         self.backoffs.on_sent(replica)
         self.limits.on_sent(replica)
 
-    def may_pass(self, replica: Replica, *, new_work: bool) -> bool:
+    def consume_permit(self, replica: Replica, *, new_work: bool) -> bool:
         """Tell whether a replica's limit lets a call go, and count it."""
-        if not self.limits.held:
+        if not self.limits.by_replica:
             return True
         if not new_work:
-            return self.limits.take_support(replica)
-        permitted = self.permits.use(replica.id)
-        return permitted or not self.limits.binds(replica)
+            return self.limits.take_control_call(replica)
+        permitted = self.permits.use_permit(replica.id)
+        return permitted or not self.limits.requires_permit(replica)
 
     def on_notice(self, replica: Replica, notice: Notice) -> None:
         """Keep what a replica's answer tells; another one's tells only that this one is gone."""
-        if notice.is_other:
-            self.note_ending(replica, replica.address)
+        if notice.from_other_replica:
+            self.record_leaving(replica, replica.address)
             return
         self.limits.on_notice(replica, notice)
         if notice.leaving:
-            self.note_ending(replica)
+            self.record_leaving(replica)
         if notice.backoff_s > 0:
-            self.backoffs.note(replica, notice.backoff_s)
+            self.backoffs.record(replica, notice.backoff_s)
             self.on_backoff(replica)
         else:
             self.backoffs.on_accepted(replica)
 
-    def note_ending(self, replica: Replica, lost_address: str = '') -> None:
+    def record_leaving(self, replica: Replica, lost_address: str = '') -> None:
         """Keep that a replica leaves, or that another has its address, and tell of it."""
-        if self.leaving.note(replica.id, replica.born, lost_address=lost_address):
+        if self.leaving.record(replica.id, replica.started_ms, lost_address=lost_address):
             self.on_leaving(replica.id)
 
     def expire(self) -> None:
--- a/packages/core/calicopath_core/fleet/leaving_sharing.py
+++ b/packages/core/calicopath_core/fleet/leaving_sharing.py
@@ -15,19 +15,19 @@
     from calicopath_core.clock import Clock
     from calicopath_core.fleet.leaving import LeavingReplicas
 
-MAX_WORDS_TOLD = 200
+MAX_REPORTS_PER_MESSAGE = 200
 """Words told in one message, the latest ones: 6 KB. A whole zone that leaves while the store is
 away is more; what is left over each box hears from the replicas themselves."""
 
 
-class LeavingWord(msgspec.Struct, frozen=True, array_like=True):
+class LeavingReport(msgspec.Struct, frozen=True, array_like=True):
     """Tell that a life of a replica leaves, and how many seconds ago that was heard.
 
     `lost_address` is where another answers if the life is over.
     """
 
     replica: str
-    born: float
+    started_ms: float
     age_s: float
     lost_address: str = ''
 
@@ -35,7 +35,7 @@
 class LeavingNews(News, frozen=True, tag='lv'):
     """Tell a box of replicas that have said in answers that they leave."""
 
-    words: tuple[LeavingWord, ...]
+    reports: tuple[LeavingReport, ...] = msgspec.field(name='words')
 
 
 class LeavingSharing(NewsSharing[str, LeavingNews]):
@@ -59,7 +59,7 @@
 
     def holds(self, key: str) -> bool:
         """Tell whether a replica's word is kept."""
-        return key in self.leaving.words
+        return key in self.leaving.departures
 
     def news_of(self, keys: Iterable[str]) -> LeavingNews:
         """Return the words of some replicas."""
@@ -67,37 +67,37 @@
 
     def everything(self, *, whole: bool) -> LeavingNews:
         """Return all words that are shared."""
-        return self.message(self.leaving.shared(), whole=whole)
+        return self.message(self.leaving.shared_replicas(), whole=whole)
 
     def message(self, names: Iterable[str], *, whole: bool) -> LeavingNews:
         """Return the latest words of some replicas."""
-        now, held = self.clock.monotonic(), self.leaving.words
-        words = [
-            LeavingWord(name, held[name].born, now - held[name].at, held[name].lost_address)
+        now, held = self.clock.monotonic(), self.leaving.departures
+        reports = [
+            LeavingReport(name, held[name].started_ms, now - held[name].heard_at, held[name].lost_address)
             for name in names
         ]
-        words.sort(key=lambda word: word.age_s)
+        reports.sort(key=lambda report: report.age_s)
         return LeavingNews(
-            sender=self.own_address, whole=whole, words=tuple(words[:MAX_WORDS_TOLD])
+            sender=self.own_address, whole=whole, reports=tuple(reports[:MAX_REPORTS_PER_MESSAGE])
         )
 
     def merge(self, news: LeavingNews) -> list[str]:
         """Join another box's words; return which were news."""
         return [
-            word.replica
-            for word in news.words
-            if self.leaving.note(
-                word.replica, word.born, word.age_s, news.sender, word.lost_address
+            report.replica
+            for report in news.reports
+            if self.leaving.record(
+                report.replica, report.started_ms, report.age_s, news.sender, report.lost_address
             )
         ]
 
     def lacks(self, news: LeavingNews) -> bool:
         """Tell whether this box shares a word that is not in another's news."""
-        told = {word.replica: word.lost_address for word in news.words}
-        held = self.leaving.words
+        told = {report.replica: report.lost_address for report in news.reports}
+        held = self.leaving.departures
         return any(
             name not in told or (held[name].lost_address and not told[name])
-            for name in self.leaving.shared()
+            for name in self.leaving.shared_replicas()
         )
 
 
--- a/packages/core/calicopath_core/fleet/notices.py
+++ b/packages/core/calicopath_core/fleet/notices.py
@@ -28,14 +28,14 @@
     leaving: bool = False
     backoff_s: float = 0.0
     limit_per_s: float | None = None
-    ran: bool = True
-    is_other: bool = False
+    executed: bool = True
+    from_other_replica: bool = False
 
 
-NOTHING_TOLD = Notice()
+EMPTY_NOTICE = Notice()
 
 
-class Bar(enum.Enum):
+class Exclusion(enum.Enum):
     """Say why a replica must not be called: an order, which holds even if nobody else is left.
 
     What is only slow, failing or far is passed over while there is another, and is no bar.
@@ -43,21 +43,21 @@
 
     GONE = 'gone'
     DRAINING = 'draining'
-    TAKEN_OUT = 'taken-out'
+    EVACUATED = 'taken-out'
     LEAVING = 'leaving'
     BACKOFF = 'backoff'
     LIMIT = 'limit'
 
 
-class Barred(NotStarted):
+class ReplicaExcluded(NotStarted):
     """Report that a call was not sent since its replica must not get it."""
 
-    def __init__(self, replica: Replica, bar: Bar) -> None:
-        super().__init__(f'{replica.id} must not be called: {bar.value}')
-        self.bar = bar
+    def __init__(self, replica: Replica, exclusion: Exclusion) -> None:
+        super().__init__(f'{replica.id} must not be called: {exclusion.value}')
+        self.exclusion = exclusion
 
 
-class ReplicaListener(ABC):
+class CallInterceptor(ABC):
     """Have the last word before each call to a replica, and learn what each answer tells."""
 
     @abstractmethod
@@ -69,7 +69,7 @@
         """Note what a replica's answer tells, as soon as its head has come."""
 
 
-class Deaf(ReplicaListener):
+class NoInterceptor(CallInterceptor):
     """Bar nothing and listen to nothing."""
 
     def check_call(self, replica: Replica, *, new_work: bool) -> None:
@@ -87,7 +87,7 @@
         """Note that a replica says that it leaves; `source` is `own` or the box that told."""
 
     @abstractmethod
-    def on_over(self, replica: str, source: str) -> None:
+    def on_replaced(self, replica: str, source: str) -> None:
         """Note that another replica answers at a replica's address."""
 
     @abstractmethod
@@ -95,7 +95,7 @@
         """Note a replica that wants nothing from this box for a while."""
 
     @abstractmethod
-    def on_backoff_ended(self, replica: str, held_s: float, turned_away: int) -> None:
+    def on_backoff_ended(self, replica: str, held_s: float, rejected_calls: int) -> None:
         """Note that a replica may be called again, and how many calls it had turned away."""
 
     @abstractmethod
@@ -107,5 +107,5 @@
         """Note that a replica limits no more, and how many calls it got from this box meanwhile."""
 
     @abstractmethod
-    def on_held_back(self, replica: Replica, bar: Bar) -> None:
+    def on_held_back(self, replica: Replica, exclusion: Exclusion) -> None:
         """Note a call that was chosen and not sent."""
--- a/packages/core/calicopath_core/fleet/positions.py
+++ b/packages/core/calicopath_core/fleet/positions.py
@@ -20,5 +20,5 @@
         return f'{self.era}/{self.revision}'
 
 
-NOTHING = Position(-1, -1)
+NO_POSITION = Position(-1, -1)
 """The position of a box that has read nothing."""
--- a/packages/core/calicopath_core/fleet/publisher.py
+++ b/packages/core/calicopath_core/fleet/publisher.py
@@ -5,7 +5,7 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from calicopath_core.fleet.positions import NOTHING, Position
+from calicopath_core.fleet.positions import NO_POSITION, Position
 from calicopath_core.fleet.relay_messages import RelayUpdate, encode_changes
 from calicopath_core.fleet.store import Change, RecordKind
 
@@ -15,37 +15,37 @@
     import msgspec
 
     from calicopath_core.clock import Clock
-    from calicopath_core.fleet.feed import KindFeed
+    from calicopath_core.fleet.feed import RecordFeed
     from calicopath_core.fleet.relay_messages import Subscribe
 
-SUBSCRIBER_S = 3.0
+SUBSCRIPTION_TTL_S = 3.0
 """How long a subscription holds without being renewed."""
 
-LOG_ENTRIES = 200
+MAX_LOG_ENTRIES = 200
 """Changes of a kind that are remembered; a subscriber that is further behind gets every record."""
 
 
-class Logged:
+class ChangeLog:
     """Remember which records of a kind have changed, by position."""
 
     def __init__(self) -> None:
         self.entries: deque[tuple[Position, frozenset[str]]] = deque()
-        self.begins_at = NOTHING
+        self.start = NO_POSITION
 
     def restart(self, position: Position) -> None:
         """Forget what changed before every record was read."""
         self.entries.clear()
-        self.begins_at = position
+        self.start = position
 
     def add(self, position: Position, names: Iterable[str]) -> None:
         """Note changed records."""
         self.entries.append((position, frozenset(names)))
-        if len(self.entries) > LOG_ENTRIES:
-            self.begins_at = self.entries.popleft()[0]
+        if len(self.entries) > MAX_LOG_ENTRIES:
+            self.start = self.entries.popleft()[0]
 
     def names_since(self, position: Position) -> frozenset[str] | None:
         """Return the records changed after a position; nothing if that is not known any more."""
-        if self.begins_at == NOTHING or position < self.begins_at:
+        if self.start == NO_POSITION or position < self.start:
             return None
         names: frozenset[str] = frozenset()
         for at, changed in self.entries:
@@ -71,10 +71,10 @@
         self.own_address = own_address
         self.clock = clock
         self.send = send
-        self.feeds: dict[RecordKind, KindFeed] = {}
-        self.logs = {kind: Logged() for kind in RecordKind}
+        self.feeds: dict[RecordKind, RecordFeed] = {}
+        self.logs = {kind: ChangeLog() for kind in RecordKind}
         self.subscribers: dict[str, Subscriber] = {}
-        self.encoded: tuple[object, RelayUpdate] | None = None
+        self.cached_update: tuple[object, RelayUpdate] | None = None
         self.sent = 0
 
     def on_listed(self, kind: RecordKind, position: Position) -> None:
@@ -93,9 +93,9 @@
         subscriber.heard_at = self.clock.monotonic()
         subscriber.positions = dict(message.positions)
         for kind in self.feeds:
-            self.bring_up(message.sender, subscriber, kind)
+            self.send_missing(message.sender, subscriber, kind)
 
-    def hears(self, address: str, within_s: float) -> bool:
+    def is_subscribed(self, address: str, within_s: float) -> bool:
         """Tell whether a box has renewed its subscription lately."""
         subscriber = self.subscribers.get(address)
         return subscriber is not None and self.clock.monotonic() - subscriber.heard_at < within_s
@@ -104,14 +104,14 @@
         """Send what changed to everyone who subscribes."""
         now = self.clock.monotonic()
         for address, subscriber in list(self.subscribers.items()):
-            if now - subscriber.heard_at > SUBSCRIBER_S:
+            if now - subscriber.heard_at > SUBSCRIPTION_TTL_S:
                 del self.subscribers[address]
             else:
-                self.bring_up(address, subscriber, kind)
+                self.send_missing(address, subscriber, kind)
 
-    def bring_up(self, address: str, subscriber: Subscriber, kind: RecordKind) -> None:
+    def send_missing(self, address: str, subscriber: Subscriber, kind: RecordKind) -> None:
         """Send a subscriber the records of a kind that it lacks."""
-        held = subscriber.positions.get(kind, NOTHING)
+        held = subscriber.positions.get(kind, NO_POSITION)
         position = self.feeds[kind].position
         if position is None or held >= position:
             return
@@ -123,10 +123,10 @@
         """Return what a box lacks that holds a position; alike for all that hold as much."""
         records = self.feeds[kind].records
         names = self.logs[kind].names_since(held)
-        since = NOTHING if names is None else held
+        since = NO_POSITION if names is None else held
         key = (kind, since, position)
-        if self.encoded is not None and self.encoded[0] == key:
-            return self.encoded[1]
+        if self.cached_update is not None and self.cached_update[0] == key:
+            return self.cached_update[1]
         wanted = records if names is None else sorted(names)
         changes = [Change(name, records.get(name)) for name in wanted]
         found = RelayUpdate(
@@ -136,5 +136,5 @@
             position=position,
             body=encode_changes(changes),
         )
-        self.encoded = (key, found)
+        self.cached_update = (key, found)
         return found
--- a/packages/core/calicopath_core/fleet/registration.py
+++ b/packages/core/calicopath_core/fleet/registration.py
@@ -16,20 +16,20 @@
     import random
     from collections.abc import Callable
 
-    from calicopath_core.fleet.feed import KindFeed
+    from calicopath_core.fleet.feed import RecordFeed
     from calicopath_core.fleet.store import FleetStore
 
-FAILED_PAUSE_S = 0.5
-LONGEST_FAILED_PAUSE_S = 4.0
+INITIAL_RETRY_DELAY_S = 0.5
+MAX_RETRY_DELAY_S = 4.0
 """How long a failed write is waited out; doubled each time, since a whole fleet may start while the
 store is away: 86 boxes twice a second would be 1,000 calls in 6 s."""
 
-LOOK_S = 1.0
-LONGEST_LOOK_S = 4.0
+CHECK_INTERVAL_S = 1.0
+MAX_CHECK_INTERVAL_S = 4.0
 """How often the list is looked at, in which a record that was written shows a little later; less
 often while it goes on lacking the record."""
 
-LEAST_SPREAD_S = 0.2
+MIN_JITTER_S = 0.2
 
 WRITES_PER_S = 200.0
 """How many boxes may write again in a second: half of what the smallest store takes."""
@@ -46,7 +46,7 @@
         *,
         own: BoxAddress,
         store: FleetStore,
-        feed: KindFeed,
+        feed: RecordFeed,
         rng: random.Random,
         is_leaving: Callable[[], bool],
         on_registered: Callable[[], None],
@@ -64,33 +64,33 @@
         """Write the record and keep it written until cancelled."""
         await self.write()
         self.on_registered()
-        await self.keep()
+        await self.keep_registered()
 
     async def write(self) -> None:
         """Write the record until that has worked."""
-        pause_s = FAILED_PAUSE_S
+        pause_s = INITIAL_RETRY_DELAY_S
         while True:
             try:
                 await self.store.register(self.own)
             except FleetStoreError as error:
                 self.on_failed(error)
                 await asyncio.sleep(pause_s)
-                pause_s = min(LONGEST_FAILED_PAUSE_S, 2 * pause_s)
+                pause_s = min(MAX_RETRY_DELAY_S, 2 * pause_s)
                 continue
             return
 
-    async def keep(self) -> None:
+    async def keep_registered(self) -> None:
         """Write the record again whenever the list lacks it, until cancelled."""
-        look_s = LOOK_S
+        look_s = CHECK_INTERVAL_S
         while True:
             await asyncio.sleep(look_s)
             if not self.is_missing():
-                look_s = LOOK_S
+                look_s = CHECK_INTERVAL_S
                 continue
-            await asyncio.sleep(self.rng.uniform(0.0, self.spread_s()))
+            await asyncio.sleep(self.rng.uniform(0.0, self.max_jitter_s()))
             if self.is_missing():
                 await self.write()
-                look_s = min(LONGEST_LOOK_S, 2 * look_s)
+                look_s = min(MAX_CHECK_INTERVAL_S, 2 * look_s)
 
     def is_missing(self) -> bool:
         """Tell whether the list, as far as it is known, lacks this life of the box."""
@@ -99,6 +99,6 @@
         listed = self.feed.records.get(self.own.name)
         return not isinstance(listed, BoxAddress) or listed.life != self.own.life
 
-    def spread_s(self) -> float:
+    def max_jitter_s(self) -> float:
         """Return over what time boxes write again: any number of them may be missing."""
-        return LEAST_SPREAD_S + len(self.feed.records) / WRITES_PER_S
+        return MIN_JITTER_S + len(self.feed.records) / WRITES_PER_S
--- a/packages/core/calicopath_core/fleet/relay_messages.py
+++ b/packages/core/calicopath_core/fleet/relay_messages.py
@@ -28,7 +28,7 @@
     positions: dict[RecordKind, Position]
 
 
-class RelayBeat(msgspec.Struct, frozen=True, tag='rb'):
+class RelayStatus(msgspec.Struct, frozen=True, tag='rb'):
     """Answer a subscription: how the store answers the relay, and what the relay holds.
 
     `direct` says that the sender follows the store itself, `leaving` that it stops.
@@ -54,7 +54,7 @@
     body: bytes
 
 
-RELAY_MESSAGES = (Subscribe, RelayBeat, RelayUpdate)
+RELAY_MESSAGES = (Subscribe, RelayStatus, RelayUpdate)
 
 
 class DeploymentFields(NamedTuple):
--- a/packages/core/calicopath_core/fleet/tests/evacuations_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/evacuations_tests.py
@@ -5,7 +5,7 @@
 import testtools
 
 from calicopath_core.fleet.evacuations import Evacuation, Evacuations
-from calicopath_core.fleet.notices import Bar
+from calicopath_core.fleet.notices import Exclusion
 from calicopath_core.fleet.relay_messages import decode_changes, encode_changes
 from calicopath_core.fleet.replicas import Replica, ReplicaTable
 from calicopath_core.fleet.store import Change, RecordKind
@@ -20,9 +20,9 @@
         for zone in 'ab':
             self.table.put(Replica(f'r-{zone}', 's', f'{zone}:1', zone, 1, False))
         self.evacuations = Evacuations(
-            wall=lambda: self.now,
-            on_taken_out=lambda item: self.told.append(f'out {item.zone}'),
-            on_given_back=lambda held: self.told.append(f'back {held.evacuation.zone}'),
+            wall_clock=lambda: self.now,
+            on_evacuation_started=lambda item: self.told.append(f'out {item.zone}'),
+            on_evacuation_ended=lambda held: self.told.append(f'back {held.evacuation.zone}'),
             on_changed=self.table.set_evacuated,
         )
 
@@ -31,38 +31,38 @@
         return [item.id for item in self.table.usable('s')]
 
     def test_replicas_of_a_zone_taken_out_get_no_new_work_until_it_is_given_back(self) -> None:
-        self.evacuations.change([('a', Evacuation('a', 7))])
+        self.evacuations.apply_changes([('a', Evacuation('a', 7))])
         self.assertEqual(['r-b'], self.usable())
-        self.assertEqual(Bar.TAKEN_OUT, self.table.bar_of(self.table.replicas['r-a']))
-        self.evacuations.change([('a', None)])
+        self.assertEqual(Exclusion.EVACUATED, self.table.exclusion_of(self.table.replicas['r-a']))
+        self.evacuations.apply_changes([('a', None)])
         self.assertEqual(['r-a', 'r-b'], sorted(self.usable()))
         self.assertEqual(['out a', 'back a'], self.told)
 
     def test_a_replica_that_comes_to_a_zone_taken_out_gets_nothing_either(self) -> None:
-        self.evacuations.change([('a', Evacuation('a', 7))])
+        self.evacuations.apply_changes([('a', Evacuation('a', 7))])
         self.table.put(Replica('new', 's', 'a:2', 'a', 1, False))
         self.assertEqual(['r-b'], self.usable())
 
     def test_a_list_read_anew_ends_what_it_does_not_name(self) -> None:
-        self.evacuations.change([('a', Evacuation('a', 7)), ('b', Evacuation('b', 8))])
+        self.evacuations.apply_changes([('a', Evacuation('a', 7)), ('b', Evacuation('b', 8))])
         self.assertEqual([], self.usable())
-        self.evacuations.replace([Evacuation('b', 8)])
+        self.evacuations.replace_all([Evacuation('b', 8)])
         self.assertEqual(['r-a'], self.usable())
 
     def test_a_record_written_anew_keeps_since_when_the_zone_is_out(self) -> None:
-        self.evacuations.change([('a', Evacuation('a', 7))])
+        self.evacuations.apply_changes([('a', Evacuation('a', 7))])
         self.now = 105.0
-        self.evacuations.change([('a', Evacuation('a', 9))])
-        held = self.evacuations.held['a']
+        self.evacuations.apply_changes([('a', Evacuation('a', 9))])
+        held = self.evacuations.active['a']
         self.assertEqual((100.0, 9), (held.since, held.evacuation.revision))
         self.assertEqual(['out a'], self.told)
 
     def test_out_and_back_in_one_change_of_the_feed_leaves_the_zone_in(self) -> None:
-        self.evacuations.change([('a', Evacuation('a', 7)), ('a', None)])
+        self.evacuations.apply_changes([('a', Evacuation('a', 7)), ('a', None)])
         self.assertEqual(['r-a', 'r-b'], sorted(self.usable()))
 
     def test_a_name_that_is_no_zone_stops_nothing(self) -> None:
-        self.evacuations.change([('nowhere', Evacuation('nowhere', 7)), ('', Evacuation('', 8))])
+        self.evacuations.apply_changes([('nowhere', Evacuation('nowhere', 7)), ('', Evacuation('', 8))])
         self.assertEqual(['r-a', 'r-b'], sorted(self.usable()))
 
     def test_relays_tell_both(self) -> None:
--- a/packages/core/calicopath_core/fleet/tests/gate_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/gate_tests.py
@@ -7,12 +7,12 @@
 
 from calicopath_core.crashes.fate import ReplicaFate
 from calicopath_core.exchanges.messages import ReplicaReach
-from calicopath_core.fleet.backoffs import KEEP_S, MAX_BACKOFF_S, SPREAD_S, TRIAL_S
-from calicopath_core.fleet.leaving import KEEP_S as WORD_KEEP_S
-from calicopath_core.fleet.leaving import MAX_WORDS
-from calicopath_core.fleet.notices import NOTHING_TOLD, Bar, Barred, Notice
+from calicopath_core.fleet.backoffs import RETENTION_S, MAX_BACKOFF_S, MAX_JITTER_S, TRIAL_CALL_WAIT_S
+from calicopath_core.fleet.leaving import RETENTION_S as WORD_KEEP_S
+from calicopath_core.fleet.leaving import MAX_DEPARTURES
+from calicopath_core.fleet.notices import EMPTY_NOTICE, Exclusion, ReplicaExcluded, Notice
 from calicopath_core.fleet.replicas import Replica, ReplicaTable
-from calicopath_core.permits.limits import GRACE_S
+from calicopath_core.permits.limits import ENFORCEMENT_DELAY_S
 from testkit.cases import VirtualCase
 from testkit.gates import new_gate
 
@@ -22,9 +22,9 @@
     from calicopath_core.backends.base import Reach
     from calicopath_core.fleet.gate import CallGate
 
-FIRST = Replica('i', 'desk', 'a:1', 'north', 6, False, born=100.0)
-AGAIN = FIRST._replace(born=200.0)
-OTHER = Replica('j', 'desk', 'b:1', 'north', 6, False, born=100.0)
+FIRST = Replica('i', 'desk', 'a:1', 'north', 6, False, started_ms=100.0)
+AGAIN = FIRST._replace(started_ms=200.0)
+OTHER = Replica('j', 'desk', 'b:1', 'north', 6, False, started_ms=100.0)
 LEAVES = Notice(leaving=True)
 
 
@@ -46,11 +46,11 @@
         async def work(gate: CallGate) -> None:
             gate.on_notice(FIRST, Notice(limit_per_s=5.0))
             gate.check_call(FIRST, new_work=True)
-            await asyncio.sleep(GRACE_S)
-            gate.permits.lend('i')
+            await asyncio.sleep(ENFORCEMENT_DELAY_S)
+            gate.permits.add_permit('i')
             gate.check_call(FIRST, new_work=True)
-            error = self.assertRaises(Barred, gate.check_call, FIRST, new_work=True)
-            self.assertEqual(Bar.LIMIT, error.bar)
+            error = self.assertRaises(ReplicaExcluded, gate.check_call, FIRST, new_work=True)
+            self.assertEqual(Exclusion.LIMIT, error.exclusion)
             gate.check_call(OTHER, new_work=True)
 
         self.play(work)
@@ -59,8 +59,8 @@
         async def work(gate: CallGate) -> None:
             gate.on_notice(FIRST, Notice(limit_per_s=4.0))
             gate.check_call(FIRST, new_work=False)
-            self.assertRaises(Barred, gate.check_call, FIRST, new_work=False)
-            self.assertGreater(gate.support_opens_in_s(FIRST), 0.5)
+            self.assertRaises(ReplicaExcluded, gate.check_call, FIRST, new_work=False)
+            self.assertGreater(gate.control_call_available_in_s(FIRST), 0.5)
             await asyncio.sleep(1.0)
             gate.check_call(FIRST, new_work=False)
 
@@ -68,21 +68,21 @@
 
     def test_a_pause_holds_beside_a_limit(self) -> None:
         async def work(gate: CallGate) -> None:
-            gate.on_notice(FIRST, Notice(backoff_s=3.0, limit_per_s=4.0, ran=False))
-            gate.permits.lend('i')
-            error = self.assertRaises(Barred, gate.check_call, FIRST, new_work=True)
-            self.assertEqual(Bar.BACKOFF, error.bar)
-            self.assertEqual([], gate.limited('desk'))
+            gate.on_notice(FIRST, Notice(backoff_s=3.0, limit_per_s=4.0, executed=False))
+            gate.permits.add_permit('i')
+            error = self.assertRaises(ReplicaExcluded, gate.check_call, FIRST, new_work=True)
+            self.assertEqual(Exclusion.BACKOFF, error.exclusion)
+            self.assertEqual([], gate.limited_replicas('desk'))
 
         self.play(work)
 
     def test_one_that_limits_and_leaves_is_not_called(self) -> None:
         async def work(gate: CallGate) -> None:
             gate.on_notice(FIRST, Notice(leaving=True, limit_per_s=4.0))
-            gate.permits.lend('i')
-            error = self.assertRaises(Barred, gate.check_call, FIRST, new_work=True)
-            self.assertEqual(Bar.LEAVING, error.bar)
-            self.assertEqual([], gate.limited('desk'))
+            gate.permits.add_permit('i')
+            error = self.assertRaises(ReplicaExcluded, gate.check_call, FIRST, new_work=True)
+            self.assertEqual(Exclusion.LEAVING, error.exclusion)
+            self.assertEqual([], gate.limited_replicas('desk'))
 
         self.play(work)
 
@@ -93,7 +93,7 @@
             gate.on_notice(FIRST, LEAVES)
             for entry in (FIRST, FIRST._replace(cold=True)):
                 gate.replicas.put(entry)
-                self.assertEqual(Bar.LEAVING, gate.bar_of(entry))
+                self.assertEqual(Exclusion.LEAVING, gate.exclusion_of(entry))
             self.assertEqual([OTHER], gate.usable('desk'))
 
         self.play(work)
@@ -105,7 +105,7 @@
             await asyncio.sleep(WORD_KEEP_S / 2)
             gate.expire()
             gate.replicas.put(FIRST)
-            self.assertEqual(Bar.LEAVING, gate.bar_of(FIRST))
+            self.assertEqual(Exclusion.LEAVING, gate.exclusion_of(FIRST))
 
         self.play(work)
 
@@ -113,18 +113,18 @@
         async def work(gate: CallGate) -> None:
             gate.on_notice(FIRST, LEAVES)
             gate.replicas.put(AGAIN)
-            self.assertIsNone(gate.bar_of(AGAIN))
+            self.assertIsNone(gate.exclusion_of(AGAIN))
             gate.on_notice(FIRST, LEAVES)
-            self.assertIsNone(gate.bar_of(AGAIN))
+            self.assertIsNone(gate.exclusion_of(AGAIN))
             gate.on_notice(AGAIN, LEAVES)
-            self.assertEqual(Bar.LEAVING, gate.bar_of(AGAIN))
+            self.assertEqual(Exclusion.LEAVING, gate.exclusion_of(AGAIN))
 
         self.play(work)
 
     def test_a_call_to_an_earlier_life_is_held_back(self) -> None:
         async def work(gate: CallGate) -> None:
             gate.replicas.put(AGAIN)
-            self.assertEqual(Bar.GONE, gate.bar_of(FIRST))
+            self.assertEqual(Exclusion.GONE, gate.exclusion_of(FIRST))
 
         self.play(work)
 
@@ -132,7 +132,7 @@
         async def work(gate: CallGate) -> None:
             gate.on_notice(FIRST, LEAVES)
             gate.check_call(FIRST, new_work=False)
-            self.assertRaises(Barred, gate.check_call, FIRST, new_work=True)
+            self.assertRaises(ReplicaExcluded, gate.check_call, FIRST, new_work=True)
 
         self.play(work)
 
@@ -156,13 +156,13 @@
 
     def test_words_are_bounded_and_old_ones_of_unknown_replicas_go(self) -> None:
         async def work(gate: CallGate) -> None:
-            for number in range(MAX_WORDS + 10):
-                gate.leaving.note(f'r{number}', 0.0)
-            self.assertEqual(MAX_WORDS, len(gate.leaving.words))
+            for number in range(MAX_DEPARTURES + 10):
+                gate.leaving.record(f'r{number}', 0.0)
+            self.assertEqual(MAX_DEPARTURES, len(gate.leaving.departures))
             gate.on_notice(FIRST, LEAVES)
             await asyncio.sleep(WORD_KEEP_S + 1)
             gate.expire()
-            self.assertEqual({'i'}, set(gate.leaving.words))
+            self.assertEqual({'i'}, set(gate.leaving.departures))
 
         self.play(work)
 
@@ -187,11 +187,11 @@
         async def work(gate: CallGate) -> None:
             gate.on_notice(FIRST, Notice(backoff_s=3.0))
             for new_work in (True, False):
-                self.assertRaises(Barred, gate.check_call, FIRST, new_work=new_work)
+                self.assertRaises(ReplicaExcluded, gate.check_call, FIRST, new_work=new_work)
             await asyncio.sleep(2.99)
-            self.assertEqual(Bar.BACKOFF, gate.bar_of(FIRST))
-            await asyncio.sleep(0.02 + SPREAD_S)
-            self.assertIsNone(gate.bar_of(FIRST))
+            self.assertEqual(Exclusion.BACKOFF, gate.exclusion_of(FIRST))
+            await asyncio.sleep(0.02 + MAX_JITTER_S)
+            self.assertIsNone(gate.exclusion_of(FIRST))
 
         self.play(work)
 
@@ -201,8 +201,8 @@
             await asyncio.sleep(0.1)
             gate.on_notice(FIRST, Notice(backoff_s=0.2))
             await asyncio.sleep(1.0)
-            gate.on_notice(FIRST, NOTHING_TOLD)
-            self.assertEqual(Bar.BACKOFF, gate.bar_of(FIRST))
+            gate.on_notice(FIRST, EMPTY_NOTICE)
+            self.assertEqual(Exclusion.BACKOFF, gate.exclusion_of(FIRST))
 
         self.play(work)
 
@@ -210,7 +210,7 @@
         async def work(gate: CallGate) -> None:
             gate.on_notice(FIRST, Notice(backoff_s=3.0))
             self.assertEqual([OTHER], gate.usable('desk'))
-            self.assertIsNone(gate.bar_of(OTHER))
+            self.assertIsNone(gate.exclusion_of(OTHER))
 
         self.play(work)
 
@@ -218,24 +218,24 @@
         async def work(gate: CallGate) -> None:
             gate.on_notice(FIRST, Notice(backoff_s=3.0))
             gate.replicas.put(AGAIN)
-            self.assertIsNone(gate.bar_of(AGAIN))
+            self.assertIsNone(gate.exclusion_of(AGAIN))
 
         self.play(work)
 
     def test_a_wish_beyond_all_measure_is_bounded(self) -> None:
         async def work(gate: CallGate) -> None:
             gate.on_notice(FIRST, Notice(backoff_s=1e12))
-            self.assertLessEqual(gate.backoffs.left_s(FIRST), MAX_BACKOFF_S + SPREAD_S)
+            self.assertLessEqual(gate.backoffs.remaining_s(FIRST), MAX_BACKOFF_S + MAX_JITTER_S)
 
         self.play(work)
 
     def test_one_call_goes_first_when_it_is_over(self) -> None:
         async def work(gate: CallGate) -> None:
             gate.on_notice(FIRST, Notice(backoff_s=1.0))
-            await asyncio.sleep(1.0 + SPREAD_S)
+            await asyncio.sleep(1.0 + MAX_JITTER_S)
             gate.check_call(FIRST, new_work=True)
-            self.assertRaises(Barred, gate.check_call, FIRST, new_work=True)
-            gate.on_notice(FIRST, NOTHING_TOLD)
+            self.assertRaises(ReplicaExcluded, gate.check_call, FIRST, new_work=True)
+            gate.on_notice(FIRST, EMPTY_NOTICE)
             for _ in range(3):
                 gate.check_call(FIRST, new_work=True)
 
@@ -244,9 +244,9 @@
     def test_the_next_follows_where_the_first_gets_no_answer(self) -> None:
         async def work(gate: CallGate) -> None:
             gate.on_notice(FIRST, Notice(backoff_s=1.0))
-            await asyncio.sleep(1.0 + SPREAD_S)
+            await asyncio.sleep(1.0 + MAX_JITTER_S)
             gate.check_call(FIRST, new_work=True)
-            await asyncio.sleep(TRIAL_S)
+            await asyncio.sleep(TRIAL_CALL_WAIT_S)
             gate.check_call(FIRST, new_work=True)
 
         self.play(work)
@@ -257,8 +257,8 @@
             for number, gate in enumerate(gates):
                 gate.backoffs.rng.seed(number)
                 gate.on_notice(FIRST, Notice(backoff_s=1.0))
-            lefts = [gate.backoffs.left_s(FIRST) for gate in gates]
-            self.assertGreater(max(lefts) - min(lefts), SPREAD_S / 2)
+            lefts = [gate.backoffs.remaining_s(FIRST) for gate in gates]
+            self.assertGreater(max(lefts) - min(lefts), MAX_JITTER_S / 2)
             self.assertGreaterEqual(min(lefts), 1.0)
 
         self.run_virtual(scenario())
@@ -272,9 +272,9 @@
                 gate.expire()
             told = gate.observer.on_backoff_ended.call_args_list  # type: ignore[attr-defined]
             self.assertEqual([('i', 3)], [(call.args[0], call.args[2]) for call in told])
-            await asyncio.sleep(KEEP_S + SPREAD_S)
+            await asyncio.sleep(RETENTION_S + MAX_JITTER_S)
             gate.expire()
-            self.assertEqual({}, gate.backoffs.held)
+            self.assertEqual({}, gate.backoffs.by_replica)
 
         self.play(work)
 
@@ -283,7 +283,7 @@
     def test_a_table_that_hears_no_answers_goes_by_entries_alone(self) -> None:
         table = ReplicaTable()
         table.put(FIRST)
-        self.assertIsNone(table.bar_of(FIRST))
+        self.assertIsNone(table.exclusion_of(FIRST))
         table.put(FIRST._replace(draining=True))
-        self.assertEqual(Bar.DRAINING, table.bar_of(FIRST))
-        self.assertTrue(table.leaves(table.replicas['i']))
+        self.assertEqual(Exclusion.DRAINING, table.exclusion_of(FIRST))
+        self.assertTrue(table.is_leaving(table.replicas['i']))
--- a/packages/core/calicopath_core/fleet/tests/lives_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/lives_tests.py
@@ -14,8 +14,8 @@
 from calicopath_core.scheduling.tests.work import SPEC, job
 from testkit.gates import new_gate
 
-FIRST = Replica('i', 'engine', 'a:1', 'north', 6, False, born=100.0)
-AGAIN = FIRST._replace(born=200.0)
+FIRST = Replica('i', 'engine', 'a:1', 'north', 6, False, started_ms=100.0)
+AGAIN = FIRST._replace(started_ms=200.0)
 PROMPT = Prompt('m', (PromptPart('p', 500),), 500, 10)
 
 
--- a/packages/core/calicopath_core/fleet/tests/relays_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/relays_tests.py
@@ -8,14 +8,14 @@
 
 from calicopath_core.fleet.contact import StoreContact
 from calicopath_core.fleet.positions import Position
-from calicopath_core.fleet.publisher import LOG_ENTRIES, Logged
-from calicopath_core.fleet.relay_messages import RelayBeat, decode_changes, encode_changes
+from calicopath_core.fleet.publisher import MAX_LOG_ENTRIES, ChangeLog
+from calicopath_core.fleet.relay_messages import RelayStatus, decode_changes, encode_changes
 from calicopath_core.fleet.relays import (
-    BOXES_A_RELAY,
-    LEAST_RELAYS,
-    SILENT_S,
-    STALE_S,
-    RelayChoice,
+    MAX_BOXES_PER_RELAY,
+    MIN_RELAYS,
+    RELAY_TIMEOUT_S,
+    MAX_CONTACT_AGE_S,
+    RelaySelection,
     choose_relays,
 )
 from calicopath_core.fleet.store import Change, RecordKind
@@ -30,7 +30,7 @@
     )
 
 
-def beat(address: str, **changes: Any) -> RelayBeat:
+def beat(address: str, **changes: Any) -> RelayStatus:
     """Return a relay's answer."""
     fields: dict[str, Any] = {
         'sender': address,
@@ -39,7 +39,7 @@
         'contact': StoreContact(0.1),
         'positions': {},
     }
-    return RelayBeat(**(fields | changes))
+    return RelayStatus(**(fields | changes))
 
 
 class Choice(testtools.TestCase):
@@ -50,15 +50,15 @@
     def test_relays_are_old_boxes_of_several_zones_that_do_not_schedule(self) -> None:
         boxes = [box(number, 'ab'[number % 2]) for number in range(1, 9)]
         self.assertEqual(['b4', 'b5', 'b6'], sorted(self.names(boxes)))
-        self.assertEqual(LEAST_RELAYS, len(self.names(boxes)))
+        self.assertEqual(MIN_RELAYS, len(self.names(boxes)))
 
     def test_many_boxes_have_more_relays_and_small_ones_go_last(self) -> None:
-        boxes = [box(number, small=number < 3) for number in range(4 * BOXES_A_RELAY)]
+        boxes = [box(number, small=number < 3) for number in range(4 * MAX_BOXES_PER_RELAY)]
         found = self.names(boxes)
         self.assertEqual(['b6', 'b7', 'b8', 'b9'], found)
 
     def test_few_boxes_follow_the_store_each_but_some_announce_themselves(self) -> None:
-        choice = RelayChoice(own=box(5))
+        choice = RelaySelection(own=box(5))
         choice.on_listed([box(number) for number in range(1, 9)])
         self.assertTrue(choice.is_relay)
         self.assertTrue(choice.announces)
@@ -66,7 +66,7 @@
         self.assertEqual(['b4:7', 'b6:7'], sorted(choice.candidates))
 
     def test_a_box_alone_follows_the_store_itself(self) -> None:
-        choice = RelayChoice(own=box(1))
+        choice = RelaySelection(own=box(1))
         self.assertTrue(choice.is_relay)
         choice.on_listed([box(1)])
         self.assertTrue(choice.is_relay)
@@ -78,41 +78,41 @@
 class Sources(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.choice = RelayChoice(own=box(9, 'b'))
+        self.choice = RelaySelection(own=box(9, 'b'))
         self.choice.on_listed([*(box(number) for number in (1, 2, 5, 6, 7, 8)), *SOUTH])
 
     def test_the_relay_of_the_same_failure_domain_is_heard_first_and_another_beside_it(
         self,
     ) -> None:
-        asked = self.choice.asked(0.0)
+        asked = self.choice.subscription_targets(0.0)
         self.assertEqual('b4:7', asked[0])
         self.assertEqual(2, len(asked))
         for address in asked:
-            self.choice.on_beat(beat(address), 0.1)
-        self.assertEqual('b4:7', self.choice.current_address(0.2))
+            self.choice.on_status(beat(address), 0.1)
+        self.assertEqual('b4:7', self.choice.current_relay_address(0.2))
 
     def test_one_that_is_silent_is_given_up_for_another(self) -> None:
-        first, second = self.choice.asked(0.0)
-        self.choice.on_beat(beat(first), 0.1)
-        self.choice.on_beat(beat(second), SILENT_S)
-        self.assertEqual(second, self.choice.current_address(0.2 + SILENT_S))
-        self.assertEqual(3, len(self.choice.asked(0.2 + SILENT_S)))
+        first, second = self.choice.subscription_targets(0.0)
+        self.choice.on_status(beat(first), 0.1)
+        self.choice.on_status(beat(second), RELAY_TIMEOUT_S)
+        self.assertEqual(second, self.choice.current_relay_address(0.2 + RELAY_TIMEOUT_S))
+        self.assertEqual(3, len(self.choice.subscription_targets(0.2 + RELAY_TIMEOUT_S)))
 
     def test_a_relay_that_the_store_does_not_answer_is_not_heard(self) -> None:
-        for contact in (StoreContact(STALE_S), StoreContact(0.1, failing_s=0.1)):
-            self.choice.on_beat(beat('b4:7', contact=contact), 0.1)
-            self.assertIsNone(self.choice.current_address(0.1))
+        for contact in (StoreContact(MAX_CONTACT_AGE_S), StoreContact(0.1, failing_s=0.1)):
+            self.choice.on_status(beat('b4:7', contact=contact), 0.1)
+            self.assertIsNone(self.choice.current_relay_address(0.1))
 
     def test_one_that_leaves_or_hears_another_relay_is_not_heard(self) -> None:
         for changes in ({'leaving': True}, {'direct': False}):
-            self.choice.on_beat(beat('b4:7', **changes), 0.1)
-            self.assertIsNone(self.choice.current_address(0.1))
+            self.choice.on_status(beat('b4:7', **changes), 0.1)
+            self.assertIsNone(self.choice.current_relay_address(0.1))
 
     def test_an_outage_is_told_from_relays_that_are_silent(self) -> None:
         self.assertFalse(self.choice.store_fails_relays(0.1))
-        self.choice.on_beat(beat('b4:7', contact=StoreContact(2.0, 1.0)), 0.1)
+        self.choice.on_status(beat('b4:7', contact=StoreContact(2.0, 1.0)), 0.1)
         self.assertTrue(self.choice.store_fails_relays(0.1))
-        self.assertFalse(self.choice.store_fails_relays(0.1 + SILENT_S))
+        self.assertFalse(self.choice.store_fails_relays(0.1 + RELAY_TIMEOUT_S))
 
 
 def at(revision: int, era: int = 1) -> Position:
@@ -122,14 +122,14 @@
 
 class Log(testtools.TestCase):
     def test_positions_of_an_earlier_era_are_not_known_whatever_their_revision(self) -> None:
-        log = Logged()
+        log = ChangeLog()
         log.restart(at(10, era=2))
         log.add(at(12, era=2), ['a'])
         self.assertIsNone(log.names_since(at(11, era=1)))
         self.assertIsNone(log.names_since(at(50, era=1)))
 
     def test_what_changed_after_a_revision_is_known_from_the_last_whole_reading_on(self) -> None:
-        log = Logged()
+        log = ChangeLog()
         self.assertIsNone(log.names_since(at(0)))
         log.restart(at(10))
         log.add(at(12), ['a'])
@@ -140,12 +140,12 @@
         self.assertIsNone(log.names_since(at(9)))
 
     def test_it_is_bounded(self) -> None:
-        log = Logged()
+        log = ChangeLog()
         log.restart(at(0))
-        for number in range(1, LOG_ENTRIES + 3):
+        for number in range(1, MAX_LOG_ENTRIES + 3):
             log.add(at(number), [f'r{number}'])
         self.assertIsNone(log.names_since(at(1)))
-        self.assertEqual(LOG_ENTRIES, len(log.names_since(at(2)) or ()))
+        self.assertEqual(MAX_LOG_ENTRIES, len(log.names_since(at(2)) or ()))
 
 
 class Encoding(testtools.TestCase):
--- a/packages/core/calicopath_core/fleet/tests/replicas_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/replicas_tests.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from calicopath_core.fleet.replicas import BACK_S, Replica, ReplicaTable
+from calicopath_core.fleet.replicas import RETURN_GRACE_S, Replica, ReplicaTable
 
 ONE = Replica('i-1', 's', 'a:1', 'z', 4, False)
 TWO = Replica('i-2', 's', 'b:1', 'z', 4, False)
@@ -30,14 +30,14 @@
         self.table.on_disrupted(1.0)
         self.table.remove('i-1', 1.5)
         self.assertEqual(['i-1', 'i-2'], self.usable())
-        self.assertEqual([], self.table.expire(0.9 + BACK_S))
-        self.assertEqual(['i-1'], self.table.expire(1.0 + BACK_S))
+        self.assertEqual([], self.table.expire(0.9 + RETURN_GRACE_S))
+        self.assertEqual(['i-1'], self.table.expire(1.0 + RETURN_GRACE_S))
         self.assertEqual(['i-2'], self.usable())
 
     def test_a_later_removal_is_not_held_longer_than_the_store_has_been_back(self) -> None:
         self.table.on_disrupted(1.0)
-        self.table.remove('i-1', 0.9 + BACK_S)
-        self.assertEqual(['i-1'], self.table.expire(1.0 + BACK_S))
+        self.table.remove('i-1', 0.9 + RETURN_GRACE_S)
+        self.assertEqual(['i-1'], self.table.expire(1.0 + RETURN_GRACE_S))
 
     def test_many_entries_are_one_change_for_those_who_listen(self) -> None:
         told: list[int] = []
@@ -62,7 +62,7 @@
 
     def test_doubt_ends(self) -> None:
         self.table.on_disrupted(1.0)
-        self.table.remove('i-1', 1.0 + BACK_S)
+        self.table.remove('i-1', 1.0 + RETURN_GRACE_S)
         self.assertEqual(['i-2'], self.usable())
 
     def test_one_that_said_it_leaves_is_believed_whatever_happens(self) -> None:
@@ -78,16 +78,16 @@
         super().setUp()
         self.heard: list[bool] = []
         self.table = ReplicaTable(on_draining=lambda replica: self.heard.append(replica.draining))
-        self.table.replace([ONE._replace(born=5.0), TWO], 0.0)
-        self.table.put(ONE._replace(born=5.0, draining=True))
+        self.table.replace([ONE._replace(started_ms=5.0), TWO], 0.0)
+        self.table.put(ONE._replace(started_ms=5.0, draining=True))
 
     # A store that came back from a copy listed replicas as ready that had begun to drain.
     def test_an_entry_that_says_ready_again_does_not_take_it_back(self) -> None:
-        self.table.put(ONE._replace(born=5.0))
-        self.table.replace([ONE._replace(born=5.0), TWO], 1.0)
+        self.table.put(ONE._replace(started_ms=5.0))
+        self.table.replace([ONE._replace(started_ms=5.0), TWO], 1.0)
         self.assertEqual(['i-2'], [item.id for item in self.table.usable('s')])
         self.assertEqual([True, False, False], self.heard)
 
     def test_a_later_life_is_called_again(self) -> None:
-        self.table.put(ONE._replace(born=6.0))
+        self.table.put(ONE._replace(started_ms=6.0))
         self.assertEqual({'i-1', 'i-2'}, {item.id for item in self.table.usable('s')})
--- a/packages/core/calicopath_core/fleet/tests/restored_feed_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/restored_feed_tests.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from calicopath_core.clock import LoopClock
-from calicopath_core.fleet.feed import FeedObserver, KindFeed
+from calicopath_core.fleet.feed import FeedObserver, RecordFeed
 from calicopath_core.fleet.positions import Position
 from calicopath_core.fleet.store import (
     Change,
@@ -29,7 +29,7 @@
 PAUSE_S = 0.5
 
 
-async def wait_out(kind: RecordKind, failures: int) -> None:
+async def back_off(kind: RecordKind, failures: int) -> None:
     """Wait as a box does before it asks a store again that fails it."""
     await asyncio.sleep(PAUSE_S)
 
@@ -40,19 +40,19 @@
         self.store = mock.create_autospec(FleetStore, instance=True)
         self.mode = mock.Mock(
             may_read=lambda kind: True,
-            follows=lambda: False,
-            wait_s=lambda kind: 1.0,
+            uses_relay=lambda: False,
+            watch_wait_s=lambda kind: 1.0,
             wait_for_relays=mock.AsyncMock(),
-            wait_out=wait_out,
+            back_off=back_off,
         )
         self.handler = mock.Mock()
-        self.feed = KindFeed(
+        self.feed = RecordFeed(
             store=self.store,
             kind=RecordKind.REPLICA,
             clock=LoopClock(),
             observer=mock.create_autospec(FeedObserver, instance=True),
             handler=self.handler,
-            mode=self.mode,
+            policy=self.mode,
         )
 
     def follow(self, for_s: float) -> None:
@@ -84,13 +84,13 @@
         return set(self.feed.records)
 
     def test_a_list_of_a_later_era_is_taken_in_at_any_revision(self) -> None:
-        self.feed.take_listing(listing(1, 50, ONE))
-        self.feed.take_listing(listing(2, 40, TWO))
+        self.feed.apply_listing(listing(1, 50, ONE))
+        self.feed.apply_listing(listing(2, 40, TWO))
         self.assertEqual({TWO.id}, self.names())
 
     def test_a_list_of_an_earlier_era_is_not(self) -> None:
-        self.feed.take_listing(listing(2, 40, TWO))
-        self.feed.take_listing(listing(1, 50, ONE))
+        self.feed.apply_listing(listing(2, 40, TWO))
+        self.feed.apply_listing(listing(1, 50, ONE))
         self.assertEqual({TWO.id}, self.names())
 
     def test_a_watch_answered_in_a_later_era_has_everything_read_anew(self) -> None:
@@ -109,10 +109,10 @@
         self.assertLess(self.store.watch.call_count, 6)
 
     def test_an_update_that_begins_in_another_era_is_left_out(self) -> None:
-        self.feed.take_listing(listing(1, 50, ONE))
-        self.feed.take_update(Position(1, 50), Position(2, 60), [Change(ONE.id, None)])
+        self.feed.apply_listing(listing(1, 50, ONE))
+        self.feed.apply_update(Position(1, 50), Position(2, 60), [Change(ONE.id, None)])
         self.assertEqual({ONE.id}, self.names())
-        self.feed.take_update(None, Position(2, 60), [Change(TWO.id, TWO)])
+        self.feed.apply_update(None, Position(2, 60), [Change(TWO.id, TWO)])
         self.assertEqual({TWO.id}, self.names())
 
     def test_history_that_is_lost_again_and_again_is_asked_for_with_pauses(self) -> None:
--- a/packages/core/calicopath_core/permits/holder.py
+++ b/packages/core/calicopath_core/permits/holder.py
@@ -22,22 +22,22 @@
     from calicopath_core.clock import Clock
     from calicopath_core.fleet.replicas import Replica, ReplicaTable
     from calicopath_core.permits.client import PermitClient
-    from calicopath_core.permits.limits import NamedLimits
-    from calicopath_core.permits.messages import PermitAsk
+    from calicopath_core.permits.limits import AdvertisedLimits
+    from calicopath_core.permits.messages import PermitRequest
 
 CONTESTED_S = 4.0
 CONTESTED_SHARE = 0.5
 """For how long a box that takes up lending lends a part only: another one may not know yet that it
 has been followed."""
 
-LEAST_LOOK_S = 0.001
+MIN_SERVE_DELAY_S = 0.001
 """How soon waiting asks are looked at again at the earliest: a rest of rounding is no time."""
 
 MAX_WAITING = 2_000
 """Asks that wait at once, 0.3 KB each; more are answered with none."""
 
 
-class Waiting(NamedTuple):
+class WaitingRequest(NamedTuple):
     """Hold an ask that waits, until when in monotonic seconds; `serial` orders equals.
 
     `names` are its replicas: of those that ask for the same only the first needs to be looked at.
@@ -45,9 +45,9 @@
 
     priority: int
     serial: int
-    ask: PermitAsk
+    request: PermitRequest
     until: float
-    names: frozenset[str]
+    replica_ids: frozenset[str]
 
 
 class PermitObserver(ABC):
@@ -58,7 +58,7 @@
         """Note a permit that was `lent` or `refused`."""
 
 
-class PermitLender(ABC):
+class PermitIssuer(ABC):
     """Say which replicas may be called now, and count the calls."""
 
     @abstractmethod
@@ -66,7 +66,7 @@
         """Return the permits a second that this box may lend, nothing without a limit."""
 
     @abstractmethod
-    def opens_in_s(self, replica: Replica) -> float:
+    def available_in_s(self, replica: Replica) -> float:
         """Return when a call to a replica may be permitted, 0 for now."""
 
     @abstractmethod
@@ -74,7 +74,7 @@
         """Count a call that is permitted; tell whether its replica is limited at all."""
 
     @abstractmethod
-    def take_own(self, replica: Replica) -> None:
+    def take_for_own_box(self, replica: Replica) -> None:
         """Count a call that this box makes itself."""
 
     def wait_s(self, replicas: Iterable[Replica], ahead: int) -> float:
@@ -85,20 +85,20 @@
             if per_s is None:
                 return 0.0
             total_per_s += per_s
-            opens_s = min(opens_s, self.opens_in_s(item))
+            opens_s = min(opens_s, self.available_in_s(item))
         if not total_per_s or (opens_s <= 0 and not ahead):
             return 0.0
         return opens_s + ahead / total_per_s
 
 
-class NoLimits(PermitLender):
+class UnlimitedIssuer(PermitIssuer):
     """Permit every call."""
 
     def rate_of(self, replica: Replica) -> float | None:
         """Return nothing."""
         return None
 
-    def opens_in_s(self, replica: Replica) -> float:
+    def available_in_s(self, replica: Replica) -> float:
         """Return that a call may go now."""
         return 0.0
 
@@ -106,11 +106,11 @@
         """Count nothing."""
         return False
 
-    def take_own(self, replica: Replica) -> None:
+    def take_for_own_box(self, replica: Replica) -> None:
         """Count nothing."""
 
 
-class PermitHolder(PermitLender):
+class LimitIssuer(PermitIssuer):
     """Hold a bucket for each limited replica; `share` is the part of limits that this box lends.
 
     `send` takes an address and a message.
@@ -120,11 +120,11 @@
         self,
         *,
         clock: Clock,
-        limits: NamedLimits,
+        limits: AdvertisedLimits,
         replicas: ReplicaTable,
         share: Callable[[], float],
         send: Callable[[str, msgspec.Struct], None],
-        own: PermitClient,
+        own_client: PermitClient,
         observer: PermitObserver,
     ) -> None:
         self.clock = clock
@@ -132,29 +132,29 @@
         self.replicas = replicas
         self.share = share
         self.send = send
-        self.own = own
+        self.own_client = own_client
         self.observer = observer
         self.buckets: dict[str, PermitBucket] = {}
-        self.alone_from = clock.monotonic() + CONTESTED_S
-        self.waiting: list[Waiting] = []
-        self.serials = 0
+        self.uncontested_from = clock.monotonic() + CONTESTED_S
+        self.waiting: list[WaitingRequest] = []
+        self.last_serial = 0
         self.timer: asyncio.TimerHandle | None = None
 
-    def on_take_up(self) -> None:
+    def on_activate(self) -> None:
         """Begin to lend in place of another box: with empty buckets, and a part for a while."""
         now = self.clock.monotonic()
-        self.alone_from = now + CONTESTED_S
+        self.uncontested_from = now + CONTESTED_S
         for name, bucket in list(self.buckets.items()):
             replica = self.replicas.replicas.get(name)
             per_s = self.rate_of(replica) if replica is not None else None
             if per_s is None:
                 del self.buckets[name]
             else:
-                bucket.drain(per_s, now)
+                bucket.empty(per_s, now)
 
-    def on_give_way(self) -> None:
+    def on_step_down(self) -> None:
         """Lend a part only to what was begun here; who waits asks the next box."""
-        self.alone_from = self.clock.monotonic() + CONTESTED_S
+        self.uncontested_from = self.clock.monotonic() + CONTESTED_S
         self.waiting.clear()
 
     def rate_of(self, replica: Replica) -> float | None:
@@ -162,7 +162,7 @@
         per_s = self.limits.rate_of(replica)
         if per_s is None:
             return None
-        contested = self.clock.monotonic() < self.alone_from
+        contested = self.clock.monotonic() < self.uncontested_from
         return per_s * self.share() * (CONTESTED_SHARE if contested else 1.0)
 
     def bucket_of(self, replica: Replica, per_s: float) -> PermitBucket:
@@ -173,14 +173,14 @@
             found = self.buckets[replica.id] = PermitBucket(next_at=next_at)
         return found
 
-    def opens_in_s(self, replica: Replica) -> float:
+    def available_in_s(self, replica: Replica) -> float:
         """Return when a call to a replica may be permitted, 0 for now."""
-        if not self.limits.held:
+        if not self.limits.by_replica:
             return 0.0
         per_s = self.rate_of(replica)
         if per_s is None:
             return 0.0
-        return self.bucket_of(replica, per_s).opens_in_s(self.clock.monotonic())
+        return self.bucket_of(replica, per_s).available_in_s(self.clock.monotonic())
 
     def take(self, replica: Replica) -> bool:
         """Count a call that is permitted; tell whether its replica is limited at all."""
@@ -191,81 +191,81 @@
         self.observer.on_permit(replica.service, 'lent')
         return True
 
-    def take_own(self, replica: Replica) -> None:
+    def take_for_own_box(self, replica: Replica) -> None:
         """Count a call that this box makes itself."""
         if self.take(replica):
-            self.own.lend(replica.id)
+            self.own_client.add_permit(replica.id)
 
-    def on_ask(self, ask: PermitAsk) -> None:
+    def on_request(self, request: PermitRequest) -> None:
         """Lend a permit, let the ask wait for one, or answer at once that there will be none."""
-        if self.lend(ask):
+        if self.grant(request):
             return
         now = self.clock.monotonic()
-        replicas = self.listed(ask)
-        names = frozenset(ask.replicas)
+        replicas = self.callable_replicas(request)
+        names = frozenset(request.replicas)
         ahead = sum(
-            item.priority <= ask.priority and not names.isdisjoint(item.names)
+            item.priority <= request.priority and not names.isdisjoint(item.replica_ids)
             for item in self.waiting
         )
         wait_s = self.wait_s(replicas, ahead)
-        if not replicas or wait_s > ask.wait_s or len(self.waiting) >= MAX_WAITING:
-            self.refuse(ask, wait_s)
+        if not replicas or wait_s > request.wait_s or len(self.waiting) >= MAX_WAITING:
+            self.refuse(request, wait_s)
             return
-        self.serials += 1
-        until = now + ask.wait_s
-        self.waiting.append(Waiting(ask.priority, self.serials, ask, until, names))
+        self.last_serial += 1
+        until = now + request.wait_s
+        self.waiting.append(WaitingRequest(request.priority, self.last_serial, request, until, names))
         self.waiting.sort(key=lambda item: (item.priority, item.serial))
-        self.serve_later()
+        self.schedule_serve()
 
-    def listed(self, ask: PermitAsk) -> list[Replica]:
+    def callable_replicas(self, request: PermitRequest) -> list[Replica]:
         """Return the replicas of an ask that may be called at all."""
         table = self.replicas
-        found = (table.replicas.get(name) for name in ask.replicas)
-        return [item for item in found if item is not None and table.bar_of(item) is None]
+        found = (table.replicas.get(name) for name in request.replicas)
+        return [item for item in found if item is not None and table.exclusion_of(item) is None]
 
-    def lend(self, ask: PermitAsk) -> bool:
+    def grant(self, request: PermitRequest) -> bool:
         """Answer an ask with a permit if there is one now."""
-        for replica in self.listed(ask):
-            if self.opens_in_s(replica) <= 0:
+        for replica in self.callable_replicas(request):
+            if self.available_in_s(replica) <= 0:
                 self.take(replica)
-                self.send(ask.address, PermitAnswer(ask.number, replica.id, 0.0))
+                self.send(request.address, PermitAnswer(request.number, replica.id, 0.0))
                 return True
         return False
 
-    def refuse(self, ask: PermitAsk, opens_in_s: float) -> None:
+    def refuse(self, request: PermitRequest, available_in_s: float) -> None:
         """Answer that there is no permit in time, and when there may be one."""
-        service = next((item.service for item in self.listed(ask)), '')
+        service = next((item.service for item in self.callable_replicas(request)), '')
         self.observer.on_permit(service, 'refused')
-        self.send(ask.address, PermitAnswer(ask.number, '', opens_in_s))
+        self.send(request.address, PermitAnswer(request.number, '', available_in_s))
 
     def serve(self) -> None:
         """Give permits to the asks that wait, those first that go before others."""
         self.timer = None
         now = self.clock.monotonic()
-        left: list[Waiting] = []
+        left: list[WaitingRequest] = []
         closed: set[frozenset[str]] = set()
         for item in self.waiting:
             if now >= item.until:
-                self.refuse(item.ask, self.wait_s(self.listed(item.ask), 0))
-            elif item.names in closed or not self.lend(item.ask):
-                closed.add(item.names)
+                self.refuse(item.request, self.wait_s(self.callable_replicas(item.request), 0))
+            elif item.replica_ids in closed or not self.grant(item.request):
+                closed.add(item.replica_ids)
                 left.append(item)
         self.waiting = left
-        self.serve_later()
+        self.schedule_serve()
 
-    def serve_later(self) -> None:
+    def schedule_serve(self) -> None:
         """Look again when the first permit comes."""
         if not self.waiting or self.timer is not None:
             return
-        firsts = {item.names: item.ask for item in self.waiting}
-        waits = [self.wait_s(self.listed(ask), 0) for ask in firsts.values()]
+        firsts = {item.replica_ids: item.request for item in self.waiting}
+        waits = [self.wait_s(self.callable_replicas(ask), 0) for ask in firsts.values()]
         ends = min(item.until for item in self.waiting) - self.clock.monotonic()
-        delay_s = max(LEAST_LOOK_S, min(*waits, ends))
+        delay_s = max(MIN_SERVE_DELAY_S, min(*waits, ends))
         self.timer = asyncio.get_running_loop().call_later(delay_s, self.serve)
 
     def expire(self) -> None:
         """Forget the buckets of replicas that are not limited any more."""
         for name in list(self.buckets):
             replica = self.replicas.replicas.get(name)
-            if replica is None or self.limits.of(replica) is None:
+            if replica is None or self.limits.limit_of(replica) is None:
                 del self.buckets[name]
--- a/packages/core/calicopath_core/permits/messages.py
+++ b/packages/core/calicopath_core/permits/messages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class PermitAsk(msgspec.Struct, frozen=True, tag='pa'):
+class PermitRequest(msgspec.Struct, frozen=True, tag='pa'):
     """Ask for a permit to call one of some replicas, the best first.
 
     `number` is the asking box's own; a permit is waited for up to `wait_s`, `priority` 0 first.
@@ -23,7 +23,7 @@
 
     number: int
     replica: str
-    opens_in_s: float
+    available_in_s: float = msgspec.field(name='opens_in_s')
 
 
-PERMIT_MESSAGES = (PermitAsk, PermitAnswer)
+PERMIT_MESSAGES = (PermitRequest, PermitAnswer)
--- a/packages/core/calicopath_core/permits/sharing.py
+++ b/packages/core/calicopath_core/permits/sharing.py
@@ -8,15 +8,15 @@
 
 from calicopath_core.membership.messages import News
 from calicopath_core.membership.sharing import NewsSharing
-from calicopath_core.permits.limits import Heard
+from calicopath_core.permits.limits import LimitState
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
     from calicopath_core.clock import Clock
-    from calicopath_core.permits.limits import NamedLimits
+    from calicopath_core.permits.limits import AdvertisedLimits
 
-MAX_WORDS_TOLD = 200
+MAX_REPORTS_PER_MESSAGE = 200
 """Words told in one message, the latest ones: 8 KB."""
 
 REPEAT_S = 0.3
@@ -24,11 +24,11 @@
 is lost."""
 
 
-class LimitWord(msgspec.Struct, frozen=True, array_like=True):
+class LimitReport(msgspec.Struct, frozen=True, array_like=True):
     """Tell what one life of a replica has named, and how many seconds ago that was heard."""
 
     replica: str
-    born: float
+    started_ms: float
     per_s: float
     ended: bool
     age_s: float
@@ -37,7 +37,7 @@
 class LimitNews(News, frozen=True, tag='lm'):
     """Tell a box of limits that replicas have named in answers."""
 
-    words: tuple[LimitWord, ...]
+    reports: tuple[LimitReport, ...] = msgspec.field(name='words')
 
 
 class LimitSharing(NewsSharing[str, LimitNews]):
@@ -47,7 +47,7 @@
         self,
         *,
         clock: Clock,
-        limits: NamedLimits,
+        limits: AdvertisedLimits,
         own_address: str,
         hubs: Callable[[], Iterable[str]],
         send: Callable[[str, msgspec.Struct], None],
@@ -65,7 +65,7 @@
 
     def holds(self, key: str) -> bool:
         """Tell whether a replica's word is kept."""
-        return key in self.limits.held
+        return key in self.limits.by_replica
 
     def news_of(self, keys: Iterable[str]) -> LimitNews:
         """Return what is known of some replicas."""
@@ -73,31 +73,31 @@
 
     def everything(self, *, whole: bool) -> LimitNews:
         """Return what is known of every replica."""
-        return self.message(self.limits.held, whole=whole)
+        return self.message(self.limits.by_replica, whole=whole)
 
     def message(self, names: Iterable[str], *, whole: bool) -> LimitNews:
         """Return the latest words of some replicas."""
         now = self.clock.monotonic()
-        items = [(name, self.limits.held[name]) for name in names]
-        words = [LimitWord(name, *item.heard, now - item.heard_at) for name, item in items]
-        words.sort(key=lambda word: word.age_s)
-        return LimitNews(sender=self.own_address, whole=whole, words=tuple(words[:MAX_WORDS_TOLD]))
+        items = [(name, self.limits.by_replica[name]) for name in names]
+        reports = [LimitReport(name, *item.state, now - item.heard_at) for name, item in items]
+        reports.sort(key=lambda report: report.age_s)
+        return LimitNews(sender=self.own_address, whole=whole, reports=tuple(reports[:MAX_REPORTS_PER_MESSAGE]))
 
     def merge(self, news: LimitNews) -> list[str]:
         """Join another box's words; return which were news."""
-        return [word.replica for word in news.words if self.merge_word(word, news.sender)]
+        return [report.replica for report in news.reports if self.merge_report(report, news.sender)]
 
-    def merge_word(self, word: LimitWord, sender: str) -> bool:
+    def merge_report(self, report: LimitReport, sender: str) -> bool:
         """Join one word; tell whether it was news."""
-        heard = Heard(word.born, word.per_s, word.ended)
-        service = self.service_of(word.replica)
-        return self.limits.merge(word.replica, service, heard, word.age_s, sender)
+        state = LimitState(report.started_ms, report.per_s, report.ended)
+        service = self.service_of(report.replica)
+        return self.limits.merge(report.replica, service, state, report.age_s, sender)
 
     def lacks(self, news: LimitNews) -> bool:
         """Tell whether this box knows of a limit that is not in another's news."""
-        told = {word.replica for word in news.words}
-        held = self.limits.held
-        return any(not item.heard.ended and name not in told for name, item in held.items())
+        told = {report.replica for report in news.reports}
+        held = self.limits.by_replica
+        return any(not item.state.ended and name not in told for name, item in held.items())
 
 
 LIMIT_MESSAGES = (LimitNews,)
--- a/packages/core/calicopath_core/permits/tests/holder_tests.py
+++ b/packages/core/calicopath_core/permits/tests/holder_tests.py
@@ -12,10 +12,10 @@
 
 from calicopath_core.fleet.notices import Notice, NoticeObserver
 from calicopath_core.fleet.replicas import Replica, ReplicaTable
-from calicopath_core.permits.client import PERMIT_LIFE_S, Permit, PermitClient
-from calicopath_core.permits.holder import CONTESTED_S, PermitHolder, PermitObserver
-from calicopath_core.permits.limits import NamedLimits
-from calicopath_core.permits.messages import PermitAnswer, PermitAsk
+from calicopath_core.permits.client import PERMIT_TTL_S, Permit, PermitClient
+from calicopath_core.permits.holder import CONTESTED_S, LimitIssuer, PermitObserver
+from calicopath_core.permits.limits import AdvertisedLimits
+from calicopath_core.permits.messages import PermitAnswer, PermitRequest
 from testkit.cases import VirtualCase
 from testkit.virtual import VirtualClock
 
@@ -44,26 +44,26 @@
         clock = VirtualClock()
         table = ReplicaTable()
         table.replace(self.replicas, 0.0)
-        self.limits = NamedLimits(clock=clock, observer=mock.Mock(spec=NoticeObserver))
+        self.limits = AdvertisedLimits(clock=clock, observer=mock.Mock(spec=NoticeObserver))
         for replica, limit in zip(self.replicas, per_s, strict=True):
             self.limits.on_notice(replica, Notice(limit_per_s=limit))
         self.clients = [
             PermitClient(
                 clock=clock,
                 own_address=f'{number}',
-                holder=lambda: str(self.target),
+                issuer_address=lambda: str(self.target),
                 send=self.to_holder,
             )
             for number in range(boxes)
         ]
         self.holders = [
-            PermitHolder(
+            LimitIssuer(
                 clock=clock,
                 limits=self.limits,
                 replicas=table,
                 share=lambda: 1.0,
                 send=self.to_client,
-                own=self.clients[number],
+                own_client=self.clients[number],
                 observer=mock.Mock(spec=PermitObserver),
             )
             for number in range(2)
@@ -71,11 +71,11 @@
 
     def to_holder(self, address: str, message: msgspec.Struct) -> None:
         """Bring an ask to a box that lends, unless that is lost."""
-        assert isinstance(message, PermitAsk)
+        assert isinstance(message, PermitRequest)
         number = int(address)
         if number not in self.lost:
             loop = asyncio.get_running_loop()
-            loop.call_later(self.delay_s, self.holders[number].on_ask, message)
+            loop.call_later(self.delay_s, self.holders[number].on_request, message)
 
     def to_client(self, address: str, message: msgspec.Struct) -> None:
         """Bring an answer to a box."""
@@ -86,9 +86,9 @@
     async def request(self, box: int, *, wait_s: float = 1.0, priority: int = 0) -> Permit:
         """Ask for a permit and use it."""
         client = self.clients[box]
-        permit = await client.ask(self.replicas, wait_s=wait_s, priority=priority)
+        permit = await client.request_permit(self.replicas, wait_s=wait_s, priority=priority)
         if permit.replica:
-            assert client.use(permit.replica)
+            assert client.use_permit(permit.replica)
             self.calls.append((asyncio.get_running_loop().time(), permit.replica))
         return permit
 
@@ -106,9 +106,9 @@
         self.lost.add(self.target)
         self.target = 1 - self.target
         self.lost.discard(self.target)
-        self.holders[self.target].on_take_up()
+        self.holders[self.target].on_activate()
         for client in self.clients:
-            client.on_holder()
+            client.on_issuer_changed()
 
     def most(self, replica: str, since: float = 0.0) -> int:
         """Return the most calls to a replica in some 4 s."""
@@ -217,7 +217,7 @@
             told = [task.result() for task in tasks if task.done()]
             refused = [permit for permit in told if not permit.replica]
             self.assertGreaterEqual(len(refused), 15)
-            self.assertTrue(all(permit.opens_in_s > 2.0 for permit in refused))
+            self.assertTrue(all(permit.available_in_s > 2.0 for permit in refused))
             await asyncio.gather(*tasks)
             self.assertLess(asyncio.get_running_loop().time() - asked_at, 3.3)
 
@@ -267,9 +267,9 @@
     def test_a_permit_that_is_not_used_runs_out(self) -> None:
         async def work() -> None:
             client = new_client()
-            client.lend('i')
-            await asyncio.sleep(PERMIT_LIFE_S + 0.1)
-            self.assertFalse(client.use('i'))
+            client.add_permit('i')
+            await asyncio.sleep(PERMIT_TTL_S + 0.1)
+            self.assertFalse(client.use_permit('i'))
             self.assertEqual(1, client.unused)
 
         self.play(work)
@@ -277,4 +277,4 @@
 
 def new_client() -> PermitClient:
     """Return a box that asks nobody."""
-    return PermitClient(clock=VirtualClock(), own_address='0', holder=lambda: '0', send=mock.Mock())
+    return PermitClient(clock=VirtualClock(), own_address='0', issuer_address=lambda: '0', send=mock.Mock())
--- a/packages/core/calicopath_core/permits/tests/limits_tests.py
+++ b/packages/core/calicopath_core/permits/tests/limits_tests.py
@@ -6,17 +6,17 @@
 from typing import TYPE_CHECKING
 from unittest import mock
 
-from calicopath_core.fleet.notices import NOTHING_TOLD, Notice, NoticeObserver
+from calicopath_core.fleet.notices import EMPTY_NOTICE, Notice, NoticeObserver
 from calicopath_core.fleet.replicas import Replica
 from calicopath_core.permits.limits import (
-    GRACE_S,
-    KEEP_ENDED_S,
-    LEAST_PER_S,
-    OVERTAKEN_S,
-    RETURN_S,
-    TIE_S,
-    Heard,
-    NamedLimits,
+    ENFORCEMENT_DELAY_S,
+    ENDED_RETENTION_S,
+    MIN_PER_S,
+    REORDER_WINDOW_S,
+    RAMP_UP_S,
+    TIE_WINDOW_S,
+    LimitState,
+    AdvertisedLimits,
 )
 from testkit.cases import VirtualCase
 from testkit.virtual import VirtualClock
@@ -24,14 +24,14 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
 
-DESK = Replica('i', 'desk', 'i:1', 'north', 6, False, born=5.0)
+DESK = Replica('i', 'desk', 'i:1', 'north', 6, False, started_ms=5.0)
 LIMIT = Notice(limit_per_s=2.0)
-NAMED = Heard(5.0, 2.0, ended=False)
-ENDED = Heard(5.0, 2.0, ended=True)
+NAMED = LimitState(5.0, 2.0, ended=False)
+ENDED = LimitState(5.0, 2.0, ended=True)
 
 
 class LimitsCase(VirtualCase):
-    def play(self, work: Callable[[NamedLimits], Coroutine[None, None, None]]) -> None:
+    def play(self, work: Callable[[AdvertisedLimits], Coroutine[None, None, None]]) -> None:
         """Do some work with limits on virtual time that does not begin at 0."""
 
         async def scenario() -> None:
@@ -41,41 +41,41 @@
         self.run_virtual(scenario())
 
 
-def new_limits() -> NamedLimits:
+def new_limits() -> AdvertisedLimits:
     """Return limits of which nothing is known."""
     observer = mock.Mock(spec=NoticeObserver)
-    return NamedLimits(clock=VirtualClock(), observer=observer, on_changed=mock.Mock())
+    return AdvertisedLimits(clock=VirtualClock(), observer=observer, on_changed=mock.Mock())
 
 
 class Answers(LimitsCase):
     def test_a_limit_binds_after_what_is_under_way_has_arrived(self) -> None:
-        async def work(limits: NamedLimits) -> None:
+        async def work(limits: AdvertisedLimits) -> None:
             limits.on_notice(DESK, LIMIT)
-            self.assertEqual((2.0, False), (limits.rate_of(DESK), limits.binds(DESK)))
-            await asyncio.sleep(GRACE_S)
-            self.assertTrue(limits.binds(DESK))
+            self.assertEqual((2.0, False), (limits.rate_of(DESK), limits.requires_permit(DESK)))
+            await asyncio.sleep(ENFORCEMENT_DELAY_S)
+            self.assertTrue(limits.requires_permit(DESK))
 
         self.play(work)
 
     def test_an_answer_without_a_limit_ends_it_unless_it_was_overtaken(self) -> None:
-        async def work(limits: NamedLimits) -> None:
+        async def work(limits: AdvertisedLimits) -> None:
             limits.on_notice(DESK, LIMIT)
-            limits.on_notice(DESK, NOTHING_TOLD)
+            limits.on_notice(DESK, EMPTY_NOTICE)
             self.assertEqual(2.0, limits.rate_of(DESK))
-            await asyncio.sleep(OVERTAKEN_S + 0.01)
-            limits.on_notice(DESK, Notice(ran=False))
-            self.assertFalse(limits.held['i'].heard.ended)
-            limits.on_notice(DESK, NOTHING_TOLD)
-            self.assertTrue(limits.held['i'].heard.ended)
-            self.assertFalse(limits.binds(DESK))
+            await asyncio.sleep(REORDER_WINDOW_S + 0.01)
+            limits.on_notice(DESK, Notice(executed=False))
+            self.assertFalse(limits.by_replica['i'].state.ended)
+            limits.on_notice(DESK, EMPTY_NOTICE)
+            self.assertTrue(limits.by_replica['i'].state.ended)
+            self.assertFalse(limits.requires_permit(DESK))
 
         self.play(work)
 
     def test_after_the_end_calls_come_back_gradually(self) -> None:
-        async def work(limits: NamedLimits) -> None:
+        async def work(limits: AdvertisedLimits) -> None:
             limits.on_notice(DESK, LIMIT)
             await asyncio.sleep(1.0)
-            limits.on_notice(DESK, NOTHING_TOLD)
+            limits.on_notice(DESK, EMPTY_NOTICE)
             rates = []
             while (rate := limits.rate_of(DESK)) is not None:
                 rates.append(rate)
@@ -85,42 +85,42 @@
         self.play(work)
 
     def test_another_life_has_no_limit(self) -> None:
-        async def work(limits: NamedLimits) -> None:
+        async def work(limits: AdvertisedLimits) -> None:
             limits.on_notice(DESK, LIMIT)
-            self.assertIsNone(limits.rate_of(DESK._replace(born=6.0)))
-            limits.on_notice(DESK._replace(born=6.0), Notice(limit_per_s=3.0))
-            self.assertEqual(3.0, limits.rate_of(DESK._replace(born=6.0)))
+            self.assertIsNone(limits.rate_of(DESK._replace(started_ms=6.0)))
+            limits.on_notice(DESK._replace(started_ms=6.0), Notice(limit_per_s=3.0))
+            self.assertEqual(3.0, limits.rate_of(DESK._replace(started_ms=6.0)))
 
         self.play(work)
 
     def test_a_limit_of_nothing_leaves_some_calls_to_hear_of_its_end(self) -> None:
-        async def work(limits: NamedLimits) -> None:
+        async def work(limits: AdvertisedLimits) -> None:
             limits.on_notice(DESK, Notice(limit_per_s=0.0))
-            self.assertEqual(LEAST_PER_S, limits.rate_of(DESK))
+            self.assertEqual(MIN_PER_S, limits.rate_of(DESK))
 
         self.play(work)
 
     def test_a_replica_that_limits_is_told_of_once_until_that_changes(self) -> None:
-        async def work(limits: NamedLimits) -> None:
+        async def work(limits: AdvertisedLimits) -> None:
             for notice in (LIMIT, LIMIT, Notice(limit_per_s=1.0), Notice(limit_per_s=1.0)):
                 limits.on_notice(DESK, notice)
             await asyncio.sleep(1.0)
-            limits.on_notice(DESK, NOTHING_TOLD)
-            limits.on_notice(DESK, NOTHING_TOLD)
+            limits.on_notice(DESK, EMPTY_NOTICE)
+            limits.on_notice(DESK, EMPTY_NOTICE)
             self.assertEqual(3, limits.on_changed.call_count)  # type: ignore[attr-defined]
             self.assertEqual(2, limits.observer.on_limit.call_count)  # type: ignore[attr-defined]
-            await asyncio.sleep(KEEP_ENDED_S + 1.0)
+            await asyncio.sleep(ENDED_RETENTION_S + 1.0)
             limits.expire({'i'})
-            self.assertEqual({}, limits.held)
+            self.assertEqual({}, limits.by_replica)
 
         self.play(work)
 
     def test_calls_without_new_work_go_at_a_part_of_it(self) -> None:
-        async def work(limits: NamedLimits) -> None:
+        async def work(limits: AdvertisedLimits) -> None:
             limits.on_notice(DESK, Notice(limit_per_s=4.0))
             passed = 0
             for _ in range(1000):
-                passed += limits.take_support(DESK)
+                passed += limits.take_control_call(DESK)
                 await asyncio.sleep(0.01)
             self.assertLessEqual(passed, 11)
             self.assertGreaterEqual(passed, 9)
@@ -129,12 +129,12 @@
 
 
 class OtherBoxes(LimitsCase):
-    def merge(self, limits: NamedLimits, heard: Heard, age_s: float) -> bool:
+    def merge(self, limits: AdvertisedLimits, heard: LimitState, age_s: float) -> bool:
         """Take in another box's word."""
         return limits.merge('i', 'desk', heard, age_s, 'box-2')
 
     def test_a_word_counts_once_and_an_older_one_not_at_all(self) -> None:
-        async def work(limits: NamedLimits) -> None:
+        async def work(limits: AdvertisedLimits) -> None:
             self.assertFalse(self.merge(limits, ENDED, 0.0))
             self.assertTrue(self.merge(limits, NAMED, 1.0))
             self.assertFalse(self.merge(limits, NAMED, 0.5))
@@ -149,11 +149,11 @@
         for named_s, ended_s in ((0.0, 0.05), (0.05, 0.0), (0.0, 0.5), (0.5, 0.0)):
 
             async def work(
-                limits: NamedLimits, named_s: float = named_s, ended_s: float = ended_s
+                limits: AdvertisedLimits, named_s: float = named_s, ended_s: float = ended_s
             ) -> None:
                 one, two = limits, new_limits()
                 for item in (one, two):
-                    self.merge(item, Heard(5.0, 1.0, ended=False), 5.0)
+                    self.merge(item, LimitState(5.0, 1.0, ended=False), 5.0)
                 self.merge(one, NAMED, named_s)
                 self.merge(two, ENDED._replace(per_s=1.0), ended_s)
                 for _ in range(3):
@@ -161,24 +161,24 @@
                     exchange(one, two)
                     exchange(two, one)
                 self.assertEqual(one.digest(), two.digest())
-                expected = ended_s < named_s + TIE_S
-                self.assertEqual(expected, one.held['i'].heard.ended)
+                expected = ended_s < named_s + TIE_WINDOW_S
+                self.assertEqual(expected, one.by_replica['i'].state.ended)
 
             self.play(work)
 
     def test_the_end_of_a_limit_outlasts_the_return(self) -> None:
-        async def work(limits: NamedLimits) -> None:
+        async def work(limits: AdvertisedLimits) -> None:
             self.merge(limits, NAMED, 1.0)
             self.merge(limits, ENDED, 0.0)
-            await asyncio.sleep(RETURN_S)
+            await asyncio.sleep(RAMP_UP_S)
             self.assertIsNone(limits.rate_of(DESK))
-            self.assertFalse(self.merge(limits, NAMED, RETURN_S + 1.0))
+            self.assertFalse(self.merge(limits, NAMED, RAMP_UP_S + 1.0))
 
         self.play(work)
 
 
-def exchange(sender: NamedLimits, receiver: NamedLimits) -> None:
+def exchange(sender: AdvertisedLimits, receiver: AdvertisedLimits) -> None:
     """Tell one box what another has heard."""
     now = sender.clock.monotonic()
-    for name, item in sender.held.items():
-        receiver.merge(name, 'desk', item.heard, now - item.heard_at, 'box-2')
+    for name, item in sender.by_replica.items():
+        receiver.merge(name, 'desk', item.state, now - item.heard_at, 'box-2')
--- a/packages/core/calicopath_core/scheduling/boards.py
+++ b/packages/core/calicopath_core/scheduling/boards.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from calicopath_core.permits.holder import NoLimits, PermitLender
+from calicopath_core.permits.holder import UnlimitedIssuer, PermitIssuer
 from calicopath_core.scheduling.backoffs import FleetBackoffs
 from calicopath_core.scheduling.engines import EngineBoard
 from calicopath_core.scheduling.starts import bound_of
@@ -26,10 +26,10 @@
         salt: str,
         warmup: WarmupTerms,
         new_board: Callable[[EngineSpec], EngineBoard] | None = None,
-        permits: PermitLender | None = None,
+        permits: PermitIssuer | None = None,
     ) -> None:
         super().__init__()
-        self.permits = permits or NoLimits()
+        self.permits = permits or UnlimitedIssuer()
         self.salt = salt
         self.warmup = warmup
         self.backoffs = FleetBackoffs()
--- a/packages/core/calicopath_core/scheduling/election.py
+++ b/packages/core/calicopath_core/scheduling/election.py
@@ -311,7 +311,7 @@
             return own
         candidate = self.candidates[name]
         heard_at = now if candidate.heard_at is None else candidate.heard_at
-        return candidate.contact.later(now - heard_at)
+        return candidate.contact.aged_by(now - heard_at)
 
     def hears(self, address: str, now: float) -> bool:
         """Tell whether the box at an address, leaving or not, was heard lately."""
--- a/packages/core/calicopath_core/scheduling/engines.py
+++ b/packages/core/calicopath_core/scheduling/engines.py
@@ -6,7 +6,7 @@
 from collections import OrderedDict
 from typing import TYPE_CHECKING, NamedTuple
 
-from calicopath_core.permits.holder import NoLimits, PermitLender
+from calicopath_core.permits.holder import UnlimitedIssuer, PermitIssuer
 from calicopath_core.scheduling.backoffs import FleetBackoffs
 from calicopath_core.scheduling.starts import WINDOW_S, Starts
 
@@ -180,9 +180,9 @@
         kv_tokens: int,
         salt: str = '',
         backoffs: FleetBackoffs | None = None,
-        permits: PermitLender | None = None,
+        permits: PermitIssuer | None = None,
     ) -> None:
-        self.permits = permits or NoLimits()
+        self.permits = permits or UnlimitedIssuer()
         self.backoffs = backoffs or FleetBackoffs()
         self.slots = slots
         self.salt = salt
@@ -260,7 +260,7 @@
         barred = self.backoffs.bars(job.place.reply_to, replica, now)
         if barred or self.backoffs.in_trial(replica, now):
             return False
-        return self.permits.opens_in_s(engine.replica) <= 0
+        return self.permits.available_in_s(engine.replica) <= 0
 
     def is_healthy(self, engine: Engine, now: float) -> bool:
         """Tell whether an engine has neither failed nor turned away runs of late."""
--- a/packages/core/calicopath_core/scheduling/overdue.py
+++ b/packages/core/calicopath_core/scheduling/overdue.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from calicopath_core.backends.base import BackendError, MayHaveRun
-from calicopath_core.fleet.notices import Barred
+from calicopath_core.fleet.notices import ReplicaExcluded
 
 if TYPE_CHECKING:
     from calicopath_core.clock import Clock
@@ -77,7 +77,7 @@
         try:
             async with asyncio.timeout(REPORT_TIMEOUT_S):
                 return (await self.caller.report(replica)).idle
-        except Barred:
+        except ReplicaExcluded:
             return False
         except (BackendError, TimeoutError) as error:
             self.observer.on_report_failed(replica, error)
--- a/packages/core/calicopath_core/scheduling/placing.py
+++ b/packages/core/calicopath_core/scheduling/placing.py
@@ -14,7 +14,7 @@
     from collections.abc import Iterable, Mapping
 
     from calicopath_core.fleet.deployment import StageSpec
-    from calicopath_core.permits.holder import PermitLender
+    from calicopath_core.permits.holder import PermitIssuer
     from calicopath_core.scheduling.jobs import Piece
     from calicopath_core.scheduling.stage_replicas import StageReplica
 
@@ -53,7 +53,7 @@
 
 
 def zone_waits(
-    replicas: Iterable[StageReplica], spec: StageSpec, permits: PermitLender, now: float
+    replicas: Iterable[StageReplica], spec: StageSpec, permits: PermitIssuer, now: float
 ) -> dict[str, float]:
     """Return the zones in which a replica is worth waiting for, and for how many seconds."""
     found: dict[str, float] = {}
@@ -63,6 +63,6 @@
         if item.room_left(spec, now) <= 0:
             continue
         zone = item.replica.zone
-        wait_s = max(item.busy_s(now), permits.opens_in_s(item.replica))
+        wait_s = max(item.busy_s(now), permits.available_in_s(item.replica))
         found[zone] = min(found.get(zone, math.inf), wait_s)
     return found
--- a/packages/core/calicopath_core/scheduling/rejections.py
+++ b/packages/core/calicopath_core/scheduling/rejections.py
@@ -11,7 +11,7 @@
     from collections.abc import Callable, Iterator, Mapping
 
     from calicopath_core.crashes.guard import CrashGuard
-    from calicopath_core.permits.holder import PermitLender
+    from calicopath_core.permits.holder import PermitIssuer
     from calicopath_core.scheduling.admission import Admission
     from calicopath_core.scheduling.boards import EngineBoards
     from calicopath_core.scheduling.engine_queue import EngineQueue
@@ -39,7 +39,7 @@
         queues: Mapping[str, StageQueue],
         admission: Admission,
         crashes: CrashGuard,
-        permits: PermitLender,
+        permits: PermitIssuer,
         engine_s: Callable[[Job], float],
         reject: Callable[[Job, str, float], None],
     ) -> None:
--- a/packages/core/calicopath_core/scheduling/scheduler.py
+++ b/packages/core/calicopath_core/scheduling/scheduler.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from calicopath_core.permits.holder import NoLimits, PermitLender
+from calicopath_core.permits.holder import UnlimitedIssuer, PermitIssuer
 from calicopath_core.scheduling.admission import Admission
 from calicopath_core.scheduling.beliefs import EngineTimes
 from calicopath_core.scheduling.boards import EngineBoards
@@ -75,9 +75,9 @@
         new_board: Callable[[EngineSpec], EngineBoard] | None = None,
         back_s: Callable[[Replica], float] = lambda replica: 0.0,
         support_back_s: Callable[[Replica], float] = lambda replica: 0.0,
-        permits: PermitLender | None = None,
+        permits: PermitIssuer | None = None,
     ) -> None:
-        self.permits = permits or NoLimits()
+        self.permits = permits or UnlimitedIssuer()
         self.clock = clock
         self.replicas = replicas
         self.send = send
--- a/packages/core/calicopath_core/scheduling/stage_calls.py
+++ b/packages/core/calicopath_core/scheduling/stage_calls.py
@@ -7,8 +7,8 @@
 
 from calicopath_core.backends.base import BackendError, ConnectionBroken, NotStarted
 from calicopath_core.crashes.fate import ReplicaFate
-from calicopath_core.fleet.notices import Barred
-from calicopath_core.permits.holder import NoLimits, PermitLender
+from calicopath_core.fleet.notices import ReplicaExcluded
+from calicopath_core.permits.holder import UnlimitedIssuer, PermitIssuer
 from calicopath_core.scheduling.freeing import ResultFreeing
 from calicopath_core.scheduling.interfaces import PieceCall, PieceResult
 from calicopath_core.scheduling.jobs import Job, Piece, Result
@@ -58,9 +58,9 @@
         crashes: CrashGuard,
         back_s: Callable[[Replica], float] = lambda replica: 0.0,
         support_back_s: Callable[[Replica], float] = lambda replica: 0.0,
-        permits: PermitLender | None = None,
+        permits: PermitIssuer | None = None,
     ) -> None:
-        self.permits = permits or NoLimits()
+        self.permits = permits or UnlimitedIssuer()
         self.back_s = back_s
         self.clock = clock
         self.replicas = replicas
@@ -162,7 +162,7 @@
         try:
             async with asyncio.timeout(REPORT_TIMEOUT_S):
                 report = await self.caller.report(target.replica)
-        except Barred:
+        except ReplicaExcluded:
             return
         except (BackendError, TimeoutError) as error:
             self.observer.on_report_failed(target.replica, error)
@@ -188,7 +188,7 @@
         held = self.pacing.held(self.keeper.unplaced.values(), self.queues, now)
         for queue in self.queues.values():
             for batch in queue.batches(now, held):
-                self.permits.take_own(batch.target.replica)
+                self.permits.take_for_own_box(batch.target.replica)
                 # Described now: before the task runs, a job may have to make its inputs anew.
                 calls = [self.piece_call(piece, now) for piece in batch.pieces]
                 for job in jobs_of(batch):
--- a/packages/core/calicopath_core/scheduling/stage_replicas.py
+++ b/packages/core/calicopath_core/scheduling/stage_replicas.py
@@ -76,12 +76,12 @@
         if now < self.no_room_until:
             return 0.0
         foreign = self.foreign_bytes if now < self.foreign_until else 0.0
-        return spec.room_bytes * ROOM_SHARE - self.booked_bytes - self.reserved_bytes - foreign
+        return spec.result_capacity_bytes * ROOM_SHARE - self.booked_bytes - self.reserved_bytes - foreign
 
     def on_free_bytes(self, free_bytes: float, spec: StageSpec, now: float) -> None:
         """Note the room that the replica tells of: what is missing, others have booked."""
         own = self.booked_bytes + self.reserved_bytes
-        self.foreign_bytes = max(0.0, spec.room_bytes - free_bytes - own)
+        self.foreign_bytes = max(0.0, spec.result_capacity_bytes - free_bytes - own)
         self.foreign_until = now + FOREIGN_S
 
     def free(self, handle: str) -> None:
--- a/packages/core/calicopath_core/scheduling/stages.py
+++ b/packages/core/calicopath_core/scheduling/stages.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from calicopath_core.permits.holder import NoLimits, PermitLender
+from calicopath_core.permits.holder import UnlimitedIssuer, PermitIssuer
 from calicopath_core.scheduling.jobs import LARGE_BYTES
 from calicopath_core.scheduling.placing import Home, home_of, may_go, zone_waits
 from calicopath_core.scheduling.stage_replicas import OVERDUE_FACTOR, Booking, StageReplica
@@ -65,9 +65,9 @@
         spec: StageSpec,
         goes_alone: Callable[[Job], bool] = lambda job: False,
         back_s: Callable[[Replica], float] = lambda replica: 0.0,
-        permits: PermitLender | None = None,
+        permits: PermitIssuer | None = None,
     ) -> None:
-        self.permits = permits or NoLimits()
+        self.permits = permits or UnlimitedIssuer()
         self.service = service
         self.spec = spec
         self.goes_alone = goes_alone
@@ -112,7 +112,7 @@
             for item in self.open_replicas()
             if item.calls < self.spec.concurrency
             and item.idle_until <= now
-            and self.permits.opens_in_s(item.replica) <= 0
+            and self.permits.available_in_s(item.replica) <= 0
         ]
         if len(self.waiting) <= self.backlog_bound(now):
             found = [item for item in found if not item.is_slow(now)]
@@ -267,7 +267,7 @@
     def opens_in_s(self) -> float:
         """Return when the first replica may be called, 0 for now."""
         waits = (
-            max(self.back_s(item.replica), self.permits.opens_in_s(item.replica))
+            max(self.back_s(item.replica), self.permits.available_in_s(item.replica))
             for item in self.replicas.values()
         )
         return min(waits, default=0.0)
--- a/packages/core/calicopath_core/scheduling/tests/election_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/election_tests.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from calicopath_core.fleet.contact import BEHIND_S, STEADY, StoreContact
+from calicopath_core.fleet.contact import MIN_BEHIND_S, STEADY, StoreContact
 from calicopath_core.scheduling.election import (
     CANDIDATES,
     NEW_GRACE_S,
@@ -89,7 +89,7 @@
             self.election.on_pong(pong(number, contact=contact), 1.0)
 
     def test_a_box_that_the_store_fails_while_it_answers_others_goes_last(self) -> None:
-        cut = StoreContact(age_s=5.0, failing_s=BEHIND_S + 1)
+        cut = StoreContact(age_s=5.0, failing_s=MIN_BEHIND_S + 1)
         self.hear_contact(cut, 1, 2)
         self.hear_contact(StoreContact(age_s=1.9), 4, 5)
         self.assertEqual('b3', self.election.scheduler(1.0, StoreContact(age_s=1.0)).name)
@@ -106,7 +106,7 @@
         self.assertEqual('b1', self.election.scheduler(1.0, StoreContact(9.0, 7.0)).name)
 
     def test_contact_grows_older_between_two_pings(self) -> None:
-        self.hear_contact(StoreContact(age_s=3.0, failing_s=BEHIND_S - 0.2), 1)
+        self.hear_contact(StoreContact(age_s=3.0, failing_s=MIN_BEHIND_S - 0.2), 1)
         self.hear(1.3, 2)
         self.assertEqual('b2', self.election.scheduler(1.3, STEADY).name)
 
--- a/packages/core/calicopath_core/scheduling/tests/freeing_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/freeing_tests.py
@@ -96,4 +96,4 @@
         self.assertFalse(self.given_up(0))
 
     def test_an_input_is_given_up_once_it_was_fetched_where_room_is_short(self) -> None:
-        self.assertTrue(self.given_up(int(SPEC.room_bytes)))
+        self.assertTrue(self.given_up(int(SPEC.result_capacity_bytes)))
--- a/packages/core/calicopath_core/scheduling/tests/limited_stages_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/limited_stages_tests.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from calicopath_core.permits.holder import NoLimits
+from calicopath_core.permits.holder import UnlimitedIssuer
 from calicopath_core.scheduling.stages import GATHER_S
 from calicopath_core.scheduling.tests.work import job, phase, queue, replica, wait
 
@@ -17,14 +17,14 @@
 LATER = GATHER_S + 0.01
 
 
-class OneLimited(NoLimits):
+class OneLimited(UnlimitedIssuer):
     """Have the replica `limited` take one call a second, the next in half a second."""
 
     def rate_of(self, replica: Replica) -> float | None:
         """Return the rate of the one."""
         return 1.0 if replica.id == 'limited' else None
 
-    def opens_in_s(self, replica: Replica) -> float:
+    def available_in_s(self, replica: Replica) -> float:
         """Return when the one may be called."""
         return 0.5 if replica.id == 'limited' else 0.0
 
--- a/packages/core/calicopath_core/scheduling/tests/work.py
+++ b/packages/core/calicopath_core/scheduling/tests/work.py
@@ -11,7 +11,7 @@
 from calicopath_core.scheduling.stages import StageQueue
 
 SPEC = StageSpec(
-    concurrency=1, batch=4, call_s=0.2, piece_s=0.05, room_bytes=1_000_000, result_ttl_s=4.0
+    concurrency=1, batch=4, call_s=0.2, piece_s=0.05, result_capacity_bytes=1_000_000, result_ttl_s=4.0
 )
 
 
--- a/packages/daemon/calicopathd/gateway/barred.py
+++ b/packages/daemon/calicopathd/gateway/barred.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from calicopath_core.fleet.notices import Bar
-from calicopath_core.permits.limits import RETURN_S
+from calicopath_core.fleet.notices import Exclusion
+from calicopath_core.permits.limits import RAMP_UP_S
 
 if TYPE_CHECKING:
     from calicopath_core.fleet.replicas import Replica
-    from calicopath_core.permits.limits import NamedLimit
+    from calicopath_core.permits.limits import AdvertisedLimit
     from calicopathd.gateway.box import GatewayBox
 
 STORE = 'store'
@@ -39,41 +39,41 @@
     """Return the replicas that a box knows and does not call as it likes, by service and name."""
     found = []
     for replica in box.replicas.replicas.values():
-        bar = box.gate.bar_of(replica)
+        bar = box.gate.exclusion_of(replica)
         if bar is not None:
             found.append(describe(box, replica, bar))
-        limit = box.notices.limits.of(replica)
+        limit = box.notices.limits.limit_of(replica)
         if limit is not None:
             found.append(describe_limit(box, replica, limit))
     return sorted(found, key=lambda item: (item.service, item.replica))
 
 
-def describe_limit(box: GatewayBox, replica: Replica, limit: NamedLimit) -> BarredReplica:
+def describe_limit(box: GatewayBox, replica: Replica, limit: AdvertisedLimit) -> BarredReplica:
     """Return what a replica that names a limit is held to."""
     now = box.clock.monotonic()
     since_1970 = box.clock.wall() - now
     return BarredReplica(
         replica=replica.id,
         service=replica.service,
-        bar=Bar.LIMIT.value,
+        bar=Exclusion.LIMIT.value,
         source=limit.source,
         since=limit.since + since_1970,
-        until=limit.heard_at + RETURN_S + since_1970 if limit.heard.ended else 0.0,
+        until=limit.heard_at + RAMP_UP_S + since_1970 if limit.state.ended else 0.0,
         per_s=limit.rate(now),
         sent=limit.sent,
     )
 
 
-def describe(box: GatewayBox, replica: Replica, bar: Bar) -> BarredReplica:
+def describe(box: GatewayBox, replica: Replica, bar: Exclusion) -> BarredReplica:
     """Return why a replica is not called, with what is known of that."""
     since_1970 = box.clock.wall() - box.clock.monotonic()
     since = until = 0.0
     source = STORE
-    word = box.notices.leaving.words.get(replica.id)
-    if word is not None and bar in (Bar.LEAVING, Bar.GONE):
-        since, source = word.at + since_1970, word.source
-    elif bar is Bar.BACKOFF:
-        backoff = box.gate.backoffs.held[replica.id]
+    word = box.notices.leaving.departures.get(replica.id)
+    if word is not None and bar in (Exclusion.LEAVING, Exclusion.GONE):
+        since, source = word.heard_at + since_1970, word.source
+    elif bar is Exclusion.BACKOFF:
+        backoff = box.gate.backoffs.by_replica[replica.id]
         since, until = backoff.since + since_1970, backoff.until + since_1970
         source = 'own'
     return BarredReplica(replica.id, replica.service, bar.value, source, since, until)
--- a/packages/daemon/calicopathd/gateway/box.py
+++ b/packages/daemon/calicopathd/gateway/box.py
@@ -20,7 +20,7 @@
 from calicopath_core.exchanges.context import ExchangeContext
 from calicopath_core.exchanges.executor import ExchangeExecutor
 from calicopath_core.fleet.deployment import DEFAULT_LIMITS, Deployment, DeploymentView
-from calicopath_core.fleet.positions import NOTHING, Position
+from calicopath_core.fleet.positions import NO_POSITION, Position
 from calicopath_core.fleet.store import RecordKind
 from calicopath_core.scheduling.baseline import AloneElection, RandomEngineBoard
 from calicopath_core.scheduling.client import SchedulerClient
@@ -150,8 +150,8 @@
             own_address=self.own.address,
             share_of=self.election.share_of,
             crashes=self.crashes,
-            back_s=self.gate.backoffs.left_s,
-            support_back_s=self.gate.support_opens_in_s,
+            back_s=self.gate.backoffs.remaining_s,
+            support_back_s=self.gate.control_call_available_in_s,
             permits=self.notices.holder,
             warmup=settings.warmup,
             new_board=self.random_board if alone else None,
@@ -226,7 +226,7 @@
 
     def held_position(self, kind: RecordKind) -> Position:
         """Return the store's position up to which this box knows a kind."""
-        return self.subscription.positions().get(kind, NOTHING)
+        return self.subscription.positions().get(kind, NO_POSITION)
 
     def contact(self) -> StoreContact:
         """Return how the store answers this box, or the relay that it hears."""
@@ -256,7 +256,7 @@
 
     def keeps_blocked(self) -> bool:
         """Tell whether this box is the one that keeps blocked requests in the store."""
-        return self.subscription.choice.is_first and self.synced() and not self.leaving
+        return self.subscription.relay_selection.is_first_relay and self.synced() and not self.leaving
 
     def synced(self) -> bool:
         """Tell whether all that says where requests may go was read once."""
@@ -273,7 +273,7 @@
 
     def unaware_boxes(self) -> set[str]:
         """Return the boxes that hear the store through this one, and the other relays."""
-        relays = self.subscription.choice.candidates if self.subscription.choice.is_relay else []
+        relays = self.subscription.relay_selection.candidates if self.subscription.relay_selection.is_relay else []
         return {*self.publisher.subscribers, *relays}
 
     def knows_blocked(self) -> bool:
@@ -344,7 +344,7 @@
     def on_replica_backoff(self, replica: Replica) -> None:
         """Tell the box that schedules which engine wants nothing from this one."""
         if replica.service in self.scheduler.boards:
-            lefts = {replica.id: self.gate.backoffs.left_s(replica)}
+            lefts = {replica.id: self.gate.backoffs.remaining_s(replica)}
             self.tell_backoffs(lefts)
 
     def tell_backoffs(self, lefts: dict[str, float]) -> None:
@@ -356,7 +356,7 @@
     def on_scheduler(self, address: str, asked_again: int) -> None:
         """Note that another box schedules now."""
         for service in self.scheduler.boards:
-            self.tell_backoffs(self.gate.backoffs_of(service))
+            self.tell_backoffs(self.gate.remaining_backoffs(service))
         if address == self.own.address:
             self.scheduler.succession.take_up()
             self.scheduler.stages.on_take_over(has_work=asked_again > 0)
@@ -381,7 +381,7 @@
         """Ask for no more callers and hand scheduling over."""
         self.leaving = True
         self.election.leaving = True
-        self.subscription.leave()
+        self.subscription.announce_leaving()
         self.link.ping_all()
         for candidate in self.election.candidates.values():
             if candidate.heard_at is not None:
--- a/packages/daemon/calicopathd/gateway/following.py
+++ b/packages/daemon/calicopathd/gateway/following.py
@@ -5,10 +5,10 @@
 from typing import TYPE_CHECKING
 
 from calicopath_core.fleet.evacuations import Evacuations
-from calicopath_core.fleet.feed import KindFeed
+from calicopath_core.fleet.feed import RecordFeed
 from calicopath_core.fleet.publisher import Publisher
 from calicopath_core.fleet.registration import Registration
-from calicopath_core.fleet.restoring import RestoredRecords
+from calicopath_core.fleet.restoring import RestoreFilter
 from calicopath_core.fleet.store import RecordKind
 from calicopath_core.fleet.subscription import Subscription
 from calicopathd.gateway.records import RecordIntake
@@ -51,9 +51,9 @@
         is_leaving: Callable[[], bool],
     ) -> None:
         self.evacuations = Evacuations(
-            wall=clock.wall,
-            on_taken_out=observer.on_zone_taken_out,
-            on_given_back=observer.on_zone_given_back,
+            wall_clock=clock.wall,
+            on_evacuation_started=observer.on_zone_taken_out,
+            on_evacuation_ended=observer.on_zone_given_back,
             on_changed=replicas.set_evacuated,
         )
         self.publisher = Publisher(own_address=own.address, clock=clock, send=send)
@@ -66,10 +66,10 @@
             on_boxes=on_boxes,
             on_applied=on_applied,
         )
-        self.restored = RestoredRecords(
+        self.restored = RestoreFilter(
             inner=self.records,
             clock=clock,
-            lapse_s=settings.replica_lapse_s,
+            entry_ttl_s=settings.replica_lapse_s,
             on_restored=observer.on_restored,
         )
         self.subscription = Subscription(
@@ -78,21 +78,21 @@
             send=send,
             publisher=self.publisher,
             on_disrupted=replicas.on_disrupted,
-            on_bad=observer.on_bad_message,
-            on_source=observer.on_source,
+            on_bad_update=observer.on_bad_message,
+            on_relay_changed=observer.on_source,
             store=store,
-            on_unread=observer.on_relays_unread,
+            on_store_error=observer.on_relays_unread,
             rng=rng,
-            withdrawn=self.restored.withdrawn_boxes,
+            stale_boxes=self.restored.stale_boxes,
         )
         self.feeds = {
-            kind: KindFeed(
+            kind: RecordFeed(
                 store=store,
                 kind=kind,
                 clock=clock,
                 observer=observer,
                 handler=self.restored,
-                mode=self.subscription,
+                policy=self.subscription,
             )
             for kind in settings.followed
         }
@@ -110,4 +110,4 @@
 
     def on_registered(self) -> None:
         """Note that this box's own record is in the store."""
-        self.subscription.start.registered = True
+        self.subscription.startup.registered = True
--- a/packages/daemon/calicopathd/gateway/notices.py
+++ b/packages/daemon/calicopathd/gateway/notices.py
@@ -10,9 +10,9 @@
 from calicopath_core.fleet.leaving_sharing import LeavingNews, LeavingSharing
 from calicopath_core.fleet.replicas import ReplicaTable
 from calicopath_core.permits.client import PermitClient
-from calicopath_core.permits.holder import PermitHolder
-from calicopath_core.permits.limits import NamedLimits
-from calicopath_core.permits.messages import PermitAnswer, PermitAsk
+from calicopath_core.permits.holder import LimitIssuer
+from calicopath_core.permits.limits import AdvertisedLimits
+from calicopath_core.permits.messages import PermitAnswer, PermitRequest
 from calicopath_core.permits.sharing import LimitNews, LimitSharing
 
 if TYPE_CHECKING:
@@ -49,8 +49,8 @@
     ) -> None:
         self.leaving = LeavingReplicas(clock=clock, observer=observer)
         self.replicas = ReplicaTable(leaving=self.leaving, on_draining=observer.on_draining)
-        self.permits = PermitClient(clock=clock, own_address=own_address, holder=lender, send=send)
-        self.limits = NamedLimits(clock=clock, observer=observer, on_changed=self.on_limit)
+        self.permits = PermitClient(clock=clock, own_address=own_address, issuer_address=lender, send=send)
+        self.limits = AdvertisedLimits(clock=clock, observer=observer, on_changed=self.on_limit)
         self.limits.listeners.append(self.permits.on_limits_changed)
         self.gate = CallGate(
             replicas=self.replicas,
@@ -73,13 +73,13 @@
             send=send,
             service_of=self.service_of,
         )
-        self.holder = PermitHolder(
+        self.holder = LimitIssuer(
             clock=clock,
             limits=self.limits,
             replicas=self.replicas,
             share=share,
             send=send,
-            own=self.permits,
+            own_client=self.permits,
             observer=observer,
         )
 
@@ -113,18 +113,18 @@
                 self.leaving_sharing.on_news(message)
             case LimitNews():
                 self.limit_sharing.on_news(message)
-            case PermitAsk():
-                self.holder.on_ask(message)
+            case PermitRequest():
+                self.holder.on_request(message)
             case PermitAnswer():
                 self.permits.on_answer(message)
 
     def on_lender(self, *, own: bool) -> None:
         """Note that another box lends permits now, or this one."""
         if own:
-            self.holder.on_take_up()
+            self.holder.on_activate()
         else:
-            self.holder.on_give_way()
-        self.permits.on_holder()
+            self.holder.on_step_down()
+        self.permits.on_issuer_changed()
 
     def expire(self) -> None:
         """Forget what is old."""
--- a/packages/daemon/calicopathd/gateway/observer.py
+++ b/packages/daemon/calicopathd/gateway/observer.py
@@ -19,8 +19,8 @@
     from calicopath_core.backends.base import BackendError
     from calicopath_core.exchanges.context import RefusedExchange, Ticket
     from calicopath_core.exchanges.messages import Exchange
-    from calicopath_core.fleet.evacuations import Evacuation, HeldEvacuation
-    from calicopath_core.fleet.notices import Bar
+    from calicopath_core.fleet.evacuations import Evacuation, ActiveEvacuation
+    from calicopath_core.fleet.notices import Exclusion
     from calicopath_core.fleet.positions import Position
     from calicopath_core.fleet.replicas import Replica
     from calicopath_core.fleet.store import RecordKind
@@ -120,7 +120,7 @@
         self.metrics.leaving.inc({'source': 'own' if source == OWN else 'peer'})
         events.emit(log, events.REPLICA_LEAVING, replica=replica, source=source)
 
-    def on_over(self, replica: str, source: str) -> None:
+    def on_replaced(self, replica: str, source: str) -> None:
         """Note that another replica answers at a replica's address."""
         self.metrics.over.inc({'source': 'own' if source == OWN else 'peer'})
         events.emit(log, events.REPLICA_OVER, replica=replica, source=source)
@@ -136,14 +136,14 @@
             for_ms=round(backoff_s * 1000),
         )
 
-    def on_backoff_ended(self, replica: str, held_s: float, turned_away: int) -> None:
+    def on_backoff_ended(self, replica: str, held_s: float, rejected_calls: int) -> None:
         """Note that a replica may be called again."""
         events.emit(
             log,
             events.BACKOFF_ENDED,
             replica=replica,
             held_ms=round(held_s * 1000),
-            turned_away=turned_away,
+            turned_away=rejected_calls,
         )
 
     def on_bad_notice(self, service: str) -> None:
@@ -173,11 +173,11 @@
             source=source,
         )
 
-    def on_held_back(self, replica: Replica, bar: Bar) -> None:
+    def on_held_back(self, replica: Replica, exclusion: Exclusion) -> None:
         """Count a call that was chosen and not sent."""
-        self.metrics.held_back.inc({'service': replica.service, 'bar': bar.value})
+        self.metrics.held_back.inc({'service': replica.service, 'bar': exclusion.value})
 
-    def on_passed_over(self, ticket: Ticket, replica: str, bar: Bar) -> None:
+    def on_passed_over(self, ticket: Ticket, replica: str, bar: Exclusion) -> None:
         """Note a replica that was chosen for a request and must not get it."""
         self.metrics.passed_over.inc({'service': ticket.service, 'bar': bar.value})
         events.emit(
@@ -272,7 +272,7 @@
         revision = evacuation.revision
         events.emit(log, events.ZONE_TAKEN_OUT, zone=evacuation.zone, revision=revision)
 
-    def on_zone_given_back(self, held: HeldEvacuation) -> None:
+    def on_zone_given_back(self, held: ActiveEvacuation) -> None:
         """Note that a zone's replicas get new work again."""
         evacuation = held.evacuation
         events.emit(
@@ -303,11 +303,11 @@
         """Count a call to the store."""
         self.metrics.store_calls.inc({'cause': cause})
 
-    def on_lost(self, kind: RecordKind, error: Exception) -> None:
+    def on_contact_lost(self, kind: RecordKind, error: Exception) -> None:
         """Note that the store stopped answering."""
         events.emit(log, events.FEED_LOST, kind=kind.value, error=str(error))
 
-    def on_regained(self, kind: RecordKind, silent_s: float) -> None:
+    def on_contact_restored(self, kind: RecordKind, silent_s: float) -> None:
         """Note that the store answers again."""
         events.emit(log, events.FEED_BACK, kind=kind.value, silent_s=round(silent_s, 3))
 
--- a/packages/daemon/calicopathd/gateway/peers.py
+++ b/packages/daemon/calicopathd/gateway/peers.py
@@ -9,10 +9,10 @@
 
 from calicopath_core.crashes.messages import CRASH_MESSAGES, CrashNews
 from calicopath_core.fleet.leaving_sharing import LEAVING_MESSAGES
-from calicopath_core.fleet.positions import NOTHING
+from calicopath_core.fleet.positions import NO_POSITION
 from calicopath_core.fleet.relay_messages import (
     RELAY_MESSAGES,
-    RelayBeat,
+    RelayStatus,
     RelayUpdate,
     Subscribe,
 )
@@ -146,11 +146,11 @@
                 self.scheduler.on_ended(message)
             case Subscribe():
                 self.subscription.on_subscribe(message)
-                if NOTHING in message.positions.values():
+                if NO_POSITION in message.positions.values():
                     # A box that starts serves as soon as it has heard everything.
                     self.crashes.send_whole(message.sender)
-            case RelayBeat():
-                self.subscription.on_beat(message)
+            case RelayStatus():
+                self.subscription.on_status(message)
             case RelayUpdate():
                 self.subscription.on_update(message)
             case CrashNews():
--- a/packages/daemon/calicopathd/gateway/records.py
+++ b/packages/daemon/calicopathd/gateway/records.py
@@ -67,7 +67,7 @@
             }
             self.on_boxes(now)
         elif kind is RecordKind.EVACUATION:
-            self.evacuations.replace(
+            self.evacuations.replace_all(
                 [item for item in records.values() if isinstance(item, Evacuation)]
             )
         else:
@@ -96,9 +96,9 @@
         elif isinstance(record, BoxAddress):
             self.boxes[change.name] = record
         elif isinstance(record, Evacuation):
-            self.evacuations.change([(change.name, record)])
+            self.evacuations.apply_changes([(change.name, record)])
         elif kind is RecordKind.EVACUATION:
-            self.evacuations.change([(change.name, None)])
+            self.evacuations.apply_changes([(change.name, None)])
         elif kind is RecordKind.BOX:
             self.boxes.pop(change.name, None)
         elif kind is RecordKind.REPLICA:
@@ -106,5 +106,5 @@
 
     def on_deployment(self, deployment: Deployment) -> None:
         """Apply a configuration if it is newer."""
-        if self.view.offer(deployment, self.clock.monotonic()):
+        if self.view.apply_if_newer(deployment, self.clock.monotonic()):
             self.on_applied(deployment)
--- a/packages/daemon/calicopathd/gateway/run.py
+++ b/packages/daemon/calicopathd/gateway/run.py
@@ -158,9 +158,9 @@
             config_version=box.config_version(),
             store_age_seconds=-1.0 if math.isinf(age_s) else age_s,
             replicas=len(box.replicas.replicas),
-            zones_taken_out=len(box.evacuations.held),
+            zones_taken_out=len(box.evacuations.active),
             requests_blocked=len(box.ledger.blocked),
-            limits_named=len(box.notices.limits.held),
+            limits_named=len(box.notices.limits.by_replica),
             permits_waiting=len(box.notices.holder.waiting),
             permits_unused=box.notices.permits.unused,
             requests_suspected=len(box.ledger.suspects),
@@ -174,7 +174,7 @@
             callers_turned_away=self.exchanges.turned_away,
             peer_messages_sent=box.link.sent,
             peer_messages_dropped=self.transport.dropped,
-            hears_store_itself=float(not box.subscription.follows()),
+            hears_store_itself=float(not box.subscription.uses_relay()),
             subscribers=len(box.publisher.subscribers),
             store_calls=sum(feed.calls for feed in box.feeds.values()),
             log_lines_dropped=self.log_writer.dropped,
@@ -193,7 +193,7 @@
         if not await self.exchanges.wait_idle(max(0.0, left_s - REFUSE_MARGIN_S)):
             events.emit(log, events.GATEWAY_REFUSING, in_progress=self.exchanges.in_progress)
             self.box.client.refuse_waiting()
-            self.box.notices.permits.refuse_waiting()
+            self.box.notices.permits.refuse_pending()
             await self.exchanges.wait_idle(REFUSE_MARGIN_S)
         await self.withdraw()
 
--- a/packages/daemon/calicopathd/gateway/state.py
+++ b/packages/daemon/calicopathd/gateway/state.py
@@ -132,7 +132,7 @@
 
     def taken_out(self) -> list[TakenOut]:
         """Return the failure domains whose replicas get no new work from here."""
-        held = self.box.evacuations.held
+        held = self.box.evacuations.active
         return [
             TakenOut(zone, item.since, item.evacuation.revision)
             for zone, item in sorted(held.items())
--- a/packages/daemon/calicopathd/gateway/tests/evacuating_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/evacuating_tests.py
@@ -157,29 +157,29 @@
 
     def test_relays_tell_boxes_that_the_store_fails(self) -> None:
         async def scenario(fleet: GatewayFleet) -> None:
-            relays = {box.name for box in fleet.boxes['box-0'].box.subscription.choice.relays}
+            relays = {box.name for box in fleet.boxes['box-0'].box.subscription.relay_selection.relays}
             cut = [box for name, box in fleet.boxes.items() if name not in relays]
             for box in cut:
                 box.store.cut = True
             await asyncio.sleep(1.0)
             fleet.take_out('south')
             await asyncio.sleep(0.5)
-            self.assertEqual([{'south'}] * len(cut), [set(box.box.evacuations.held) for box in cut])
+            self.assertEqual([{'south'}] * len(cut), [set(box.box.evacuations.active) for box in cut])
             fleet.give_back('south')
             await asyncio.sleep(0.5)
-            self.assertEqual([set()] * len(cut), [set(box.box.evacuations.held) for box in cut])
+            self.assertEqual([set()] * len(cut), [set(box.box.evacuations.active) for box in cut])
 
         self.run_fleet(scenario, count=RELAYED_BOXES)
 
     def test_boxes_that_the_store_serves_hear_though_all_relays_are_turned_away(self) -> None:
         async def scenario(fleet: GatewayFleet) -> None:
-            relays = {box.name for box in fleet.boxes['box-0'].box.subscription.choice.relays}
+            relays = {box.name for box in fleet.boxes['box-0'].box.subscription.relay_selection.relays}
             for name in relays:
                 fleet.boxes[name].store.cut = True
             fleet.take_out('south')
             await asyncio.sleep(EVACUATE_S - 1.0)
             served = [box for name, box in fleet.boxes.items() if name not in relays]
-            held = [set(box.box.evacuations.held) for box in served]
+            held = [set(box.box.evacuations.active) for box in served]
             self.assertEqual([{'south'}] * len(served), held)
 
         self.run_fleet(scenario, count=RELAYED_BOXES)
@@ -196,7 +196,7 @@
             for box in fleet.boxes.values():
                 box.store.cut = False
             await asyncio.sleep(4.0)
-            held = [set(box.box.evacuations.held) for box in fleet.boxes.values()]
+            held = [set(box.box.evacuations.active) for box in fleet.boxes.values()]
             self.assertEqual([set()] * len(fleet.boxes), held)
 
         for count in (4, RELAYED_BOXES):
@@ -208,7 +208,7 @@
                 box.store.silent_watches.add(RecordKind.EVACUATION)
             fleet.take_out('south')
             await asyncio.sleep(EVACUATE_S - 1.0)
-            held = [set(box.box.evacuations.held) for box in fleet.boxes.values()]
+            held = [set(box.box.evacuations.active) for box in fleet.boxes.values()]
             self.assertEqual([{'south'}] * len(fleet.boxes), held)
 
         for count in (4, RELAYED_BOXES):
--- a/packages/daemon/calicopathd/gateway/tests/following_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/following_tests.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from calicopath_core.fleet.replicas import BACK_S
+from calicopath_core.fleet.replicas import RETURN_GRACE_S
 from calicopath_core.fleet.store import RecordKind
 from calicopathd.gateway.box import LEAST_CONNECTIONS
 from testkit.cases import VirtualCase
@@ -41,7 +41,7 @@
             await asyncio.sleep(5.0)
             store.silent = False
             fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(9))
-            await asyncio.sleep(BACK_S)
+            await asyncio.sleep(RETURN_GRACE_S)
             found = versions(fleet)
             await fleet.stop()
             return found
--- a/packages/daemon/calicopathd/gateway/tests/limit_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/limit_tests.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from calicopath_core.fleet.notices import Notice
-from calicopath_core.permits.limits import GRACE_S, Heard
+from calicopath_core.permits.limits import ENFORCEMENT_DELAY_S, LimitState
 from testkit.cases import VirtualCase
 from testkit.notice_fleet import NoticeFleet
 
@@ -133,9 +133,9 @@
             box = fleet.boxes['box-3'].box
             engines = box.replicas.usable('engine')
             for item in engines:
-                heard = Heard(item.born, 1.0, ended=False)
+                heard = LimitState(item.started_ms, 1.0, ended=False)
                 box.notices.limits.merge(item.id, 'engine', heard, 5.0, 'box-9')
-            await asyncio.sleep(GRACE_S)
+            await asyncio.sleep(ENFORCEMENT_DELAY_S)
             sinks = []
             for _ in range(20):
                 sinks.append(fleet.ask('box-3', 'draft'))
--- a/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from calicopath_core.fleet.notices import NOTHING_TOLD, Bar, Notice
+from calicopath_core.fleet.notices import EMPTY_NOTICE, Exclusion, Notice
 from calicopath_core.scheduling.election import CANDIDATES
 from testkit.cases import VirtualCase
 from testkit.notice_fleet import NoticeFleet
@@ -49,7 +49,7 @@
         return {
             name
             for name, item in fleet.boxes.items()
-            if item.box.gate.bar_of(item.box.replicas.replicas[replica]) is Bar.LEAVING
+            if item.box.gate.exclusion_of(item.box.replicas.replicas[replica]) is Exclusion.LEAVING
         }
 
 
@@ -189,15 +189,15 @@
             self.hear(fleet, 'box-1', 'desk-2', Notice(backoff_s=PAUSE_S))
             await asyncio.sleep(0.5)
             bars = {name: self.bar(fleet, name, 'desk-2') for name in fleet.boxes}
-            self.assertEqual(Bar.BACKOFF, bars.pop('box-1'))
+            self.assertEqual(Exclusion.BACKOFF, bars.pop('box-1'))
             self.assertEqual({None}, set(bars.values()))
 
         self.play(work)
 
-    def bar(self, fleet: NoticeFleet, name: str, replica: str) -> Bar | None:
+    def bar(self, fleet: NoticeFleet, name: str, replica: str) -> Exclusion | None:
         """Return why a box would not call a replica."""
         box = self.box(fleet, name)
-        return box.gate.bar_of(box.replicas.replicas[replica])
+        return box.gate.exclusion_of(box.replicas.replicas[replica])
 
     def test_the_next_scheduler_is_told_what_holds(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
@@ -224,7 +224,7 @@
     def test_an_answer_without_a_wish_ends_none(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
             self.hear(fleet, 'box-1', 'desk-2', Notice(backoff_s=PAUSE_S))
-            self.hear(fleet, 'box-1', 'desk-2', NOTHING_TOLD)
-            self.assertEqual(Bar.BACKOFF, self.bar(fleet, 'box-1', 'desk-2'))
+            self.hear(fleet, 'box-1', 'desk-2', EMPTY_NOTICE)
+            self.assertEqual(Exclusion.BACKOFF, self.bar(fleet, 'box-1', 'desk-2'))
 
         self.play(work)
--- a/packages/daemon/calicopathd/gateway/tests/relaying_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/relaying_tests.py
@@ -6,7 +6,7 @@
 import itertools
 from typing import TYPE_CHECKING
 
-from calicopath_core.fleet.notices import Bar
+from calicopath_core.fleet.notices import Exclusion
 from calicopath_core.fleet.store import RecordKind
 from testkit.cases import VirtualCase
 from testkit.gateway import GatewayFleet
@@ -46,7 +46,7 @@
             fleet.store.write(RecordKind.REPLICA, leaving.id, leaving._replace(draining=True))
             await asyncio.sleep(0.05)
             for box in fleet.boxes.values():
-                self.assertEqual(Bar.DRAINING, box.box.replicas.bar_of(leaving))
+                self.assertEqual(Exclusion.DRAINING, box.box.replicas.exclusion_of(leaving))
             fleet.store.write(RecordKind.REPLICA, leaving.id, None)
             await asyncio.sleep(0.05)
             for box in fleet.boxes.values():
@@ -249,7 +249,7 @@
 
 def relays(fleet: GatewayFleet) -> list[str]:
     """Return the boxes that follow the store for others."""
-    return [name for name, box in fleet.boxes.items() if box.box.subscription.choice.is_relay]
+    return [name for name, box in fleet.boxes.items() if box.box.subscription.relay_selection.is_relay]
 
 
 def versions(fleet: GatewayFleet) -> set[int]:
--- a/packages/daemon/calicopathd/gateway/tests/replaced_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/replaced_tests.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from calicopath_core.fleet.notices import Bar
+from calicopath_core.fleet.notices import Exclusion
 from testkit.cases import VirtualCase
 from testkit.notice_fleet import NoticeFleet
 
@@ -43,7 +43,7 @@
             self.assertEqual([], [sink.reason for sink in sinks if sink.status != 200])
 
         fleet = self.play(work)
-        came = Counter(item.replica for item in fleet.notices.arrivals if item.notice.is_other)
+        came = Counter(item.replica for item in fleet.notices.arrivals if item.notice.from_other_replica)
         self.assertTrue(came)
         self.assertLessEqual(max(came.values()), MOST_CALLS)
 
@@ -64,8 +64,8 @@
             replica = box.replicas.replicas['engine-2']
             box.gate.on_notice(replica, fleet.notices.said['engine-2'])
             await asyncio.sleep(1.0)
-            bars = {item.box.gate.bar_of(replica) for item in fleet.boxes.values()}
-            self.assertEqual({Bar.GONE}, bars)
+            bars = {item.box.gate.exclusion_of(replica) for item in fleet.boxes.values()}
+            self.assertEqual({Exclusion.GONE}, bars)
 
         self.play(work)
 
@@ -80,6 +80,6 @@
             fleet.announce(replica._replace(address='engine-2:9'))
             await asyncio.sleep(1.0)
             for item in fleet.boxes.values():
-                self.assertIsNone(item.box.gate.bar_of(replica))
+                self.assertIsNone(item.box.gate.exclusion_of(replica))
 
         self.play(work)
--- a/packages/daemon/calicopathd/gateway/tests/restored_store_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/restored_store_tests.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from calicopath_core.crashes.messages import Evidence
-from calicopath_core.fleet.notices import Bar
-from calicopath_core.fleet.restoring import KEEP_S
+from calicopath_core.fleet.notices import Exclusion
+from calicopath_core.fleet.restoring import KEEP_MISSING_S
 from calicopath_core.fleet.store import RecordKind
 from calicopathd.gateway.run import TICK_S
 from testkit.cases import VirtualCase
@@ -67,7 +67,7 @@
             for version in range(10, 10 + others):
                 fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(version))
             await asyncio.sleep(DRAIN_S)
-            self.assertEqual({Bar.DRAINING}, bars(fleet, leaving), f'{count} boxes, {others} more')
+            self.assertEqual({Exclusion.DRAINING}, bars(fleet, leaving), f'{count} boxes, {others} more')
             fleet.stages.calls.clear()
             await fleet.load('draft', 0.2, for_s=4.0)
             called = {name for name, _ in fleet.stages.calls}
@@ -140,7 +140,7 @@
                 await asyncio.sleep(0.1)
                 for box in fleet.boxes.values():
                     self.assertEqual({'north'}, box.box.replicas.evacuated)
-            await asyncio.sleep(KEEP_S)
+            await asyncio.sleep(KEEP_MISSING_S)
             for box in fleet.boxes.values():
                 self.assertEqual({'north'}, box.box.replicas.evacuated)
 
@@ -152,7 +152,7 @@
             copy = fleet.store.copy()
             fleet.take_out('north')
             await asyncio.sleep(DRAIN_S)
-            await fleet.store.go_back(copy, AWAY_S, again_s=2 * KEEP_S)
+            await fleet.store.go_back(copy, AWAY_S, again_s=2 * KEEP_MISSING_S)
             fleet.give_back('north')
             await asyncio.sleep(DRAIN_S)
             for box in fleet.boxes.values():
@@ -303,7 +303,7 @@
             cut.store.cut = False
             fleet.network.blocked = lambda source, target: False
             await asyncio.sleep(2 * DRAIN_S)
-            self.assertEqual({Bar.DRAINING}, bars(fleet, leaving))
+            self.assertEqual({Exclusion.DRAINING}, bars(fleet, leaving))
 
         for count in (FEW, MANY):
             self.play(count, work)
@@ -333,9 +333,9 @@
     return next(item for item in replicas() if item.id == name)
 
 
-def bars(fleet: NoticeFleet, replica: Replica) -> set[Bar | None]:
+def bars(fleet: NoticeFleet, replica: Replica) -> set[Exclusion | None]:
     """Return why boxes send a replica nothing."""
-    return {box.box.replicas.bar_of(replica) for box in fleet.boxes.values()}
+    return {box.box.replicas.exclusion_of(replica) for box in fleet.boxes.values()}
 
 
 def versions(fleet: NoticeFleet) -> set[int]:
--- a/packages/daemon/calicopathd/gateway/tests/starting_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/starting_tests.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 from unittest import mock
 
-from calicopath_core.fleet.starting import RELAYS_S, START_S
+from calicopath_core.fleet.starting import RELAY_SYNC_WAIT_S, STARTUP_TIMEOUT_S
 from calicopath_core.fleet.store import FleetStoreError, RecordKind
 from testkit.cases import VirtualCase
 from testkit.gateway import GatewayFleet
@@ -67,7 +67,7 @@
                 fleet.kill(name)
             fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(7))
             again = await self.restarted(fleet, f'box-{COUNT - 1}')
-            await asyncio.sleep(2 * RELAYS_S + 0.2)
+            await asyncio.sleep(2 * RELAY_SYNC_WAIT_S + 0.2)
             self.assertTrue(again.box.ready())
             self.assertEqual(7, again.box.config_version())
             await fleet.stop()
@@ -97,7 +97,7 @@
             unread = mock.AsyncMock(side_effect=FleetStoreError('unread'))
             with mock.patch.object(again.store, 'read_relays', unread):
                 await again.start()
-                await asyncio.sleep(START_S + 0.5)
+                await asyncio.sleep(STARTUP_TIMEOUT_S + 0.5)
             self.assertLessEqual(unread.await_count, 12)
             self.assertTrue(again.box.ready())
             await fleet.stop()
--- a/testkit/gates.py
+++ b/testkit/gates.py
@@ -11,7 +11,7 @@
 from calicopath_core.fleet.notices import NoticeObserver
 from calicopath_core.fleet.replicas import ReplicaTable
 from calicopath_core.permits.client import PermitClient
-from calicopath_core.permits.limits import NamedLimits
+from calicopath_core.permits.limits import AdvertisedLimits
 from testkit.virtual import VirtualClock
 
 
@@ -28,9 +28,9 @@
         replicas=replicas or ReplicaTable(leaving=leaving),
         leaving=leaving,
         backoffs=Backoffs(clock=VirtualClock(), observer=observer, rng=random.Random(1)),
-        limits=NamedLimits(clock=VirtualClock(), observer=observer),
+        limits=AdvertisedLimits(clock=VirtualClock(), observer=observer),
         permits=PermitClient(
-            clock=VirtualClock(), own_address='', holder=mock.Mock(), send=mock.Mock()
+            clock=VirtualClock(), own_address='', issuer_address=mock.Mock(), send=mock.Mock()
         ),
         observer=observer,
         on_leaving=mock.Mock(),
--- a/testkit/gateway.py
+++ b/testkit/gateway.py
@@ -51,7 +51,7 @@
             box.client.run,
             box.subscription.run,
             box.keeper.run,
-            box.following.registration.keep,
+            box.following.registration.keep_registered,
         ]
         work.extend(feed.run for feed in box.feeds.values())
         self.tasks = [asyncio.create_task(item()) for item in work]
--- a/testkit/gateway_callers.py
+++ b/testkit/gateway_callers.py
@@ -7,7 +7,7 @@
 
 from calicopath_core.backends.base import NotStarted
 from calicopath_core.exchanges.messages import AnswerHead, ReplicaCaller
-from calicopath_core.fleet.notices import NOTHING_TOLD, Notice
+from calicopath_core.fleet.notices import EMPTY_NOTICE, Notice
 from calicopath_core.scheduling.interfaces import StageCaller
 from testkit.gateway_replicas import FakeBody
 
@@ -46,7 +46,7 @@
 
     def arrive(self, box: str, replica: Replica, asked_at: float) -> Notice:
         """Note a call and return what its answer tells."""
-        notice = self.said.get(replica.id, NOTHING_TOLD)
+        notice = self.said.get(replica.id, EMPTY_NOTICE)
         now = asyncio.get_running_loop().time()
         self.arrivals.append(Arrival(box, replica.id, asked_at, now, notice))
         return notice
@@ -126,7 +126,7 @@
             self.listener.on_notice(replica, notice)
             head = AnswerHead(STATUS_UNAVAILABLE, (), True, None)
             return FakeBody(head=head, body=b'')
-        if notice.is_other:
+        if notice.from_other_replica:
             await asyncio.sleep(DECLINE_S)
             self.listener.on_notice(replica, notice)
             return FakeBody(head=AnswerHead(STATUS_MISDIRECTED, (), True, None), body=b'')
@@ -156,7 +156,7 @@
             await asyncio.sleep(DECLINE_S)
             self.listener.on_notice(replica, notice)
             raise NotStarted(f'{replica.id} declined with {STATUS_UNAVAILABLE}')
-        if notice.is_other:
+        if notice.from_other_replica:
             await asyncio.sleep(DECLINE_S)
             self.listener.on_notice(replica, notice)
             raise NotStarted(f'{replica.id} declined with {STATUS_MISDIRECTED}')
@@ -168,14 +168,14 @@
         """Return what a replica tells of itself."""
         self.listener.check_call(replica, new_work=False)
         report = await self.stages.report(replica)
-        self.listener.on_notice(replica, self.notices.said.get(replica.id, NOTHING_TOLD))
+        self.listener.on_notice(replica, self.notices.said.get(replica.id, EMPTY_NOTICE))
         return report
 
     async def free(self, replica: Replica, handles: list[str]) -> None:
         """Give results up."""
         self.listener.check_call(replica, new_work=False)
         await self.stages.free(replica, handles)
-        self.listener.on_notice(replica, self.notices.said.get(replica.id, NOTHING_TOLD))
+        self.listener.on_notice(replica, self.notices.said.get(replica.id, EMPTY_NOTICE))
 
     async def reach(self, replica: Replica, watch_s: float) -> Reach:
         """Return what an attempt to connect shows."""
--- a/testkit/gateway_replicas.py
+++ b/testkit/gateway_replicas.py
@@ -87,7 +87,7 @@
         """Return the room that is left, and whether a call is at work."""
         self.reports += 1
         held = sum(maker == replica.id for maker in self.live.values())
-        free_bytes = max(0.0, STAGE.room_bytes - held * RESULT_BYTES)
+        free_bytes = max(0.0, STAGE.result_capacity_bytes - held * RESULT_BYTES)
         return StageReport(free_bytes, idle=not self.at_work.get(replica.id, 0))
 
     async def free(self, replica: Replica, handles: list[str]) -> None:
--- a/testkit/gateway_world.py
+++ b/testkit/gateway_world.py
@@ -27,7 +27,7 @@
 KEY = 'key-1'
 TERMS = BudgetTerms(0.2, 50.0, 10.0)
 STAGE = StageSpec(
-    concurrency=1, batch=4, call_s=0.2, piece_s=0.04, room_bytes=9_000_000, result_ttl_s=4.0
+    concurrency=1, batch=4, call_s=0.2, piece_s=0.04, result_capacity_bytes=9_000_000, result_ttl_s=4.0
 )
 RESULT_BYTES = 1_000_000
 EVENTS = 6
--- a/testkit/notice_fleet.py
+++ b/testkit/notice_fleet.py
@@ -57,7 +57,7 @@
     def replace(self, *names: str) -> None:
         """Have other replicas answer at the addresses of some; the store learns nothing of it."""
         for name in names:
-            self.notices.said[name] = Notice(ran=False, is_other=True)
+            self.notices.said[name] = Notice(executed=False, from_other_replica=True)
 
     def pause(self, pause_s: float, *names: str) -> None:
         """Have replicas turn all away from now on, and ask for a pause."""
--- a/testkit/replay/stages.py
+++ b/testkit/replay/stages.py
@@ -139,7 +139,7 @@
 
     def free_bytes(self, replica: Replica, spec: StageSpec) -> float:
         """Return a replica's room."""
-        return spec.room_bytes - sum(
+        return spec.result_capacity_bytes - sum(
             item.size for item in self.kept.values() if item.maker == replica.id
         )
 
--- a/tools/mutants/notices.py
+++ b/tools/mutants/notices.py
@@ -15,21 +15,22 @@
     Mutant(
         'the word that a replica leaves',
         f'{CORE}/fleet/replicas.py',
-        'return Bar.LEAVING if self.leaves(found) else None',
+        'return Exclusion.LEAVING if self.is_leaving(found) else None',
         'return None',
         LEAVING,
     ),
     Mutant(
         'the word is of one life',
         f'{CORE}/fleet/leaving.py',
-        'return word is not None and not word.lost_address and replica.born <= word.born',
-        'return word is not None',
+        'return item is not None and not item.lost_address '
+        'and replica.started_ms <= item.started_ms',
+        'return item is not None',
         f'{GATE}::Leaving',
     ),
     Mutant(
         'the word outlasts a lapsed entry',
         f'{CORE}/fleet/leaving.py',
-        'if word.at < oldest and name not in known',
+        'if item.heard_at < oldest and name not in known',
         'if name not in known',
         f'{GATE}::Leaving',
     ),
@@ -50,14 +51,14 @@
     Mutant(
         'one that leaves and ends has not crashed',
         f'{CORE}/crashes/fate.py',
-        'if self.replicas.leaves(known or self.replica):',
+        'if self.replicas.is_leaving(known or self.replica):',
         'if known is not None and known.draining:',
         f'{GATE}::Leaving',
     ),
     Mutant(
         'the last word before a call',
         f'{CORE}/fleet/gate.py',
-        'raise Barred(replica, bar)',
+        'raise ReplicaExcluded(replica, exclusion)',
         'pass',
         f'{GATE}::Backoffs',
     ),
@@ -71,7 +72,7 @@
     Mutant(
         'calls come back gradually',
         f'{CORE}/fleet/backoffs.py',
-        'found.trial_until = self.clock.monotonic() + TRIAL_S',
+        'found.trial_until = self.clock.monotonic() + TRIAL_CALL_WAIT_S',
         'pass',
         f'{GATE}::Backoffs',
     ),
@@ -107,7 +108,7 @@
     Mutant(
         'the next scheduler is told',
         'packages/daemon/calicopathd/gateway/box.py',
-        'self.tell_backoffs(self.gate.backoffs_of(service))',
+        'self.tell_backoffs(self.gate.remaining_backoffs(service))',
         'pass',
         f'{KNOWLEDGE}::Backoffs',
     ),
@@ -121,7 +122,7 @@
     Mutant(
         'plain services that want nothing',
         f'{CORE}/fleet/gate.py',
-        'return [item for item in found if self.opens_in_s(item) <= 0]',
+        'return [item for item in found if self.available_in_s(item) <= 0]',
         'return found',
         f'{GATE}::Backoffs',
     ),
--- a/tools/mutants/restored.py
+++ b/tools/mutants/restored.py
@@ -57,14 +57,14 @@
     Mutant(
         'what is gone is back',
         f'{CORE}/fleet/restoring.py',
-        'if same_life(held.gone[name].record, records[name]):',
+        'if is_same_incarnation(held.tombstones[name].record, records[name]):',
         'if False:',
         FLEET,
     ),
     Mutant(
         'what is back is held back for ever',
         f'{CORE}/fleet/restoring.py',
-        'due = [name for name, item in held.pending.items() if item.at <= now]',
+        'due = [name for name, item in held.unconfirmed.items() if item.confirmed_at <= now]',
         'due: list[str] = []',
         FLEET,
     ),
@@ -92,8 +92,8 @@
     Mutant(
         'relays are written down once',
         f'{CORE}/fleet/subscription.py',
-        'relays == self.noted and self.noted_era >= self.era()',
-        'relays == self.noted',
+        'relays == self.recorded_relays and self.recorded_era >= self.era()',
+        'relays == self.recorded_relays',
         FLEET,
     ),
     Mutant(
@@ -106,7 +106,7 @@
     Mutant(
         'boxes that have ended stay listed',
         f'{CORE}/fleet/subscription.py',
-        'for box in self.withdrawn():',
+        'for box in self.stale_boxes():',
         'for box in ():',
         FLEET,
     ),
