--- a/packages/core/calicopath_core/crashes/fate.py
+++ b/packages/core/calicopath_core/crashes/fate.py
@@ -65,9 +65,9 @@
         ends_at = loop.time() + ENTRY_WATCH_S
         while loop.time() < ends_at:
             known = self.replicas.replicas.get(self.replica.id)
-            if self.replicas.leaves(known or self.replica):
+            if self.replicas.is_leaving(known or self.replica):
                 return False
-            if known is None or self.replicas.has_ended(known):
+            if known is None or self.replicas.is_replaced(known):
                 return True
             await asyncio.sleep(ENTRY_POLL_S)
         return False
--- a/packages/core/calicopath_core/scheduling/election.py
+++ b/packages/core/calicopath_core/scheduling/election.py
@@ -318,7 +318,7 @@
             return own_contact
         candidate = self.candidates[name]
         heard_at = now if candidate.last_heard_at is None else candidate.last_heard_at
-        return candidate.contact.later(now - heard_at)
+        return candidate.contact.aged_by(now - heard_at)
 
     def is_alive(self, address: str, now: float) -> bool:
         """Tell whether the box at an address, leaving or not, was heard lately."""
--- a/packages/core/calicopath_core/scheduling/engine_pools.py
+++ b/packages/core/calicopath_core/scheduling/engine_pools.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from calicopath_core.permits.holder import NoLimits, PermitLender
+from calicopath_core.permits.holder import UnlimitedIssuer, PermitIssuer
 from calicopath_core.scheduling.backoffs import FleetBackoffs
 from calicopath_core.scheduling.engines import EnginePool
 from calicopath_core.scheduling.starts import start_limit_of
@@ -26,10 +26,10 @@
         salt: str,
         warmup: WarmupTerms,
         pool_factory: Callable[[EngineSpec], EnginePool] | None = None,
-        permits: PermitLender | None = None,
+        permits: PermitIssuer | None = None,
     ) -> None:
         super().__init__()
-        self.permits = permits or NoLimits()
+        self.permits = permits or UnlimitedIssuer()
         self.salt = salt
         self.warmup = warmup
         self.backoffs = FleetBackoffs()
--- a/packages/core/calicopath_core/scheduling/placing.py
+++ b/packages/core/calicopath_core/scheduling/placing.py
@@ -15,7 +15,7 @@
     from collections.abc import Iterable, Mapping
 
     from calicopath_core.fleet.deployment import StageSpec
-    from calicopath_core.permits.holder import PermitLender
+    from calicopath_core.permits.holder import PermitIssuer
     from calicopath_core.scheduling.jobs import Piece
     from calicopath_core.scheduling.stage_replicas import StageReplica
 
@@ -59,7 +59,7 @@
 
 
 def failure_domain_waits(
-    replicas: Iterable[StageReplica], spec: StageSpec, permits: PermitLender, now: float
+    replicas: Iterable[StageReplica], spec: StageSpec, permits: PermitIssuer, now: float
 ) -> dict[str, float]:
     """Return the failure domains worth waiting for, and for how many seconds."""
     found: dict[str, float] = {}
@@ -69,6 +69,6 @@
         if item.room_left(spec, now) <= 0:
             continue
         failure_domain = item.replica.failure_domain
-        wait_s = max(item.busy_s(now), permits.opens_in_s(item.replica))
+        wait_s = max(item.busy_s(now), permits.available_in_s(item.replica))
         found[failure_domain] = min(found.get(failure_domain, math.inf), wait_s)
     return found
--- a/packages/daemon/calicopathd/gateway/state.py
+++ b/packages/daemon/calicopathd/gateway/state.py
@@ -132,7 +132,7 @@
 
     def taken_out(self) -> list[TakenOut]:
         """Return the failure domains whose replicas get no new work from here."""
-        held = self.box.evacuations.held
+        held = self.box.evacuations.active
         return [
             TakenOut(failure_domain, item.since, item.evacuation.revision)
             for failure_domain, item in sorted(held.items())
