--- a/packages/core/calicopath_core/exchanges/streams.py
+++ b/packages/core/calicopath_core/exchanges/streams.py
@@ -19,7 +19,7 @@
 from calicopath_core.exchanges.plain import note_crash, read_all
 from calicopath_core.fleet.notices import Bar, Barred
 from calicopath_core.scheduling.client import PlacementRejected
-from calicopath_core.scheduling.messages import PhaseWork, Place, Prompt
+from calicopath_core.scheduling.messages import PhaseWork, PlaceJob, Prompt
 
 if TYPE_CHECKING:
     from calicopath_core.exchanges.context import ExchangeContext, Ticket
@@ -96,7 +96,7 @@
             self.check_again(error)
             return False
         finally:
-            self.context.scheduler.ended(job, failed=failed, turned_away=turned_away)
+            self.context.scheduler.report_ended(job, failed=failed, turned_away=turned_away)
 
     async def take_permit(self, placed: Placed, replica: Replica) -> None:
         """Hold the permit that came with a place; ask for one if the limit was not known there.
@@ -137,7 +137,7 @@
         late = self.ticket.expired(self.context.clock.monotonic())
         return RefusedExchange(STATUS_GATEWAY_TIMEOUT if late else STATUS_BAD_GATEWAY, reason)
 
-    def question(self, job: str) -> Place:
+    def question(self, job: str) -> PlaceJob:
         """Return what the scheduler is asked."""
         ticket, exchange = self.ticket, self.ticket.exchange
         spent_s = self.context.clock.monotonic() - exchange.received_at
@@ -147,7 +147,7 @@
             for number, phase in enumerate(ticket.route.phases)
             if number < len(counts)
         )
-        return Place(
+        return PlaceJob(
             job=job,
             reply_to=self.context.election.own.address,
             zone=self.context.zone,
@@ -246,7 +246,7 @@
                 continue
             if not self.answered:
                 self.answered = True
-                self.context.scheduler.started(job)
+                self.context.scheduler.report_started(job)
                 limit_s = EVENT_GAP_S if self.ticket.route.repeatable else self.left_s()
             await self.pass_on(answer, whole)
         if self.splitter.rest:
--- a/packages/core/calicopath_core/fleet/tests/lives_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/lives_tests.py
@@ -46,7 +46,7 @@
         assert choice is not None
         self.board.begin(choice, item, 1.0)
         self.board.ended('i', 'j', failed=True, now=1.0)
-        self.queue.book('i', 'handle', 1000, 1.0)
+        self.queue.book_result('i', 'handle', 1000, 1.0)
 
     def check_new(self, *, new: bool) -> None:
         """Check whether the replica is believed anything of."""
--- a/packages/core/calicopath_core/scheduling/admission.py
+++ b/packages/core/calicopath_core/scheduling/admission.py
@@ -5,7 +5,7 @@
 import zlib
 from typing import TYPE_CHECKING, NamedTuple
 
-from calicopath_core.scheduling.stages import USUAL_FILL
+from calicopath_core.scheduling.stages import TYPICAL_FILL_RATIO
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
@@ -63,7 +63,7 @@
         """
         stages_s = self.stages_s(job, others, queues, now)
         expected_s = stages_s * self.bias + engine_s + FIRST_TOKEN_S
-        job.expected_s = stages_s
+        job.expected_stages_s = stages_s
         left_s = job.deadline_at - now
         if job.resumed or not job.place.phases or expected_s <= left_s:
             return Verdict(True, expected_s)
@@ -75,7 +75,7 @@
         """Return in how many seconds what waits before a job will have been made."""
         ahead = backlog(job, others, now)
         services = {phase.service for phase in job.place.phases} & queues.keys() & ahead.keys()
-        waits = [ahead[name] / max(LEAST_RATE, queues[name].rate()) for name in services]
+        waits = [ahead[name] / max(LEAST_RATE, queues[name].pieces_per_s()) for name in services]
         return max(waits, default=0.0)
 
     def return_s(self, job: Job, wait_s: float, now: float) -> float:
@@ -102,17 +102,17 @@
             if queue is None or phase.pieces == 0:
                 done_at[number] = begin_s
                 continue
-            pieces = max(phase.pieces, round(queue.spec.batch * USUAL_FILL))
-            done_at[number] = begin_s + queue.expected_s(min(pieces, queue.spec.batch))
+            pieces = max(phase.pieces, round(queue.spec.batch * TYPICAL_FILL_RATIO))
+            done_at[number] = begin_s + queue.expected_call_s(min(pieces, queue.spec.batch))
             waits.append(
-                (ahead.get(phase.service, 0) + phase.pieces) / max(LEAST_RATE, queue.rate())
+                (ahead.get(phase.service, 0) + phase.pieces) / max(LEAST_RATE, queue.pieces_per_s())
             )
         return max(done_at.values(), default=0.0) + max(waits)
 
     def learn(self, job: Job, took_s: float) -> None:
         """Correct the estimate by what a job's stages have taken."""
-        if job.expected_s > 0:
-            self.bias += BIAS_SMOOTHING * (took_s / job.expected_s - self.bias)
+        if job.expected_stages_s > 0:
+            self.bias += BIAS_SMOOTHING * (took_s / job.expected_stages_s - self.bias)
             self.take_over(self.bias)
 
     def take_over(self, bias: float) -> None:
@@ -133,7 +133,7 @@
         if other.is_late(now):
             continue
         for number, phase in enumerate(other.place.phases):
-            pieces = other.uncalled[number]
+            pieces = other.undispatched[number]
             if pieces:
                 found[phase.service] = found.get(phase.service, 0) + pieces
     return found
@@ -141,6 +141,6 @@
 
 def outranks(job: Job, other: Job) -> bool:
     """Tell whether a new job's pieces go before those of another."""
-    if other.resumed or job.beyond:
-        return not other.resumed and other.beyond and job.urgency < other.urgency
-    return other.beyond or job.urgency < other.urgency
+    if other.resumed or job.is_over_allowance:
+        return not other.resumed and other.is_over_allowance and job.effective_priority < other.effective_priority
+    return other.is_over_allowance or job.effective_priority < other.effective_priority
--- a/packages/core/calicopath_core/scheduling/client.py
+++ b/packages/core/calicopath_core/scheduling/client.py
@@ -10,10 +10,10 @@
 from calicopath_core.exceptions import CalicopathError
 from calicopath_core.fleet.contact import STEADY
 from calicopath_core.scheduling.messages import (
-    Adopt,
+    AdoptJob,
     HandedOver,
-    MadeResult,
-    Place,
+    StageResult,
+    PlaceJob,
     Placed,
     Progress,
     Rejected,
@@ -31,12 +31,12 @@
 STOPPING_RETRY_S = 0.2
 """When a caller may come back that waited at a box which has to end: at once, to another box."""
 
-REMIND_S = 1.0
+RESEND_INTERVAL_S = 1.0
 """When a scheduler that has told nothing of a job is asked once more: a message, or an answer, may
 be lost with a connection. It begins nothing twice."""
 
-CHECK_S = 0.05
-IDLE_CHECK_S = 0.2
+CHECK_INTERVAL_S = 0.05
+IDLE_CHECK_INTERVAL_S = 0.2
 """How often it is looked whether another box schedules now, with and without jobs."""
 
 
@@ -49,15 +49,15 @@
         self.retry_after_s = retry_after_s
 
 
-class Asked:
+class PendingJob:
     """Hold a job that was handed to one or more schedulers."""
 
-    def __init__(self, *, place: Place, now: float) -> None:
+    def __init__(self, *, place: PlaceJob, now: float) -> None:
         self.place = place
-        self.asked_at = now
-        self.remind_at = now + REMIND_S
-        self.targets: list[str] = []
-        self.results: dict[tuple[int, int], MadeResult] = {}
+        self.submitted_at = now
+        self.resend_at = now + RESEND_INTERVAL_S
+        self.schedulers: list[str] = []
+        self.results: dict[tuple[int, int], StageResult] = {}
         self.answer: asyncio.Future[Placed] = asyncio.get_running_loop().create_future()
 
     def on_progress(self, message: Progress) -> None:
@@ -68,27 +68,27 @@
             if item.phase in message.freed:
                 self.results[key] = msgspec.structs.replace(item, freed=True)
 
-    def question(self, now: float, missed: str = '') -> Place | Adopt:
+    def request(self, now: float, silent_scheduler: str = '') -> PlaceJob | AdoptJob:
         """Return what the next scheduler is asked: with what is made already, if anything is.
 
         `missed` is the address of a scheduler that fell silent over the job.
         """
-        place = self.aged(now, missed)
+        place = self.place_with_time_left(now, silent_scheduler)
         if not self.results:
             return place
-        waited_s = now - self.asked_at
-        return Adopt(place=place, results=tuple(self.results.values()), waited_s=waited_s)
+        waited_s = now - self.submitted_at
+        return AdoptJob(place=place, results=tuple(self.results.values()), waited_s=waited_s)
 
-    def aged(self, now: float, missed: str) -> Place:
+    def place_with_time_left(self, now: float, silent_scheduler: str) -> PlaceJob:
         """Return the question with the time that is left now."""
-        spent_s = now - self.asked_at
+        spent_s = now - self.submitted_at
         return msgspec.structs.replace(
             self.place,
             objective_s=self.place.objective_s - spent_s,
             deadline_s=self.place.deadline_s - spent_s,
             backoffs=backoffs_after(self.place.backoffs, spent_s),
-            asked_before=bool(self.targets),
-            missed=missed,
+            asked_before=bool(self.schedulers),
+            silent_scheduler=silent_scheduler,
         )
 
 
@@ -108,132 +108,132 @@
         send: Callable[[str, msgspec.Struct], None],
         on_scheduler: Callable[[str, int], None],
         contact: Callable[[], StoreContact] = lambda: STEADY,
-        knows: Callable[[], bool] = lambda: True,
+        has_configuration: Callable[[], bool] = lambda: True,
     ) -> None:
         self.clock = clock
         self.election = election
         self.send = send
         self.on_scheduler = on_scheduler
         self.contact = contact
-        self.knows = knows
-        self.asked: dict[str, Asked] = {}
-        self.target = election.own.address
+        self.has_configuration = has_configuration
+        self.pending: dict[str, PendingJob] = {}
+        self.scheduler_address = election.own.address
 
-    async def place(self, place: Place) -> Placed:
+    async def place(self, place: PlaceJob) -> Placed:
         """Return where a job runs; raise `PlacementRejected`."""
         now = self.clock.monotonic()
-        asked = Asked(place=place, now=now)
-        self.asked[place.job] = asked
-        self.check()
-        self.ask(asked, now)
-        return await asked.answer
+        pending_job = PendingJob(place=place, now=now)
+        self.pending[place.job] = pending_job
+        self.update_scheduler()
+        self.submit(pending_job, now)
+        return await pending_job.answer
 
-    def ask(self, asked: Asked, now: float) -> None:
+    def submit(self, pending_job: PendingJob, now: float) -> None:
         """Hand a job to the scheduler of the moment; take it from one asked before."""
-        missed = asked.targets[-1] if asked.targets else ''
-        if missed:
-            gone = RunEnded(job=asked.place.job, sender=self.election.own.name, failed=False)
-            self.send(missed, gone)
-        self.send(self.target, asked.question(now, missed))
-        asked.targets.append(self.target)
-
-    def check(self) -> None:
+        silent_scheduler = pending_job.schedulers[-1] if pending_job.schedulers else ''
+        if silent_scheduler:
+            gone = RunEnded(job=pending_job.place.job, sender=self.election.own.name, failed=False)
+            self.send(silent_scheduler, gone)
+        self.send(self.scheduler_address, pending_job.request(now, silent_scheduler))
+        pending_job.schedulers.append(self.scheduler_address)
+
+    def update_scheduler(self) -> None:
         """See who schedules now."""
         now = self.clock.monotonic()
-        knows = self.knows()
+        knows = self.has_configuration()
         target = self.election.scheduler(now, self.contact(), knows=knows).address
-        if target == self.target:
+        if target == self.scheduler_address:
             return
-        self.target = target
+        self.scheduler_address = target
         # A scheduler that leaves or gives way is still heard, and does what it was asked.
-        lost = self.lost(now)
+        lost = self.orphaned_jobs(now)
         self.on_scheduler(target, len(lost))
 
-    def remind(self, now: float) -> None:
+    def resend_requests(self, now: float) -> None:
         """Ask the schedulers once more that have told nothing of a job for a while."""
-        for asked in self.asked.values():
-            if not asked.answer.done() and asked.targets and now >= asked.remind_at:
-                asked.remind_at = now + REMIND_S
-                self.send(asked.targets[-1], asked.question(now))
+        for asked in self.pending.values():
+            if not asked.answer.done() and asked.schedulers and now >= asked.resend_at:
+                asked.resend_at = now + RESEND_INTERVAL_S
+                self.send(asked.schedulers[-1], asked.request(now))
 
-    def lost(self, now: float) -> list[Asked]:
+    def orphaned_jobs(self, now: float) -> list[PendingJob]:
         """Return the jobs not answered whose scheduler has fallen silent."""
         return [
             asked
-            for asked in self.asked.values()
+            for asked in self.pending.values()
             if not asked.answer.done()
-            and asked.targets
-            and asked.targets[-1] != self.target
-            and not self.election.hears(asked.targets[-1], now)
+            and asked.schedulers
+            and asked.schedulers[-1] != self.scheduler_address
+            and not self.election.hears(asked.schedulers[-1], now)
         ]
 
-    def ask_again(self) -> None:
+    def resubmit_orphaned(self) -> None:
         """Ask the scheduler of the moment for jobs whose own scheduler fell silent."""
         now = self.clock.monotonic()
-        for asked in self.lost(now):
-            self.ask(asked, now)
+        for asked in self.orphaned_jobs(now):
+            self.submit(asked, now)
 
     async def run(self) -> None:
         """Look often who schedules until cancelled."""
         while True:
-            await asyncio.sleep(CHECK_S if self.asked else IDLE_CHECK_S)
-            self.check()
-            self.ask_again()
-            self.remind(self.clock.monotonic())
+            await asyncio.sleep(CHECK_INTERVAL_S if self.pending else IDLE_CHECK_INTERVAL_S)
+            self.update_scheduler()
+            self.resubmit_orphaned()
+            self.resend_requests(self.clock.monotonic())
 
     def on_progress(self, message: Progress) -> None:
         """Take in what a scheduler has made of a job."""
-        asked = self.asked.get(message.job)
+        asked = self.pending.get(message.job)
         if asked is not None:
-            asked.remind_at = self.clock.monotonic() + REMIND_S
+            asked.resend_at = self.clock.monotonic() + RESEND_INTERVAL_S
             asked.on_progress(message)
 
     def on_handed_over(self, message: HandedOver) -> None:
         """Wait for the scheduler that goes on with a job; ask again if it is silent already."""
-        asked = self.asked.get(message.job)
+        asked = self.pending.get(message.job)
         if asked is None or asked.answer.done():
             return
-        asked.targets.append(message.scheduler)
-        self.ask_again()
+        asked.schedulers.append(message.scheduler)
+        self.resubmit_orphaned()
 
     def on_placed(self, message: Placed) -> None:
         """Take a scheduler's answer in; the first one counts."""
-        asked = self.asked.get(message.job)
+        asked = self.pending.get(message.job)
         if asked is None:
             return
-        if message.scheduler not in asked.targets:
-            asked.targets.append(message.scheduler)
+        if message.scheduler not in asked.schedulers:
+            asked.schedulers.append(message.scheduler)
         if not asked.answer.done():
             asked.answer.set_result(message)
 
     def on_rejected(self, message: Rejected) -> None:
         """Take a scheduler's refusal in."""
-        asked = self.asked.get(message.job)
+        asked = self.pending.get(message.job)
         if asked is not None and not asked.answer.done():
             error = PlacementRejected(message.reason, retry_after_s=message.retry_after_s)
             asked.answer.set_exception(error)
 
-    def started(self, job: str) -> None:
+    def report_started(self, job: str) -> None:
         """Tell that the engine has read a job's prompt."""
-        self.tell(job, RunStarted(job=job, sender=self.election.own.name))
+        self.notify_schedulers(job, RunStarted(job=job, sender=self.election.own.name))
 
-    def ended(self, job: str, *, failed: bool, turned_away: bool = False) -> None:
+    def report_ended(self, job: str, *, failed: bool, turned_away: bool = False) -> None:
         """Tell that a job is over, and forget it."""
         own = self.election.own.name
-        self.tell(job, RunEnded(job=job, sender=own, failed=failed, turned_away=turned_away))
-        asked = self.asked.pop(job, None)
+        self.notify_schedulers(job, RunEnded(job=job, sender=own, failed=failed, turned_away=turned_away))
+        asked = self.pending.pop(job, None)
         if asked is not None and not asked.answer.done():
             asked.answer.cancel()
 
-    def refuse_waiting(self) -> None:
+    def reject_waiting(self) -> None:
         """End the wait of every job that has no place yet, since this box has to end."""
-        for asked in self.asked.values():
+        for asked in self.pending.values():
             if not asked.answer.done():
                 error = PlacementRejected('stopping', retry_after_s=STOPPING_RETRY_S)
                 asked.answer.set_exception(error)
 
-    def tell(self, job: str, message: msgspec.Struct) -> None:
+    def notify_schedulers(self, job: str, message: msgspec.Struct) -> None:
         """Tell every scheduler that was asked about a job."""
-        asked = self.asked.get(job)
-        for target in dict.fromkeys(asked.targets if asked is not None else ()):
+        asked = self.pending.get(job)
+        for target in dict.fromkeys(asked.schedulers if asked is not None else ()):
             self.send(target, message)
--- a/packages/core/calicopath_core/scheduling/freeing.py
+++ b/packages/core/calicopath_core/scheduling/freeing.py
@@ -14,7 +14,7 @@
     from calicopath_core.scheduling.interfaces import SchedulerObserver, StageCaller
     from calicopath_core.scheduling.jobs import Result
 
-GATHER_S = 0.01
+FREE_BATCH_DELAY_S = 0.01
 """How long results that are given up are gathered, so that a maker gets one call for several."""
 
 
@@ -35,15 +35,15 @@
         observer: SchedulerObserver,
         spawn: Callable[[Coroutine[Any, Any, None]], None],
         on_freed: Callable[[str, list[str]], None],
-        back_s: Callable[[Replica], float] = lambda replica: 0.0,
+        backoff_left_s: Callable[[Replica], float] = lambda replica: 0.0,
     ) -> None:
-        self.back_s = back_s
+        self.backoff_left_s = backoff_left_s
         self.replicas = replicas
         self.caller = caller
         self.observer = observer
         self.spawn = spawn
         self.on_freed = on_freed
-        self.waiting: dict[str, list[str]] = {}
+        self.pending: dict[str, list[str]] = {}
         self.timer: asyncio.TimerHandle | None = None
 
     def add(self, results: list[Result]) -> None:
@@ -52,27 +52,27 @@
             if result.freed:
                 continue
             result.freed = True
-            self.waiting.setdefault(result.maker, []).append(result.handle)
-        if self.waiting and self.timer is None:
-            self.timer = asyncio.get_running_loop().call_later(GATHER_S, self.send)
+            self.pending.setdefault(result.producer, []).append(result.handle)
+        if self.pending and self.timer is None:
+            self.timer = asyncio.get_running_loop().call_later(FREE_BATCH_DELAY_S, self.send)
 
     def send(self) -> None:
         """Send what is to be given up, one call a maker."""
         self.timer = None
-        later: dict[str, list[str]] = {}
-        back_s = 0.0
-        for maker, handles in self.waiting.items():
+        deferred: dict[str, list[str]] = {}
+        longest_backoff_s = 0.0
+        for maker, handles in self.pending.items():
             replica = self.replicas.replicas.get(maker)
             if replica is None or replica.zone in self.replicas.evacuated:
                 continue
-            if (left_s := self.back_s(replica)) > 0:
-                later[maker] = handles
-                back_s = max(back_s, left_s)
+            if (left_s := self.backoff_left_s(replica)) > 0:
+                deferred[maker] = handles
+                longest_backoff_s = max(longest_backoff_s, left_s)
                 continue
             self.spawn(self.free(replica, handles))
-        self.waiting = later
-        if later:
-            self.timer = asyncio.get_running_loop().call_later(back_s + GATHER_S, self.send)
+        self.pending = deferred
+        if deferred:
+            self.timer = asyncio.get_running_loop().call_later(longest_backoff_s + FREE_BATCH_DELAY_S, self.send)
 
     async def free(self, replica: Replica, handles: list[str]) -> None:
         """Give results up; if that fails they run out by themselves."""
--- a/packages/core/calicopath_core/scheduling/interfaces.py
+++ b/packages/core/calicopath_core/scheduling/interfaces.py
@@ -11,7 +11,7 @@
     from calicopath_core.backends.base import BackendError
     from calicopath_core.fleet.replicas import Replica
     from calicopath_core.scheduling.jobs import Job, Piece
-    from calicopath_core.scheduling.messages import MadeResult
+    from calicopath_core.scheduling.messages import StageResult
 
 
 class PieceCall(NamedTuple):
@@ -103,11 +103,11 @@
         """End a job that can't be made."""
 
     @abstractmethod
-    def remake_inputs(self, job: Job, piece: Piece) -> None:
+    def recompute_inputs(self, job: Job, piece: Piece) -> None:
         """Make the inputs of a piece anew."""
 
     @abstractmethod
-    def tell_progress(
-        self, job: Job, results: tuple[MadeResult, ...], freed: tuple[int, ...]
+    def report_progress(
+        self, job: Job, results: tuple[StageResult, ...], freed: tuple[int, ...]
     ) -> None:
         """Tell a job's box what was made and given up."""
--- a/packages/core/calicopath_core/scheduling/jobs.py
+++ b/packages/core/calicopath_core/scheduling/jobs.py
@@ -4,18 +4,18 @@
 
 from typing import TYPE_CHECKING
 
-from calicopath_core.scheduling.messages import MadeResult
+from calicopath_core.scheduling.messages import StageResult
 
 if TYPE_CHECKING:
     from collections.abc import Container
 
-    from calicopath_core.scheduling.messages import PhaseWork, Place
+    from calicopath_core.scheduling.messages import PhaseWork, PlaceJob
 
 
-LARGE_BYTES = 200_000
+LARGE_RESULT_BYTES = 200_000
 """A result of this size is worth keeping beside the others of its request, and making late."""
 
-EARLY_S = 0.5
+EARLY_MARGIN_S = 0.5
 """How much earlier than its job's longest chain needs it a large result may be made."""
 
 
@@ -27,14 +27,14 @@
         self.phase = phase
         self.index = index
         self.tries = tries
-        self.called = False
-        self.fetched = False
+        self.is_dispatched = False
+        self.has_fetched_inputs = False
 
-    def note_called(self, called: bool) -> None:
+    def set_dispatched(self, is_dispatched: bool) -> None:
         """Note that the piece is in a call, or waits for one again."""
-        if called != self.called and not self.stale:
-            self.job.uncalled[self.phase] += -1 if called else 1
-        self.called = called
+        if is_dispatched != self.is_dispatched and not self.is_stale:
+            self.job.undispatched[self.phase] += -1 if is_dispatched else 1
+        self.is_dispatched = is_dispatched
 
     @property
     def name(self) -> str:
@@ -42,18 +42,18 @@
         return f'{self.job.id}/{self.phase}/{self.index}/{self.tries}'
 
     @property
-    def work(self) -> PhaseWork:
+    def phase_work(self) -> PhaseWork:
         """Return the phase that the piece belongs to."""
         return self.job.place.phases[self.phase]
 
     @property
-    def stale(self) -> bool:
+    def is_stale(self) -> bool:
         """Tell whether the piece is not wanted any more: its job is over or makes it anew."""
         made = self.job.pieces.get(self.phase)
         return self.job.ended or made is None or made[self.index] is not self
 
     @property
-    def home(self) -> str | None:
+    def preferred_failure_domain(self) -> str | None:
         """Return the zone in which the piece should be made: its siblings', else its inputs'."""
         known = self.job.zones.get(self.phase)
         if known is not None:
@@ -64,11 +64,11 @@
         return max(weights, key=weights.__getitem__, default=None)
 
     @property
-    def has_siblings_ahead(self) -> bool:
+    def has_siblings_in_progress(self) -> bool:
         """Tell whether other pieces of the phase are made or being made, and wait for this one."""
-        return self.job.uncalled[self.phase] < self.work.pieces
+        return self.job.undispatched[self.phase] < self.phase_work.pieces
 
-    def moved_bytes(self) -> int:
+    def transfer_bytes(self) -> int:
         """Return what is moved between zones if the piece is made away from home.
 
         Its inputs are fetched for it alone; its result is fetched by each piece of the phases that
@@ -77,46 +77,46 @@
         phases = self.job.place.phases
         inputs = sum(item.size for item in self.job.inputs_of(self.phase))
         readers = sum(other.pieces for other in phases if self.phase in other.needs)
-        siblings = self.work.pieces > 1 and self.phase in self.job.zones
+        siblings = self.phase_work.pieces > 1 and self.phase in self.job.zones
         return inputs + (self.result_bytes * max(1, readers) if siblings else 0)
 
     def is_early(self) -> bool:
         """Tell whether the result would only wait, and take room, until other phases are done."""
-        if self.job.resumed or self.result_bytes < LARGE_BYTES or self.work.needs:
+        if self.job.resumed or self.result_bytes < LARGE_RESULT_BYTES or self.phase_work.needs:
             return False
         others = [
-            tail_s
-            for phase, tail_s in self.job.tail_s.items()
-            if phase != self.phase and not self.job.phase_done(phase)
+            path_s
+            for phase, path_s in self.job.critical_path_s.items()
+            if phase != self.phase and not self.job.is_phase_done(phase)
         ]
-        return max(others, default=0.0) > self.job.tail_s.get(self.phase, 0.0) + EARLY_S
+        return max(others, default=0.0) > self.job.critical_path_s.get(self.phase, 0.0) + EARLY_MARGIN_S
 
     def slack_s(self, now: float) -> float:
         """Return how long the piece may still wait for its job to meet the objective."""
-        return self.job.objective_at - now - self.job.tail_s.get(self.phase, 0.0)
+        return self.job.objective_at - now - self.job.critical_path_s.get(self.phase, 0.0)
 
     @property
-    def inputs_gone(self) -> bool:
+    def has_missing_inputs(self) -> bool:
         """Tell whether a result that the piece reads is missing or was given up."""
         return any(
             result is None or result.freed
-            for need in self.work.needs
+            for need in self.phase_work.needs
             for result in self.job.results[need]
         )
 
     @property
     def result_bytes(self) -> int:
         """Return about how large the result is."""
-        return self.work.result_bytes
+        return self.phase_work.result_bytes
 
 
 class Result:
     """Hold where a piece's result lies; `zone` is its maker's, `made_at` in monotonic seconds."""
 
-    def __init__(self, *, handle: str, maker: str, zone: str, size: int, made_at: float) -> None:
+    def __init__(self, *, handle: str, producer: str, zone: str, size: int, created_at: float) -> None:
         self.handle = handle
-        self.made_at = made_at
-        self.maker = maker
+        self.created_at = created_at
+        self.producer = producer
         self.zone = zone
         self.size = size
         self.freed = False
@@ -132,7 +132,7 @@
     goes, its own or that of more urgent jobs.
     """
 
-    def __init__(self, *, place: Place, now: float) -> None:
+    def __init__(self, *, place: PlaceJob, now: float) -> None:
         self.place = place
         self.arrived_at = now
         self.objective_at = now + place.objective_s
@@ -143,19 +143,19 @@
         }
         self.pieces: dict[int, list[Piece]] = {}
         self.placed_on: str | None = None
+        self.fetch_pending_since: float | None = None
         self.placed_at: float | None = None
-        self.engine_at: float | None = None
         self.ended = False
-        self.expected_s = 0.0
+        self.expected_stages_s = 0.0
         self.open_calls = 0
-        self.adopted = False
-        self.beyond = place.beyond
-        self.urgency = place.priority
+        self.is_adopted = False
+        self.is_over_allowance = place.is_over_allowance
+        self.effective_priority = place.priority
         self.tries = 0
-        self.tail_s: dict[int, float] = {}
-        self.ahead_s: dict[int, float] = {}
+        self.critical_path_s: dict[int, float] = {}
+        self.allowed_backlog_s: dict[int, float] = {}
         self.zones: dict[int, str] = {}
-        self.uncalled = [phase.pieces for phase in place.phases]
+        self.undispatched = [phase.pieces for phase in place.phases]
 
     @property
     def resumed(self) -> bool:
@@ -163,7 +163,7 @@
         return self.place.resumed
 
     @property
-    def begun(self) -> bool:
+    def has_progress(self) -> bool:
         """Tell whether work was spent on the job that would be lost with it."""
         return self.open_calls > 0 or any(
             item is not None for made in self.results.values() for item in made
@@ -172,24 +172,24 @@
     def is_late(self, now: float) -> bool:
         """Tell whether the job can't meet its objective any more, as far as its stages tell."""
         left_s = max(
-            (tail_s for phase, tail_s in self.tail_s.items() if not self.phase_done(phase)),
+            (path_s for phase, path_s in self.critical_path_s.items() if not self.is_phase_done(phase)),
             default=0.0,
         )
         return now + left_s > self.objective_at
 
-    def least_s(self) -> float:
+    def min_remaining_s(self) -> float:
         """Return what the job takes at least to its engine's first event, were nothing before it.
 
         A phase whose pieces are all in calls, or made, takes no more than what reads it.
         """
         return max(
-            (tail_s for phase, tail_s in self.tail_s.items() if self.uncalled[phase]), default=0.0
+            (path_s for phase, path_s in self.critical_path_s.items() if self.undispatched[phase]), default=0.0
         )
 
     def oldest_result_s(self, now: float) -> float:
         """Return the age of the oldest result that is still needed."""
         ages = [
-            now - item.made_at
+            now - item.created_at
             for made in self.results.values()
             for item in made
             if item is not None and not item.freed
@@ -201,21 +201,21 @@
         """Return the job's identifier."""
         return self.place.job
 
-    def phase_done(self, phase: int) -> bool:
+    def is_phase_done(self, phase: int) -> bool:
         """Tell whether every piece of a phase has its result."""
         return None not in self.results[phase]
 
     @property
-    def stages_done(self) -> bool:
+    def are_stages_done(self) -> bool:
         """Tell whether every phase is done."""
-        return all(self.phase_done(phase) for phase in self.results)
+        return all(self.is_phase_done(phase) for phase in self.results)
 
     def ready_phases(self) -> list[int]:
         """Return the phases not begun whose inputs are all there."""
         return [
             number
             for number, phase in enumerate(self.place.phases)
-            if number not in self.started and all(self.phase_done(need) for need in phase.needs)
+            if number not in self.started and all(self.is_phase_done(need) for need in phase.needs)
         ]
 
     def inputs_of(self, phase: int) -> list[Result]:
@@ -227,7 +227,7 @@
             if result is not None
         ]
 
-    def last_phases(self) -> list[int]:
+    def final_phases(self) -> list[int]:
         """Return the phases after which no other comes."""
         needed = {need for phase in self.place.phases for need in phase.needs}
         return [number for number in self.results if number not in needed]
@@ -236,28 +236,28 @@
         """Return the results that the engine reads."""
         return [
             result
-            for phase in self.last_phases()
+            for phase in self.final_phases()
             for result in self.results[phase]
             if result is not None
         ]
 
-    def made(self, phase: int, index: int) -> MadeResult | None:
+    def describe_result(self, phase: int, index: int) -> StageResult | None:
         """Describe a result for another scheduler, if it is there."""
         item = self.results[phase][index]
         if item is None:
             return None
-        return MadeResult(phase, index, item.handle, item.maker, item.zone, item.size, item.freed)
+        return StageResult(phase, index, item.handle, item.producer, item.zone, item.size, item.freed)
 
-    def all_made(self) -> tuple[MadeResult, ...]:
+    def describe_results(self) -> tuple[StageResult, ...]:
         """Describe every result for another scheduler."""
         found = [
-            self.made(phase, index)
+            self.describe_result(phase, index)
             for phase, results in self.results.items()
             for index in range(len(results))
         ]
         return tuple(item for item in found if item is not None)
 
-    def crossing_bytes(self, results: list[Result], zone: str) -> int:
+    def cross_domain_bytes(self, results: list[Result], zone: str) -> int:
         """Return how many bytes of results lie in other zones."""
         return sum(item.size for item in results if item.zone != zone)
 
@@ -265,22 +265,22 @@
         """Return every result made so far."""
         return [result for made in self.results.values() for result in made if result is not None]
 
-    def readers_done(self, phase: int) -> bool:
+    def are_readers_done(self, phase: int) -> bool:
         """Tell whether every phase that reads from `phase` is done, and there is one."""
         readers = [number for number, other in enumerate(self.place.phases) if phase in other.needs]
-        return bool(readers) and all(self.phase_done(reader) for reader in readers)
+        return bool(readers) and all(self.is_phase_done(reader) for reader in readers)
 
-    def readers_fetched(self, phase: int) -> bool:
+    def have_readers_fetched(self, phase: int) -> bool:
         """Tell whether every piece that reads from `phase` has fetched its inputs or is done."""
         readers = [number for number, other in enumerate(self.place.phases) if phase in other.needs]
-        return bool(readers) and all(self.phase_fetched(reader) for reader in readers)
+        return bool(readers) and all(self.has_phase_fetched(reader) for reader in readers)
 
-    def phase_fetched(self, phase: int) -> bool:
+    def has_phase_fetched(self, phase: int) -> bool:
         """Tell whether every piece of a phase has fetched its inputs or is done."""
         if phase not in self.started:
             return False
         return all(
-            piece.fetched or self.results[phase][piece.index] is not None
+            piece.has_fetched_inputs or self.results[phase][piece.index] is not None
             for piece in self.pieces.get(phase, ())
         )
 
@@ -290,20 +290,20 @@
         self.pieces.pop(phase, None)
         self.zones.pop(phase, None)
         self.results[phase] = [None] * len(self.results[phase])
-        self.uncalled[phase] = self.place.phases[phase].pieces
+        self.undispatched[phase] = self.place.phases[phase].pieces
         for need in self.place.phases[phase].needs:
             if any(result is None or result.freed for result in self.results[need]):
                 self.invalidate(need)
         for reader, other in enumerate(self.place.phases):
             # What waits for these results must not be asked for without them.
-            if phase in other.needs and reader in self.started and not self.phase_done(reader):
+            if phase in other.needs and reader in self.started and not self.is_phase_done(reader):
                 self.invalidate(reader)
 
-    def lost_phases(self, makers: Container[str]) -> list[int]:
+    def lost_phases(self, alive_replicas: Container[str]) -> list[int]:
         """Return the phases whose results are still needed and lie at makers that are gone."""
         return [
             phase
             for phase, results in self.results.items()
-            if not self.readers_fetched(phase)
-            and any(item is not None and item.maker not in makers for item in results)
+            if not self.have_readers_fetched(phase)
+            and any(item is not None and item.producer not in alive_replicas for item in results)
         ]
--- a/packages/core/calicopath_core/scheduling/messages.py
+++ b/packages/core/calicopath_core/scheduling/messages.py
@@ -42,7 +42,7 @@
     tokens_out: int
 
 
-class Place(msgspec.Struct, frozen=True, tag='pl'):
+class PlaceJob(msgspec.Struct, frozen=True, tag='pl'):
     """Ask a scheduler to run a job's stages and to choose its engine.
 
     `job` is unique to one attempt of one request; `reply_to` is the asking box's peer address.
@@ -69,9 +69,9 @@
     exclude: tuple[str, ...] = ()
     resumed: bool = False
     asked_before: bool = False
-    missed: str = ''
+    silent_scheduler: str = msgspec.field(name='missed', default='')
     workspace: str = ''
-    beyond: bool = False
+    is_over_allowance: bool = msgspec.field(name='beyond', default=False)
     content: str = ''
     backoffs: dict[str, float] = {}
     may_have_run: bool = False
@@ -97,23 +97,23 @@
     permit: bool = False
 
 
-class MadeResult(msgspec.Struct, frozen=True, array_like=True):
+class StageResult(msgspec.Struct, frozen=True, array_like=True):
     """Describe a result that was made already; `freed` says that all its readers have it."""
 
     phase: int
     index: int
     handle: str
-    maker: str
+    producer: str
     zone: str
     size: int
     freed: bool
 
 
-class Adopt(msgspec.Struct, frozen=True, tag='ad'):
+class AdoptJob(msgspec.Struct, frozen=True, tag='ad'):
     """Hand a job to the next scheduler with what is made of it; it has waited for `waited_s`."""
 
-    place: Place
-    results: tuple[MadeResult, ...]
+    place: PlaceJob
+    results: tuple[StageResult, ...]
     waited_s: float
 
 
@@ -124,7 +124,7 @@
     """
 
     job: str
-    results: tuple[MadeResult, ...]
+    results: tuple[StageResult, ...]
     freed: tuple[int, ...]
 
 
@@ -142,7 +142,7 @@
     loads: dict[str, float]
 
 
-class Learned(msgspec.Struct, frozen=True, tag='ln'):
+class LearnedEstimates(msgspec.Struct, frozen=True, tag='ln'):
     """Tell the next scheduler what this one has learned.
 
     `taken` is what workspaces usually ask, `bias` corrects the estimate of stages, and
@@ -182,7 +182,7 @@
     turned_away: bool = False
 
 
-class BackoffNews(msgspec.Struct, frozen=True, tag='bo'):
+class BackoffNotice(msgspec.Struct, frozen=True, tag='bo'):
     """Tell the scheduler which engines want nothing from a box, for how many seconds yet."""
 
     address: str
@@ -222,17 +222,17 @@
 
 
 MESSAGES = (
-    Place,
+    PlaceJob,
     Placed,
-    Adopt,
+    AdoptJob,
     Progress,
     HandedOver,
     EngineLoads,
-    Learned,
+    LearnedEstimates,
     Rejected,
     RunStarted,
     RunEnded,
-    BackoffNews,
+    BackoffNotice,
     Ping,
     Pong,
 )
--- a/packages/core/calicopath_core/scheduling/overdue.py
+++ b/packages/core/calicopath_core/scheduling/overdue.py
@@ -23,13 +23,13 @@
 """When a call is looked into: after this many times what is stated, and so much more, since
 replicas tell of themselves as they stood some 100 ms before."""
 
-LOOK_AGAIN_S = 0.15
+IDLE_RECHECK_S = 0.15
 """When a replica that seems idle is asked again: a single report may be older than the call."""
 
-SLOW_LOOK_FACTOR = 2.0
+BUSY_RECHECK_FACTOR = 2.0
 """A replica found at work is asked again when the call has taken this many times as long."""
 
-IDLE_LOOKS = 2
+IDLE_REPORTS_REQUIRED = 2
 """Reports of no work in a row after which an answer counts as lost."""
 
 REPORT_TIMEOUT_S = 0.3
@@ -40,7 +40,7 @@
     """Report that a replica is done with a call whose answer has not come."""
 
 
-class CallWatch:
+class CallMonitor:
     """Make calls to stages and look into those that are overdue."""
 
     def __init__(self, *, clock: Clock, caller: StageCaller, observer: SchedulerObserver) -> None:
@@ -52,23 +52,23 @@
         self, replica: Replica, calls: list[PieceCall], expected_s: float, limit_s: float
     ) -> list[PieceResult]:
         """Make a call that should take `expected_s`; raise `BackendError` or `TimeoutError`."""
-        begun = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         answer = asyncio.ensure_future(self.caller.run(replica, calls))
         try:
-            look_s = expected_s * OVERDUE_FACTOR + REPORT_LAG_S
-            idle_looks = 0
+            next_check_s = expected_s * OVERDUE_FACTOR + REPORT_LAG_S
+            idle_reports = 0
             while True:
-                spent_s = self.clock.monotonic() - begun
-                await asyncio.wait({answer}, timeout=max(0.0, min(look_s, limit_s) - spent_s))
+                spent_s = self.clock.monotonic() - started_at
+                await asyncio.wait({answer}, timeout=max(0.0, min(next_check_s, limit_s) - spent_s))
                 if answer.done():
                     return answer.result()
-                spent_s = self.clock.monotonic() - begun
+                spent_s = self.clock.monotonic() - started_at
                 if spent_s >= limit_s:
                     raise TimeoutError(f'{replica.id} took over {limit_s:.3f} s')
-                idle_looks = idle_looks + 1 if await self.is_idle(replica) else 0
-                if idle_looks >= IDLE_LOOKS and not answer.done():
+                idle_reports = idle_reports + 1 if await self.is_idle(replica) else 0
+                if idle_reports >= IDLE_REPORTS_REQUIRED and not answer.done():
                     raise AnswerLost(f'{replica.id} is done and has not answered')
-                look_s = spent_s + LOOK_AGAIN_S if idle_looks else spent_s * SLOW_LOOK_FACTOR
+                next_check_s = spent_s + IDLE_RECHECK_S if idle_reports else spent_s * BUSY_RECHECK_FACTOR
         finally:
             answer.cancel()
 
--- a/packages/core/calicopath_core/scheduling/pacing.py
+++ b/packages/core/calicopath_core/scheduling/pacing.py
@@ -47,10 +47,10 @@
     def find(self, jobs: Iterable[Job], queues: Mapping[str, StageQueue]) -> set[str]:
         """Return the jobs not begun that would wait at a later stage behind what is begun."""
         open_jobs = [job for job in jobs if job.placed_on is None and not job.ended]
-        fresh = [job for job in open_jobs if not job.begun and not job.resumed]
+        fresh = [job for job in open_jobs if not job.has_progress and not job.resumed]
         if not fresh:
             return set()
-        begun = [job for job in open_jobs if job.begun]
+        begun = [job for job in open_jobs if job.has_progress]
         kinds = {precedence(job) for job in fresh}
         waits = {kind: waiting_pieces(begun, kind) for kind in kinds}
         rates = {name: full_rate(queue) for name, queue in queues.items()}
@@ -64,10 +64,10 @@
     queues: Mapping[str, StageQueue],
 ) -> bool:
     """Tell whether a later stage of a job has enough to do, by pieces begun ahead of it."""
-    if not job.ahead_s:
-        job.ahead_s = ahead_s(job, queues)
+    if not job.allowed_backlog_s:
+        job.allowed_backlog_s = ahead_s(job, queues)
     return any(
-        waits.get(phase.service, 0) > job.ahead_s[number] * rates.get(phase.service, 0.0)
+        waits.get(phase.service, 0) > job.allowed_backlog_s[number] * rates.get(phase.service, 0.0)
         for number, phase in enumerate(job.place.phases)
         if phase.needs
     )
@@ -82,18 +82,18 @@
 
 def precedence(job: Job) -> Precedence:
     """Return a job's precedence."""
-    return Precedence(job.beyond, job.urgency)
+    return Precedence(job.is_over_allowance, job.effective_priority)
 
 
 def ahead_s(job: Job, queues: Mapping[str, StageQueue]) -> dict[int, float]:
     """Return for each phase how many seconds of full calls may be begun ahead of its stage."""
     reached_s = reach_s(job, queues)
-    total_s = max(job.tail_s.values(), default=0.0)
+    total_s = max(job.critical_path_s.values(), default=0.0)
     spare_s = max(0.0, job.place.objective_s - total_s)
     found = {}
     for number, phase in enumerate(job.place.phases):
         queue = queues.get(phase.service)
-        call_s = queue.expected_s(queue.spec.batch) if queue is not None else 0.0
+        call_s = queue.expected_call_s(queue.spec.batch) if queue is not None else 0.0
         found[number] = reached_s[number] + min(call_s, SPARE_SHARE * spare_s)
     return found
 
@@ -111,7 +111,7 @@
     """Return what a phase's call usually takes; one without pieces takes nothing."""
     phase = job.place.phases[number]
     queue = queues.get(phase.service)
-    return queue.usual_s() if queue is not None and phase.pieces else 0.0
+    return queue.typical_call_s() if queue is not None and phase.pieces else 0.0
 
 
 def full_rate(queue: StageQueue) -> float:
@@ -126,5 +126,5 @@
     for job in begun:
         if precedence(job) <= of:
             for number, phase in enumerate(job.place.phases):
-                pieces[phase.service] += job.uncalled[number]
+                pieces[phase.service] += job.undispatched[number]
     return pieces
--- a/packages/core/calicopath_core/scheduling/rejections.py
+++ b/packages/core/calicopath_core/scheduling/rejections.py
@@ -19,7 +19,7 @@
     from calicopath_core.scheduling.jobs import Job
     from calicopath_core.scheduling.stages import StageQueue
 
-NO_ENGINE_S = 1.2
+NO_ENGINE_RETRY_S = 1.2
 """When a job may come back that no engine can take: replicas tell of themselves that often."""
 
 
@@ -53,29 +53,29 @@
         self.engine_s = engine_s
         self.reject = reject
 
-    def judge_waiting(self, now: float) -> None:
+    def check_waiting_jobs(self, now: float) -> None:
         """Look at every job that waits for stages or an engine."""
         self.reject_hopeless(now)
         self.reject_backing_off(now)
         self.reject_beyond_limits(now)
 
-    def lets_in(self, job: Job, now: float) -> bool:
+    def admits(self, job: Job, now: float) -> bool:
         """Tell whether a new job may be begun; reject it if not."""
         return (
-            self.check_sendable(job)
+            self.check_not_blocked(job)
             and self.check_backoffs(job, now)
-            and self.check_limits(job, self.ahead_of(job, now), now)
+            and self.check_limits(job, self.jobs_ahead_of(job, now), now)
         )
 
     def reject_hopeless(self, now: float) -> None:
         """Tell callers at once whose jobs can't be made before their deadline any more."""
         for job in list(self.unplaced.values()):
-            if now + job.least_s() > job.deadline_at:
+            if now + job.min_remaining_s() > job.deadline_at:
                 others, queues = self.unplaced.values(), self.queues
                 room_in_s = self.admission.room_in_s(job, others, queues, now)
                 self.reject(job, 'hopeless', self.admission.return_s(job, room_in_s, now))
         for job in self.engine_queue.hopeless(now):
-            self.reject(job, 'no-engine', self.admission.return_s(job, NO_ENGINE_S, now))
+            self.reject(job, 'no-engine', self.admission.return_s(job, NO_ENGINE_RETRY_S, now))
 
     def reject_backing_off(self, now: float) -> None:
         """Tell callers at once that would wait in vain for engines which want nothing from them."""
@@ -94,28 +94,28 @@
         if back_s <= 0:
             return True
         engine_s = self.engine_s(job)
-        ready_s = max(back_s, job.least_s() - engine_s)
-        committed = job.begun or job.place.may_have_run
-        limit = job.deadline_at if committed else job.objective_at
+        ready_s = max(back_s, job.min_remaining_s() - engine_s)
+        must_finish = job.has_progress or job.place.may_have_run
+        limit = job.deadline_at if must_finish else job.objective_at
         if now + ready_s + engine_s <= limit:
             return True
         self.reject(job, 'backing-off', self.admission.return_s(job, back_s, now))
         return False
 
-    def check_limits(self, job: Job, ahead: int, now: float) -> bool:
+    def check_limits(self, job: Job, jobs_ahead: int, now: float) -> bool:
         """Tell whether an engine's limit lets a job begin in time; reject it if none does."""
         board = self.boards.get(job.place.service)
-        wait_s = board.permit_wait_s(job, ahead) if board is not None else 0.0
+        wait_s = board.permit_wait_s(job, jobs_ahead) if board is not None else 0.0
         if wait_s <= 0:
             return True
         engine_s = self.engine_s(job)
-        ready_s = max(wait_s, job.least_s() - engine_s)
+        ready_s = max(wait_s, job.min_remaining_s() - engine_s)
         if now + ready_s + engine_s <= job.deadline_at:
             return True
         self.reject(job, 'limited', self.admission.return_s(job, wait_s, now))
         return False
 
-    def ahead_of(self, job: Job, now: float) -> int:
+    def jobs_ahead_of(self, job: Job, now: float) -> int:
         """Return how many jobs for the same engines get permits before a new one."""
         return sum(
             other is not job
@@ -127,14 +127,14 @@
 
     def reject_beyond_limits(self, now: float) -> None:
         """Tell callers at once whose jobs wait for engines that can't take them all in time."""
-        if not any(self.permits.rate_of(item.replica) for item in self.waited_for()):
+        if not any(self.permits.rate_of(item.replica) for item in self.engines_waited_for()):
             return
         ahead: Counter[str] = Counter()
         for job in self.engine_queue.ordered(now):
             if self.check_limits(job, ahead[job.place.service], now):
                 ahead[job.place.service] += 1
 
-    def waited_for(self) -> Iterator[Engine]:
+    def engines_waited_for(self) -> Iterator[Engine]:
         """Yield the engines of the services that jobs with all their results wait for."""
         for service in {job.place.service for job in self.engine_queue.jobs.values()}:
             yield from self.boards[service].engines.values()
@@ -143,9 +143,9 @@
         """Reject the jobs at once that were let in before their request was blocked."""
         if self.crashes.blocks_any:
             for job in list(self.unplaced.values()):
-                self.check_sendable(job)
+                self.check_not_blocked(job)
 
-    def check_sendable(self, job: Job) -> bool:
+    def check_not_blocked(self, job: Job) -> bool:
         """Tell whether a job may go on; reject it if too many replicas ended under its request."""
         wait_s = self.crashes.blocked_s(job.place.content, job.place.services)
         if wait_s is None:
--- a/packages/core/calicopath_core/scheduling/release.py
+++ b/packages/core/calicopath_core/scheduling/release.py
@@ -18,16 +18,16 @@
     from calicopath_core.scheduling.jobs import Job, Piece, Result
     from calicopath_core.scheduling.stages import StageBatch, StageQueue
 
-ROOMY_CALLS = 2
+AMPLE_ROOM_CALLS = 2
 """A maker with room for so many full calls is not short of it, and inputs that were fetched there
 stay until their readers are done. Given up always, a reader that failed had all its inputs made
 again: 434 results on one day with faults, 0.02 of worth."""
 
-OVERLAP_S = 1.5
+HAND_OVER_OVERLAP_S = 1.5
 """How long after a hand-over another scheduler's calls may be before ours at a replica, whose turn
 then comes later: the one that leaves finishes what it has begun."""
 
-DOUBT_S = 5.0
+EARLY_FREE_PAUSE_S = 5.0
 """How long inputs are kept until the end of calls after a replica found one gone."""
 
 
@@ -52,27 +52,27 @@
         self.keeper = keeper
         self.queues = queues
         self.freeing = freeing
-        self.alone_from = 0.0
+        self.sole_scheduler_from = 0.0
 
     def on_hand_over(self) -> None:
         """Note that another box schedules or has scheduled beside this one until now."""
-        self.alone_from = max(self.alone_from, self.clock.monotonic() + OVERLAP_S)
+        self.sole_scheduler_from = max(self.sole_scheduler_from, self.clock.monotonic() + HAND_OVER_OVERLAP_S)
 
-    def on_gone(self, piece: Piece) -> None:
+    def on_input_gone(self, piece: Piece) -> None:
         """Note that a replica found an input of a piece gone; doubt it if that was freed early."""
-        if self.freed_early(piece):
-            self.alone_from = max(self.alone_from, self.clock.monotonic() + DOUBT_S)
+        if self.was_freed_early(piece):
+            self.sole_scheduler_from = max(self.sole_scheduler_from, self.clock.monotonic() + EARLY_FREE_PAUSE_S)
 
     def on_fetched(self, batch: StageBatch) -> None:
         """Give the inputs up that every piece reading them has fetched, where room is short."""
-        if self.clock.monotonic() < self.alone_from:
+        if self.clock.monotonic() < self.sole_scheduler_from:
             return
         for piece in batch.pieces:
-            piece.fetched = True
+            piece.has_fetched_inputs = True
         for job in jobs_of(batch):
-            self.give_up_read(job, fetched=True)
+            self.free_read(job, fetched=True)
 
-    def give_up_read(self, job: Job, *, fetched: bool) -> None:
+    def free_read(self, job: Job, *, fetched: bool) -> None:
         """Give the results up that all pieces reading them have made use of.
 
         With `fetched` those are given up too that were only fetched, if their makers are short of
@@ -83,44 +83,44 @@
             kept = [item for item in results if item is not None and not item.freed]
             if not kept:
                 continue
-            if job.readers_done(number) or (
-                fetched and job.readers_fetched(number) and self.room_is_short(job, number, kept)
+            if job.are_readers_done(number) or (
+                fetched and job.have_readers_fetched(number) and self.is_room_short(job, number, kept)
             ):
-                self.give_up(kept)
+                self.free_soon(kept)
                 freed.append(number)
         if freed:
-            self.keeper.tell_progress(job, (), tuple(freed))
+            self.keeper.report_progress(job, (), tuple(freed))
 
-    def give_up(self, results: list[Result]) -> None:
+    def free_soon(self, results: list[Result]) -> None:
         """Have results freed at their makers soon."""
         self.freeing.add(results)
 
-    def room_is_short(self, job: Job, phase: int, results: list[Result]) -> bool:
+    def is_room_short(self, job: Job, phase: int, results: list[Result]) -> bool:
         """Tell whether a maker of a phase's results has no room for its next calls."""
         queue = self.queues.get(job.place.phases[phase].service)
         if queue is None:
             return False
-        needed = ROOMY_CALLS * queue.spec.batch * job.place.phases[phase].result_bytes
-        makers = [queue.replicas.get(item.maker) for item in results]
+        needed = AMPLE_ROOM_CALLS * queue.spec.batch * job.place.phases[phase].result_bytes
+        producers = [queue.replicas.get(item.producer) for item in results]
         now = self.clock.monotonic()
-        return any(m is not None and m.room_left(queue.spec, now) < needed for m in makers)
+        return any(m is not None and m.room_left(queue.spec, now) < needed for m in producers)
 
-    def freed_early(self, piece: Piece) -> bool:
+    def was_freed_early(self, piece: Piece) -> bool:
         """Tell whether an input was given up before the piece had it, not lost with its maker."""
         return any(
-            item is not None and item.freed and item.maker in self.replicas.replicas
-            for need in piece.work.needs
+            item is not None and item.freed and item.producer in self.replicas.replicas
+            for need in piece.phase_work.needs
             for item in piece.job.results[need]
         )
 
-    def tell_made(self, batch: StageBatch) -> None:
+    def report_results(self, batch: StageBatch) -> None:
         """Tell the boxes of a call's jobs which results it brought."""
         for job in jobs_of(batch):
             made = [
-                job.made(piece.phase, piece.index)
+                job.describe_result(piece.phase, piece.index)
                 for piece in batch.pieces
-                if piece.job is job and not piece.stale
+                if piece.job is job and not piece.is_stale
             ]
             results = tuple(item for item in made if item is not None)
             if results:
-                self.keeper.tell_progress(job, results, ())
+                self.keeper.report_progress(job, results, ())
--- a/packages/core/calicopath_core/scheduling/scheduler.py
+++ b/packages/core/calicopath_core/scheduling/scheduler.py
@@ -19,7 +19,7 @@
     Progress,
     Rejected,
 )
-from calicopath_core.scheduling.rejections import NO_ENGINE_S, Rejections
+from calicopath_core.scheduling.rejections import NO_ENGINE_RETRY_S, Rejections
 from calicopath_core.scheduling.stage_calls import MAX_PIECE_TRIES, StageCalls
 from calicopath_core.scheduling.starts import NO_ALLOWANCE, WarmupTerms
 from calicopath_core.scheduling.succession import Succession
@@ -36,24 +36,24 @@
     from calicopath_core.scheduling.engines import EngineBoard
     from calicopath_core.scheduling.interfaces import SchedulerObserver, StageCaller
     from calicopath_core.scheduling.messages import (
-        BackoffNews,
-        MadeResult,
-        Place,
+        BackoffNotice,
+        StageResult,
+        PlaceJob,
         RunEnded,
         RunStarted,
     )
 
-TICK_S = 0.05
-JOB_MEMORY_S = 30.0
+TICK_INTERVAL_S = 0.05
+JOB_RETENTION_S = 30.0
 """How long a job may stay without its box telling its end; longer than the users' deadlines."""
 
-ENGINE_FETCH_S = 0.05
+ENGINE_FETCH_DELAY_S = 0.05
 """How long after its choice an engine has fetched a job's results: it does so when the request
 comes, before it waits for its turn; two crossings between zones and 1.5 MB over 10 Gbit/s take
 under 10 ms. Results that lie longer take room from what their makers could make: with 0.15 s the
 mean worth of days with faults was 0.015 less."""
 
-RETRY_AFTER_S = 0.5
+DEFAULT_RETRY_AFTER_S = 0.5
 """When a rejected job may come back, if nothing better is known."""
 
 
@@ -73,8 +73,8 @@
         crashes: CrashGuard,
         warmup: WarmupTerms = NO_ALLOWANCE,
         new_board: Callable[[EngineSpec], EngineBoard] | None = None,
-        back_s: Callable[[Replica], float] = lambda replica: 0.0,
-        support_back_s: Callable[[Replica], float] = lambda replica: 0.0,
+        backoff_left_s: Callable[[Replica], float] = lambda replica: 0.0,
+        support_backoff_left_s: Callable[[Replica], float] = lambda replica: 0.0,
         permits: PermitLender | None = None,
     ) -> None:
         self.permits = permits or NoLimits()
@@ -92,7 +92,7 @@
         self.jobs: dict[str, Job] = {}
         self.unplaced: dict[str, Job] = {}
         self.engine_queue = EngineQueue(engine_s=self.engine_s)
-        self.wanted = asyncio.Event()
+        self.work_available = asyncio.Event()
         self.boards = EngineBoards(
             salt=own_address, warmup=warmup, new_board=new_board, permits=self.permits
         )
@@ -104,8 +104,8 @@
             keeper=self,
             share_of=share_of,
             crashes=crashes,
-            back_s=back_s,
-            support_back_s=support_back_s,
+            backoff_left_s=backoff_left_s,
+            support_backoff_left_s=support_backoff_left_s,
             permits=self.permits,
         )
         self.rejections = Rejections(
@@ -134,16 +134,16 @@
         """Take in which replicas there are."""
         self.stages.on_replicas()
         self.boards.set_replicas(self.replicas, self.share_of)
-        self.remake_lost()
-        self.place_waiting()
+        self.recompute_lost()
+        self.place_waiting_jobs()
 
-    def remake_lost(self) -> None:
+    def recompute_lost(self) -> None:
         """Make the results anew that lay at replicas that are gone and are still needed."""
         for job in list(self.unplaced.values()):
             if not job.ended:
                 lost = job.lost_phases(self.replicas.replicas)
                 if lost:
-                    self.remake(job, lost)
+                    self.recompute(job, lost)
 
     async def run(self) -> None:
         """Look after waiting calls and results to be freed until cancelled.
@@ -151,11 +151,11 @@
         A box that schedules nothing does nothing: of 195 boxes one does.
         """
         while True:
-            await self.wanted.wait()
-            await asyncio.sleep(TICK_S)
+            await self.work_available.wait()
+            await asyncio.sleep(TICK_INTERVAL_S)
             self.tick()
             if self.is_idle:
-                self.wanted.clear()
+                self.work_available.clear()
 
     @property
     def is_idle(self) -> bool:
@@ -169,40 +169,40 @@
         now = self.clock.monotonic()
         self.boards.forget_lost(now)
         self.rejections.reject_blocked()
-        self.place_waiting()
-        self.rejections.judge_waiting(now)
-        self.give_up_fetched(now)
+        self.place_waiting_jobs()
+        self.rejections.check_waiting_jobs(now)
+        self.free_fetched(now)
         for job in list(self.jobs.values()):
-            if now > job.deadline_at + JOB_MEMORY_S:
+            if now > job.deadline_at + JOB_RETENTION_S:
                 self.end(job)
         self.stages.tick(now)
 
-    def give_up_fetched(self, now: float) -> None:
+    def free_fetched(self, now: float) -> None:
         """Give the results up that engines have fetched."""
         for job in self.jobs.values():
-            if job.placed_at is not None and now >= job.placed_at + ENGINE_FETCH_S:
-                job.placed_at = None
-                self.stages.release.give_up(job.all_results())
+            if job.fetch_pending_since is not None and now >= job.fetch_pending_since + ENGINE_FETCH_DELAY_S:
+                job.fetch_pending_since = None
+                self.stages.release.free_soon(job.all_results())
 
-    def on_backoffs(self, message: BackoffNews) -> None:
+    def on_backoffs(self, message: BackoffNotice) -> None:
         """Take in which engines want nothing from a box, and look anew at what waits for it."""
         now = self.clock.monotonic()
         self.boards.backoffs.note(message.address, message.backoffs, now)
         self.rejections.reject_backing_off(now)
 
-    def on_place(self, place: Place) -> None:
+    def on_place(self, place: PlaceJob) -> None:
         """Begin a job; a repeated message begins nothing twice."""
         if place.job in self.jobs:
             return
         now = self.clock.monotonic()
         self.boards.backoffs.note(place.reply_to, place.backoffs, now)
         job = Job(place=place, now=now)
-        self.remember(job)
+        self.add_job(job)
         successor = self.succession.successor
-        if successor is not None and place.missed != successor:
+        if successor is not None and place.silent_scheduler != successor:
             self.succession.hand_over(job)
             return
-        job.adopted = successor is not None
+        job.is_adopted = successor is not None
         board = self.boards.get(place.service)
         if board is None:
             self.reject(job, 'unknown-service')
@@ -210,41 +210,41 @@
         if not board.serves(job):
             self.reject_unserved(job)
             return
-        if not self.rejections.lets_in(job, now):
+        if not self.rejections.admits(job, now):
             return
-        job.urgency = self.evenness.urgency(place.priority)
+        job.effective_priority = self.evenness.urgency(place.priority)
         if not place.resumed and not place.asked_before:
-            job.beyond = self.allowances.ask(place.workspace, self.stages.work_s(place), now)
+            job.is_over_allowance = self.allowances.ask(place.workspace, self.stages.replica_time_s(place), now)
         engine_s = board.least_time_s(job, now)
-        others = self.unplaced.values()
-        verdict = self.admission.judge(job, others, self.stages.queues, engine_s, now)
+        waiting_jobs = self.unplaced.values()
+        verdict = self.admission.judge(job, waiting_jobs, self.stages.queues, engine_s, now)
         if not verdict.admitted:
             self.reject(job, 'overloaded', verdict.retry_after_s)
             return
-        job.tail_s = self.tails(job)
+        job.critical_path_s = self.critical_paths(job)
         self.advance(job)
 
-    def tails(self, job: Job) -> dict[int, float]:
+    def critical_paths(self, job: Job) -> dict[int, float]:
         """Return for each phase what is expected from its call to the engine's first event."""
-        found: dict[int, float] = {}
+        paths: dict[int, float] = {}
         engine_s = self.engine_times.expected_s(job.place.prompt.tokens_in)
         for number in reversed(range(len(job.place.phases))):
             phase = job.place.phases[number]
             queue = self.stages.queues.get(phase.service)
-            own_s = queue.usual_s() if queue is not None and phase.pieces else 0.0
+            own_s = queue.typical_call_s() if queue is not None and phase.pieces else 0.0
             readers = [
-                found.get(reader, 0.0)
+                paths.get(reader, 0.0)
                 for reader, other in enumerate(job.place.phases)
                 if number in other.needs
             ]
-            found[number] = own_s + max(readers, default=engine_s)
-        return found
+            paths[number] = own_s + max(readers, default=engine_s)
+        return paths
 
     def advance(self, job: Job) -> None:
         """Begin the phases that can be begun; place the job when its stages are done."""
         if job.ended or job.placed_on is not None:
             return
-        if self.succession.successor is not None and not job.adopted:
+        if self.succession.successor is not None and not job.is_adopted:
             self.succession.hand_over(job)
             return
         while ready := job.ready_phases():
@@ -252,9 +252,9 @@
                 self.begin_phase(job, number)
                 if job.ended:
                     return
-        if job.stages_done:
+        if job.are_stages_done:
             self.engine_queue.add(job)
-            self.place_waiting()
+            self.place_waiting_jobs()
             return
         self.stages.dispatch_soon()
 
@@ -273,30 +273,30 @@
             if job.results[number][index] is None:
                 queue.add(piece, now)
             else:
-                piece.note_called(True)
+                piece.set_dispatched(True)
 
     def engine_s(self, job: Job) -> float:
         """Return what an engine is believed to take to a job's first event."""
         return self.engine_times.expected_s(job.place.prompt.tokens_in)
 
-    def place_waiting(self) -> None:
+    def place_waiting_jobs(self) -> None:
         """Give the places at engines to the jobs that wait for one, until none is left."""
         full: set[str] = set()
         for job in self.engine_queue.ordered(self.clock.monotonic()):
             if job.place.service in full:
                 continue
             self.place_engine(job)
-            if job.id in self.engine_queue.jobs and not self.is_restricted(job):
+            if job.id in self.engine_queue.jobs and not self.has_engine_restrictions(job):
                 full.add(job.place.service)
 
-    def is_restricted(self, job: Job) -> bool:
+    def has_engine_restrictions(self, job: Job) -> bool:
         """Tell whether others may find a place at an engine where a job found none."""
         return bool(job.place.exclude) or job.place.reply_to in self.boards.backoffs.by_box
 
     def reject_unserved(self, job: Job) -> None:
         """Tell the box at once that there is no engine for a job."""
         now = self.clock.monotonic()
-        self.reject(job, 'no-engine', self.admission.return_s(job, NO_ENGINE_S, now))
+        self.reject(job, 'no-engine', self.admission.return_s(job, NO_ENGINE_RETRY_S, now))
 
     def place_engine(self, job: Job) -> None:
         """Choose the engine and tell the box, or let the job wait on."""
@@ -314,7 +314,7 @@
         replica = choice.engine.replica.id
         job.placed_on = replica
         del self.unplaced[job.id]
-        job.placed_at = job.engine_at = now
+        job.fetch_pending_since = job.placed_at = now
         self.admission.learn(job, now - job.arrived_at)
         in_time = now + self.engine_s(job) <= job.objective_at
         self.evenness.learn(job.place.priority, in_time=in_time)
@@ -330,7 +330,7 @@
         )
         self.send(job.place.reply_to, placed)
 
-    def reject(self, job: Job, reason: str, retry_after_s: float = RETRY_AFTER_S) -> None:
+    def reject(self, job: Job, reason: str, retry_after_s: float = DEFAULT_RETRY_AFTER_S) -> None:
         """Tell the box that a job is not placed, and end it."""
         self.observer.on_rejected(job, reason, retry_after_s)
         self.evenness.learn(job.place.priority, in_time=False)
@@ -345,11 +345,11 @@
             return
         now = self.clock.monotonic()
         placed_at = now
-        if job.engine_at is not None:
-            placed_at = job.engine_at
+        if job.placed_at is not None:
+            placed_at = job.placed_at
             self.engine_times.learn(job.place.prompt.tokens_in, now - placed_at)
         self.boards[job.place.service].started(job.placed_on, job.id, placed_at, now)
-        self.stages.release.give_up(job.all_results())
+        self.stages.release.free_soon(job.all_results())
 
     def on_ended(self, message: RunEnded) -> None:
         """Note that a job is over."""
@@ -364,47 +364,47 @@
             else:
                 board.ended(job.placed_on, job.id, failed=message.failed, now=now)
         self.end(job)
-        self.place_waiting()
+        self.place_waiting_jobs()
 
     def end(self, job: Job) -> None:
         """Forget a job and give its results up."""
         job.ended = True
-        self.forget(job)
-        self.stages.release.give_up(job.all_results())
+        self.remove_job(job)
+        self.stages.release.free_soon(job.all_results())
 
-    def remember(self, job: Job) -> None:
+    def add_job(self, job: Job) -> None:
         """Keep a job from now on."""
         self.jobs[job.id] = self.unplaced[job.id] = job
-        self.wanted.set()
+        self.work_available.set()
 
-    def forget(self, job: Job) -> None:
+    def remove_job(self, job: Job) -> None:
         """Keep a job that is over no more, nor its pieces."""
         self.jobs.pop(job.id, None)
         self.unplaced.pop(job.id, None)
         self.engine_queue.drop(job)
         self.stages.drop_stale(job)
 
-    def tell_progress(
-        self, job: Job, results: tuple[MadeResult, ...], freed: tuple[int, ...]
+    def report_progress(
+        self, job: Job, results: tuple[StageResult, ...], freed: tuple[int, ...]
     ) -> None:
         """Tell a job's box what another scheduler would have to know."""
         if not job.ended and job.place.reply_to != self.own_address:
             self.send(job.place.reply_to, Progress(job=job.id, results=results, freed=freed))
 
-    def remake_inputs(self, job: Job, piece: Piece) -> None:
+    def recompute_inputs(self, job: Job, piece: Piece) -> None:
         """Make the inputs of a piece anew, since its replica found one gone."""
         if job.pieces.get(piece.phase) is None or piece not in job.pieces[piece.phase]:
             return
         if piece.tries >= MAX_PIECE_TRIES:
             self.reject(job, 'result-gone')
             return
-        self.remake(job, [*piece.work.needs, piece.phase])
+        self.recompute(job, [*piece.phase_work.needs, piece.phase])
 
-    def remake(self, job: Job, phases: list[int]) -> None:
+    def recompute(self, job: Job, phases: list[int]) -> None:
         """Forget phases' results and go on from what is left."""
         tries = max((item.tries for made in job.pieces.values() for item in made), default=0)
         for phase in phases:
-            self.stages.release.give_up([item for item in job.results[phase] if item is not None])
+            self.stages.release.free_soon([item for item in job.results[phase] if item is not None])
             job.invalidate(phase)
         self.engine_queue.drop(job)
         self.stages.drop_stale(job)
--- a/packages/core/calicopath_core/scheduling/stage_calls.py
+++ b/packages/core/calicopath_core/scheduling/stage_calls.py
@@ -12,7 +12,7 @@
 from calicopath_core.scheduling.freeing import ResultFreeing
 from calicopath_core.scheduling.interfaces import PieceCall, PieceResult
 from calicopath_core.scheduling.jobs import Job, Piece, Result
-from calicopath_core.scheduling.overdue import REPORT_TIMEOUT_S, AnswerLost, CallWatch
+from calicopath_core.scheduling.overdue import REPORT_TIMEOUT_S, AnswerLost, CallMonitor
 from calicopath_core.scheduling.pacing import Pacing
 from calicopath_core.scheduling.release import ResultRelease
 from calicopath_core.scheduling.stages import StageQueue, jobs_of
@@ -25,22 +25,22 @@
     from calicopath_core.fleet.deployment import StageSpec
     from calicopath_core.fleet.replicas import Replica, ReplicaTable
     from calicopath_core.scheduling.interfaces import JobKeeper, SchedulerObserver, StageCaller
-    from calicopath_core.scheduling.messages import Place
+    from calicopath_core.scheduling.messages import PlaceJob
     from calicopath_core.scheduling.stage_replicas import StageReplica
     from calicopath_core.scheduling.stages import StageBatch
 
 MAX_PIECE_TRIES = 4
 """A piece that failed this often ends its job."""
 
-FETCHED_S = 0.08
+INPUT_FETCH_S = 0.08
 """How long after a call began its replica has fetched the inputs: it does so at its turn, which is
 at once as calls go to idle replicas, over links of 10 Gbit/s."""
 
-CALL_GRACE_S = 1.0
+CALL_TIMEOUT_MARGIN_S = 1.0
 """How much longer than expected a stage's call may take before it is given up. A slow replica
 works four times as long: a call of 0.37 s then ends before 1.5 s."""
 
-SLOW_FACTOR = 5.0
+CALL_TIMEOUT_FACTOR = 5.0
 
 
 class StageCalls:
@@ -56,12 +56,12 @@
         keeper: JobKeeper,
         share_of: Callable[[list[Replica]], list[Replica]],
         crashes: CrashGuard,
-        back_s: Callable[[Replica], float] = lambda replica: 0.0,
-        support_back_s: Callable[[Replica], float] = lambda replica: 0.0,
+        backoff_left_s: Callable[[Replica], float] = lambda replica: 0.0,
+        support_backoff_left_s: Callable[[Replica], float] = lambda replica: 0.0,
         permits: PermitLender | None = None,
     ) -> None:
         self.permits = permits or NoLimits()
-        self.back_s = back_s
+        self.backoff_left_s = backoff_left_s
         self.clock = clock
         self.replicas = replicas
         self.caller = caller
@@ -70,7 +70,7 @@
         self.share_of = share_of
         self.crashes = crashes
         self.pacing = Pacing()
-        self.watch = CallWatch(clock=clock, caller=caller, observer=observer)
+        self.call_monitor = CallMonitor(clock=clock, caller=caller, observer=observer)
         self.queues: dict[str, StageQueue] = {}
         self.freeing = ResultFreeing(
             replicas=replicas,
@@ -78,7 +78,7 @@
             observer=observer,
             spawn=self.spawn,
             on_freed=self.on_freed,
-            back_s=support_back_s,
+            backoff_left_s=support_backoff_left_s,
         )
         self.release = ResultRelease(
             clock=clock,
@@ -88,7 +88,7 @@
             freeing=self.freeing,
         )
         self.tasks: set[asyncio.Task[None]] = set()
-        self.room_unknown = False
+        self.is_room_unknown = False
         self.is_dispatch_due = False
 
     def set_spec(self, service: str, spec: StageSpec) -> None:
@@ -98,16 +98,16 @@
             queue = self.queues[service] = StageQueue(
                 service=service,
                 spec=spec,
-                goes_alone=lambda job: self.crashes.is_suspect(job.place.content, service),
-                back_s=self.back_s,
+                runs_alone=lambda job: self.crashes.is_suspect(job.place.content, service),
+                backoff_left_s=self.backoff_left_s,
                 permits=self.permits,
             )
         queue.spec = spec
 
-    def work_s(self, place: Place) -> float:
+    def replica_time_s(self, place: PlaceJob) -> float:
         """Return the seconds of replicas' time that a job's stages take, its calls shared."""
         return sum(
-            phase.pieces * self.queues[phase.service].share_s()
+            phase.pieces * self.queues[phase.service].typical_piece_s()
             for phase in place.phases
             if phase.service in self.queues
         )
@@ -122,7 +122,7 @@
     def is_idle(self) -> bool:
         """Tell whether nothing waits, is at work or is to be freed."""
         return (
-            not self.freeing.waiting
+            not self.freeing.pending
             and not self.tasks
             and not any(queue.waiting for queue in self.queues.values())
         )
@@ -130,7 +130,7 @@
     def tick(self, now: float) -> None:
         """Do what is due by time."""
         for queue in self.queues.values():
-            for target in queue.known.values():
+            for target in queue.known_replicas.values():
                 target.expire(now)
         self.dispatch()
 
@@ -146,18 +146,18 @@
         to every replica for that.
         """
         self.release.on_hand_over()
-        self.room_unknown = True
+        self.is_room_unknown = True
         if has_work:
-            self.learn_all_room()
+            self.query_all_room()
 
-    def learn_all_room(self) -> None:
+    def query_all_room(self) -> None:
         """Ask every replica how much room it has."""
-        self.room_unknown = False
+        self.is_room_unknown = False
         for queue in self.queues.values():
             for target in queue.replicas.values():
-                self.spawn(self.learn_room(queue, target))
+                self.spawn(self.query_room(queue, target))
 
-    async def learn_room(self, queue: StageQueue, target: StageReplica) -> None:
+    async def query_room(self, queue: StageQueue, target: StageReplica) -> None:
         """Ask a replica how much room it has; without an answer its own word is waited for."""
         try:
             async with asyncio.timeout(REPORT_TIMEOUT_S):
@@ -167,7 +167,7 @@
         except (BackendError, TimeoutError) as error:
             self.observer.on_report_failed(target.replica, error)
             return
-        target.on_free_bytes(report.free_bytes, queue.spec, self.clock.monotonic())
+        target.update_free_bytes(report.free_bytes, queue.spec, self.clock.monotonic())
         self.dispatch_soon()
 
     def dispatch_soon(self) -> None:
@@ -183,8 +183,8 @@
         """Make every call that should be made now."""
         self.is_dispatch_due = False
         now = self.clock.monotonic()
-        if self.room_unknown and any(queue.waiting for queue in self.queues.values()):
-            self.learn_all_room()
+        if self.is_room_unknown and any(queue.waiting for queue in self.queues.values()):
+            self.query_all_room()
         held = self.pacing.held(self.keeper.unplaced.values(), self.queues, now)
         for queue in self.queues.values():
             for batch in queue.batches(now, held):
@@ -193,7 +193,7 @@
                 calls = [self.piece_call(piece, now) for piece in batch.pieces]
                 for job in jobs_of(batch):
                     job.open_calls += 1
-                self.spawn(self.call(queue, batch, calls))
+                self.spawn(self.run_call(queue, batch, calls))
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
         """Run something in the background."""
@@ -201,15 +201,15 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def call(self, queue: StageQueue, batch: StageBatch, calls: list[PieceCall]) -> None:
+    async def run_call(self, queue: StageQueue, batch: StageBatch, calls: list[PieceCall]) -> None:
         """Make one call and take its results in."""
         begun = self.clock.monotonic()
         replica = batch.target.replica
-        fetched = asyncio.get_running_loop().call_later(FETCHED_S, self.release.on_fetched, batch)
-        expected_s = queue.expected_s(len(calls))
-        limit_s = expected_s * SLOW_FACTOR + CALL_GRACE_S
+        fetched = asyncio.get_running_loop().call_later(INPUT_FETCH_S, self.release.on_fetched, batch)
+        expected_s = queue.expected_call_s(len(calls))
+        limit_s = expected_s * CALL_TIMEOUT_FACTOR + CALL_TIMEOUT_MARGIN_S
         try:
-            results = await self.watch.run(replica, calls, expected_s, limit_s)
+            results = await self.call_monitor.run(replica, calls, expected_s, limit_s)
         except (BackendError, TimeoutError) as error:
             if isinstance(error, ConnectionBroken):
                 fate = ReplicaFate(reach=self.caller, replicas=self.replicas, replica=replica)
@@ -227,31 +227,31 @@
         for piece, result in zip(batch.pieces, results, strict=True):
             if result.handle is not None:
                 made[result.handle] = piece.result_bytes
-        queue.finished(batch, made, now)
-        batch.target.on_time(now - begun, expected_s, now)
+        queue.on_finished(batch, made, now)
+        batch.target.record_duration(now - begun, expected_s, now)
         self.observer.on_stage_call(
             queue.service, replica.id, batch.pieces, now - begun, outcome_of(results)
         )
         for piece, result in zip(batch.pieces, results, strict=True):
-            self.take_result(queue, batch, piece, result)
-        self.release.tell_made(batch)
+            self.on_result(queue, batch, piece, result)
+        self.release.report_results(batch)
         for job in jobs_of(batch):
             self.crashes.on_survived(job.place.content, queue.service)
-            self.after_call(job)
+            self.continue_job(job)
         self.dispatch_soon()
 
     def piece_call(self, piece: Piece, now: float) -> PieceCall:
         """Describe a piece to its replica."""
         job = piece.job
         inputs = tuple(result.handle for result in job.inputs_of(piece.phase))
-        reads = bool(piece.work.needs)
+        reads_inputs = bool(piece.phase_work.needs)
         return PieceCall(
             call_id=job.place.call_id,
             phase=piece.phase,
             number=piece.index,
             remaining_s=max(0.0, job.deadline_at - now),
             piece_key=job.place.piece_key,
-            inputs=inputs if reads else None,
+            inputs=inputs if reads_inputs else None,
         )
 
     def close_call(self, batch: StageBatch) -> None:
@@ -267,34 +267,34 @@
         now = self.clock.monotonic()
         full = isinstance(error, NotStarted)
         if isinstance(error, AnswerLost):
-            queue.answer_lost(batch, now)
+            queue.on_answer_lost(batch, now)
         else:
-            queue.failed(batch, now, full=full)
+            queue.on_failed(batch, now, full=full)
         self.observer.on_stage_call(
             queue.service, batch.target.replica.id, batch.pieces, now - begun, repr(error)
         )
         for piece in batch.pieces:
-            self.try_again(queue, piece, full=full)
+            self.retry_piece(queue, piece, full=full)
         for job in jobs_of(batch):
             self.keeper.advance(job)
         self.dispatch_soon()
 
-    def try_again(self, queue: StageQueue, piece: Piece, *, full: bool) -> None:
+    def retry_piece(self, queue: StageQueue, piece: Piece, *, full: bool) -> None:
         """Let a piece wait again, or end its job when it failed too often or its time is over."""
         now = self.clock.monotonic()
         if full:
             piece.tries -= 1
-        if piece.stale:
+        if piece.is_stale:
             return
         if piece.tries >= MAX_PIECE_TRIES or now >= piece.job.deadline_at:
             self.keeper.reject(piece.job, 'stage-failed')
             return
-        if piece.inputs_gone:
-            self.keeper.remake_inputs(piece.job, piece)
+        if piece.has_missing_inputs:
+            self.keeper.recompute_inputs(piece.job, piece)
             return
         queue.add(piece, now)
 
-    def take_result(
+    def on_result(
         self, queue: StageQueue, batch: StageBatch, piece: Piece, result: PieceResult
     ) -> None:
         """Note a piece's result, or let it wait again."""
@@ -303,45 +303,45 @@
         if result.handle is not None:
             made = Result(
                 handle=result.handle,
-                maker=target.id,
+                producer=target.id,
                 zone=target.zone,
                 size=piece.result_bytes,
-                made_at=self.clock.monotonic(),
+                created_at=self.clock.monotonic(),
             )
-            if piece.stale:
-                self.release.give_up([made])
+            if piece.is_stale:
+                self.release.free_soon([made])
                 return
             job.results[piece.phase][piece.index] = made
             return
         if result.reason == 'gone':
-            self.release.on_gone(piece)
-        if piece.stale:
+            self.release.on_input_gone(piece)
+        if piece.is_stale:
             return
         if result.reason == 'gone':
-            self.keeper.remake_inputs(job, piece)
+            self.keeper.recompute_inputs(job, piece)
             return
         if result.reason == 'late':
             self.keeper.reject(job, 'deadline-passed')
             return
         full = result.reason == 'room'
         if full and batch.target.no_room_until <= self.clock.monotonic():
-            queue.no_room(batch, self.clock.monotonic())
-        self.try_again(queue, piece, full=full)
+            queue.on_no_room(batch, self.clock.monotonic())
+        self.retry_piece(queue, piece, full=full)
 
     def on_freed(self, maker: str, handles: list[str]) -> None:
         """Count the room of results as free that their maker has given up."""
         for queue in self.queues.values():
-            target = queue.known.get(maker)
+            target = queue.known_replicas.get(maker)
             if target is not None:
                 for handle in handles:
                     target.free(handle)
         self.dispatch_soon()
 
-    def after_call(self, job: Job) -> None:
+    def continue_job(self, job: Job) -> None:
         """Go on with a job after a call: free what was read, begin what can be begun."""
         if job.ended:
             return
-        self.release.give_up_read(job, fetched=False)
+        self.release.free_read(job, fetched=False)
         self.keeper.advance(job)
 
 
--- a/packages/core/calicopath_core/scheduling/stage_replicas.py
+++ b/packages/core/calicopath_core/scheduling/stage_replicas.py
@@ -8,10 +8,10 @@
     from calicopath_core.fleet.deployment import StageSpec
     from calicopath_core.fleet.replicas import Replica
 
-ROOM_SHARE = 0.95
+USABLE_ROOM_RATIO = 0.95
 """The part of a replica's room that is planned for: results are about the size that is stated."""
 
-FOREIGN_S = 1.5
+OTHER_BOOKING_S = 1.5
 """How long room that others have booked is believed to be taken: what a dead scheduler left lives
 for 4 s at most, what one that leaves has made is freed within two calls."""
 
@@ -23,7 +23,7 @@
 OVERDUE_FACTOR = 1.3
 """A call that takes this many times what is stated is not waited for any longer."""
 
-SLOW_MEMORY_S = 3.0
+SLOWNESS_EXPIRY_S = 3.0
 """How long a replica is thought slow without being tried."""
 
 
@@ -39,50 +39,50 @@
 
     def __init__(self, *, replica: Replica) -> None:
         self.replica = replica
-        self.calls = 0
+        self.open_calls = 0
         self.bookings: dict[str, Booking] = {}
         self.booked_bytes = 0
         self.reserved_bytes = 0
-        self.failures = 0
-        self.declines = 0
-        self.idle_until = 0.0
+        self.consecutive_failures = 0
+        self.consecutive_declines = 0
+        self.unavailable_until = 0.0
         self.no_room_until = 0.0
-        self.foreign_bytes = 0.0
-        self.foreign_until = 0.0
+        self.other_bytes = 0.0
+        self.other_until = 0.0
         self.free_at = 0.0
         self.due_at = 0.0
         self.slowness = 1.0
-        self.measured_at = 0.0
+        self.slowness_measured_at = 0.0
 
-    def on_time(self, took_s: float, expected_s: float, now: float) -> None:
+    def record_duration(self, took_s: float, expected_s: float, now: float) -> None:
         """Note how long a call took against what is stated."""
         self.slowness += SLOWNESS_SMOOTHING * (took_s / expected_s - self.slowness)
-        self.measured_at = now
+        self.slowness_measured_at = now
 
-    def busy_s(self, now: float) -> float:
+    def busy_for_s(self, now: float) -> float:
         """Return the seconds until the call at work should be done."""
-        return max(0.0, self.free_at - now) if self.calls else 0.0
+        return max(0.0, self.free_at - now) if self.open_calls else 0.0
 
     def is_overdue(self, now: float) -> bool:
         """Tell whether a call takes longer than it should: the replica may be slow or gone."""
-        return self.calls > 0 and now > self.due_at
+        return self.open_calls > 0 and now > self.due_at
 
     def is_slow(self, now: float) -> bool:
         """Tell whether calls take much longer here; after a while that is tried again."""
-        return self.slowness > SLOW_FACTOR and now - self.measured_at < SLOW_MEMORY_S
+        return self.slowness > SLOW_FACTOR and now - self.slowness_measured_at < SLOWNESS_EXPIRY_S
 
     def room_left(self, spec: StageSpec, now: float) -> float:
         """Return the bytes free for results, as far as known; none after it said so itself."""
         if now < self.no_room_until:
             return 0.0
-        foreign = self.foreign_bytes if now < self.foreign_until else 0.0
-        return spec.room_bytes * ROOM_SHARE - self.booked_bytes - self.reserved_bytes - foreign
+        other = self.other_bytes if now < self.other_until else 0.0
+        return spec.room_bytes * USABLE_ROOM_RATIO - self.booked_bytes - self.reserved_bytes - other
 
-    def on_free_bytes(self, free_bytes: float, spec: StageSpec, now: float) -> None:
+    def update_free_bytes(self, free_bytes: float, spec: StageSpec, now: float) -> None:
         """Note the room that the replica tells of: what is missing, others have booked."""
-        own = self.booked_bytes + self.reserved_bytes
-        self.foreign_bytes = max(0.0, spec.room_bytes - free_bytes - own)
-        self.foreign_until = now + FOREIGN_S
+        own_bytes = self.booked_bytes + self.reserved_bytes
+        self.other_bytes = max(0.0, spec.room_bytes - free_bytes - own_bytes)
+        self.other_until = now + OTHER_BOOKING_S
 
     def free(self, handle: str) -> None:
         """Give the room of a result back; a replica that had none for another may now have it."""
--- a/packages/core/calicopath_core/scheduling/stages.py
+++ b/packages/core/calicopath_core/scheduling/stages.py
@@ -5,10 +5,10 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from calicopath_core.permits.holder import NoLimits, PermitLender
-from calicopath_core.scheduling.jobs import LARGE_BYTES
-from calicopath_core.scheduling.placing import Home, home_of, may_go, zone_waits
+from calicopath_core.scheduling.jobs import LARGE_RESULT_BYTES
+from calicopath_core.scheduling.placing import DomainPreference, preference_of, may_run_in, zone_waits
 from calicopath_core.scheduling.stage_replicas import OVERDUE_FACTOR, Booking, StageReplica
-from calicopath_core.scheduling.waiting import WaitingPieces, rank_again
+from calicopath_core.scheduling.waiting import WaitingPieces, update_ranking
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Container, Iterable, Iterator
@@ -18,28 +18,28 @@
     from calicopath_core.scheduling.jobs import Job, Piece
     from calicopath_core.scheduling.waiting import PieceGroup, RankedGroup
 
-GATHER_S = 0.03
+MAX_BATCH_DELAY_S = 0.03
 """How long a call waits to be filled when one replica alone is free. Mean worth is the same from
 20 to 60 ms and lower at 120 ms: while all replicas work, pieces gather by themselves."""
 
-EJECT_S = 1.0
-MAX_EJECT_S = 8.0
+MIN_EJECTION_S = 1.0
+MAX_EJECTION_S = 8.0
 """How long a replica that failed a call is left alone; doubled with each failure in a row."""
 
-FULL_S = 0.05
-MAX_FULL_S = 0.4
+MIN_FULL_BACKOFF_S = 0.05
+MAX_FULL_BACKOFF_S = 0.4
 """How long a replica that declined a call as full is left alone, doubled each time in a row: one
 that declines all for 5 s gets 15 calls in place of 100. What it asks for itself comes on top."""
 
-BUSY_SHARE = 1.0
+BUSY_CALLS_PER_REPLICA = 1.0
 """With more pieces waiting than this many calls for each replica, no zone is waited for: what
 one zone can't take then makes others late."""
 
-NO_ROOM_S = 0.15
+NO_ROOM_BACKOFF_S = 0.15
 """How long a replica that had no room for a result is left alone, whatever it tells of its room,
 which is some 100 ms old."""
 
-USUAL_FILL = 0.75
+TYPICAL_FILL_RATIO = 0.75
 """The part of a call that is filled under load: 0.6 to 0.9, the mean over the calls of a day."""
 
 
@@ -63,17 +63,17 @@
         *,
         service: str,
         spec: StageSpec,
-        goes_alone: Callable[[Job], bool] = lambda job: False,
-        back_s: Callable[[Replica], float] = lambda replica: 0.0,
+        runs_alone: Callable[[Job], bool] = lambda job: False,
+        backoff_left_s: Callable[[Replica], float] = lambda replica: 0.0,
         permits: PermitLender | None = None,
     ) -> None:
         self.permits = permits or NoLimits()
         self.service = service
         self.spec = spec
-        self.goes_alone = goes_alone
-        self.back_s = back_s
+        self.runs_alone = runs_alone
+        self.backoff_left_s = backoff_left_s
         self.replicas: dict[str, StageReplica] = {}
-        self.known: dict[str, StageReplica] = {}
+        self.known_replicas: dict[str, StageReplica] = {}
         self.waiting = WaitingPieces()
 
     def set_replicas(self, usable: Iterable[Replica], alive: Container[str] = ()) -> None:
@@ -83,45 +83,45 @@
         their results take.
         """
         listed = {replica.id: replica for replica in usable}
-        self.known = {name: item for name, item in self.known.items() if name in alive}
+        self.known_replicas = {name: item for name, item in self.known_replicas.items() if name in alive}
         for name, replica in listed.items():
-            target = self.known.get(name) or self.replicas.get(name)
+            target = self.known_replicas.get(name) or self.replicas.get(name)
             target = target or StageReplica(replica=replica)
             target.replica = replica
-            self.known[name] = target
-        self.replicas = {name: self.known[name] for name in listed}
+            self.known_replicas[name] = target
+        self.replicas = {name: self.known_replicas[name] for name in listed}
 
     def add(self, piece: Piece, now: float) -> None:
         """Let a piece wait."""
-        piece.note_called(False)
-        piece.fetched = False
+        piece.set_dispatched(False)
+        piece.has_fetched_inputs = False
         self.waiting.add(piece, now)
 
     def drop_stale(self, job: Job) -> None:
         """Forget the pieces of a job that is over, or that it makes anew."""
         self.waiting.drop_stale(job)
 
-    def open_replicas(self) -> list[StageReplica]:
+    def available_replicas(self) -> list[StageReplica]:
         """Return the replicas that do not ask this box to leave them alone."""
-        return [item for item in self.replicas.values() if self.back_s(item.replica) <= 0]
+        return [item for item in self.replicas.values() if self.backoff_left_s(item.replica) <= 0]
 
     def free_replicas(self, now: float) -> list[StageReplica]:
         """Return the replicas that could take a call now, those with most room first."""
         found = [
             item
-            for item in self.open_replicas()
-            if item.calls < self.spec.concurrency
-            and item.idle_until <= now
+            for item in self.available_replicas()
+            if item.open_calls < self.spec.concurrency
+            and item.unavailable_until <= now
             and self.permits.opens_in_s(item.replica) <= 0
         ]
-        if len(self.waiting) <= self.backlog_bound(now):
+        if len(self.waiting) <= self.max_quick_backlog(now):
             found = [item for item in found if not item.is_slow(now)]
         return sorted(found, key=lambda item: -item.room_left(self.spec, now))
 
-    def backlog_bound(self, now: float) -> int:
+    def max_quick_backlog(self, now: float) -> int:
         """Return how many waiting pieces the replicas that aren't slow take with two calls each."""
-        quick = sum(not item.is_slow(now) for item in self.open_replicas())
-        return 2 * quick * self.spec.batch
+        quick_replicas = sum(not item.is_slow(now) for item in self.available_replicas())
+        return 2 * quick_replicas * self.spec.batch
 
     def batches(self, now: float, held: Container[str] = ()) -> Iterator[StageBatch]:
         """Yield the calls to make now; pieces of the jobs that are `held` are left waiting.
@@ -131,163 +131,163 @@
         if not self.waiting or not self.free_replicas(now):
             return
         ranked = self.waiting.ready(held, now)
-        homes = {item.number: home_of(item.group.first, now) for item in ranked}
+        homes = {item.number: preference_of(item.group.first, now) for item in ranked}
         while ranked and (free := self.free_replicas(now)):
-            batch = self.next_of(free, ranked, homes, now)
+            batch = self.choose_batch(free, ranked, homes, now)
             if batch is None:
                 return
-            for item in rank_again(ranked, batch.pieces, now):
-                homes[item.number] = home_of(item.group.first, now)
+            for item in update_ranking(ranked, batch.pieces, now):
+                homes[item.number] = preference_of(item.group.first, now)
             yield batch
 
     def next_batch(self, now: float, held: Container[str] = ()) -> StageBatch | None:
         """Return the next call to make, or nothing while it is better to wait."""
         return next(self.batches(now, held), None)
 
-    def next_of(
+    def choose_batch(
         self,
         free: list[StageReplica],
         ranked: list[RankedGroup],
-        homes: dict[int, Home],
+        homes: dict[int, DomainPreference],
         now: float,
     ) -> StageBatch | None:
         """Return a call of waiting groups to one of the free replicas, the first that it suits."""
-        tied = self.is_calm() and any(homes[item.number].zone for item in ranked)
-        waits = zone_waits(self.open_replicas(), self.spec, self.permits, now) if tied else {}
+        prefers_domain = self.is_lightly_loaded() and any(homes[item.number].zone for item in ranked)
+        waits = zone_waits(self.available_replicas(), self.spec, self.permits, now) if prefers_domain else {}
         for target in free:
             zone = target.replica.zone
-            near = [item.group for item in ranked if may_go(homes[item.number], zone, waits)]
-            if not near:
+            eligible = [item.group for item in ranked if may_run_in(homes[item.number], zone, waits)]
+            if not eligible:
                 continue
-            count = sum(len(group.pieces) for group in near)
-            if count < self.spec.batch and self.wait_s(len(free)) > waited_s(near, now):
+            count = sum(len(group.pieces) for group in eligible)
+            if count < self.spec.batch and self.fill_wait_s(len(free)) > longest_wait_s(eligible, now):
                 continue
-            pieces = self.fitting(near, target, now)
+            pieces = self.fitting_pieces(eligible, target, now)
             if pieces:
-                return self.take(target, pieces, now)
+                return self.start_batch(target, pieces, now)
         return None
 
-    def is_calm(self) -> bool:
+    def is_lightly_loaded(self) -> bool:
         """Tell whether few enough pieces wait for zones to matter."""
-        return len(self.waiting) <= BUSY_SHARE * self.spec.batch * len(self.open_replicas())
+        return len(self.waiting) <= BUSY_CALLS_PER_REPLICA * self.spec.batch * len(self.available_replicas())
 
-    def wait_s(self, free: int) -> float:
+    def fill_wait_s(self, free: int) -> float:
         """Return how long a call that is not full may wait: longer, the fewer replicas are free."""
-        usable = max(1, len(self.open_replicas()))
-        return GATHER_S * (1 - (free - 1) / usable)
+        usable = max(1, len(self.available_replicas()))
+        return MAX_BATCH_DELAY_S * (1 - (free - 1) / usable)
 
-    def fitting(self, near: list[PieceGroup], target: StageReplica, now: float) -> list[Piece]:
+    def fitting_pieces(self, groups: list[PieceGroup], target: StageReplica, now: float) -> list[Piece]:
         """Return the pieces, in order, that one call to a replica can take.
 
         Large results of one job are kept together, so that its engine can be near all of them.
         """
         room = target.room_left(self.spec, now)
         found: list[Piece] = []
-        for group in near:
-            alone = self.goes_alone(group.first.job)
+        for group in groups:
+            alone = self.runs_alone(group.first.job)
             if alone and found:
                 continue
             size = group.result_bytes
             pieces = group.pieces
-            free = min(self.spec.batch - len(found), int(room // size) if size else len(pieces))
-            whole = len(pieces) <= free
-            if not whole and found and size >= LARGE_BYTES and len(pieces) <= self.spec.batch:
+            free_slots = min(self.spec.batch - len(found), int(room // size) if size else len(pieces))
+            fits_whole = len(pieces) <= free_slots
+            if not fits_whole and found and size >= LARGE_RESULT_BYTES and len(pieces) <= self.spec.batch:
                 continue
-            taken = pieces[: max(0, free)]
+            taken = pieces[: max(0, free_slots)]
             found.extend(taken)
             room -= size * len(taken)
             if len(found) == self.spec.batch or (alone and found):
                 break
         return found
 
-    def take(self, target: StageReplica, pieces: list[Piece], now: float) -> StageBatch:
+    def start_batch(self, target: StageReplica, pieces: list[Piece], now: float) -> StageBatch:
         """Take pieces out of the queue and book their room."""
         self.waiting.remove(pieces)
         for piece in pieces:
             piece.tries += 1
-            piece.note_called(True)
+            piece.set_dispatched(True)
             piece.job.zones.setdefault(piece.phase, target.replica.zone)
-        target.calls += 1
-        target.free_at = now + self.expected_s(len(pieces))
-        target.due_at = now + OVERDUE_FACTOR * self.expected_s(len(pieces))
+        target.open_calls += 1
+        target.free_at = now + self.expected_call_s(len(pieces))
+        target.due_at = now + OVERDUE_FACTOR * self.expected_call_s(len(pieces))
         target.reserved_bytes += sum(piece.result_bytes for piece in pieces)
         return StageBatch(target, pieces)
 
-    def book(self, maker: str, handle: str, size: int, now: float) -> None:
+    def book_result(self, maker: str, handle: str, size: int, now: float) -> None:
         """Count the room of a result that another scheduler had made."""
         target = self.replicas.get(maker)
         if target is not None:
             target.bookings[handle] = Booking(size, now + self.spec.result_ttl_s)
             target.booked_bytes += size
             # It was counted as somebody else's when the replica told of its room.
-            target.foreign_bytes = max(0.0, target.foreign_bytes - size)
+            target.other_bytes = max(0.0, target.other_bytes - size)
 
-    def finished(self, batch: StageBatch, made: dict[str, int], now: float) -> None:
+    def on_finished(self, batch: StageBatch, made: dict[str, int], now: float) -> None:
         """Turn the room booked into that of the results made, by handle and size."""
         target = batch.target
-        target.calls -= 1
+        target.open_calls -= 1
         target.reserved_bytes -= sum(piece.result_bytes for piece in batch.pieces)
         for handle, size in made.items():
             target.bookings[handle] = Booking(size, now + self.spec.result_ttl_s)
             target.booked_bytes += size
-        target.failures = target.declines = 0
+        target.consecutive_failures = target.consecutive_declines = 0
 
-    def no_room(self, batch: StageBatch, now: float) -> None:
+    def on_no_room(self, batch: StageBatch, now: float) -> None:
         """Note that a replica had no room for a result."""
-        batch.target.no_room_until = now + NO_ROOM_S
+        batch.target.no_room_until = now + NO_ROOM_BACKOFF_S
 
-    def answer_lost(self, batch: StageBatch, now: float) -> None:
+    def on_answer_lost(self, batch: StageBatch, now: float) -> None:
         """Count the room of results that were made and that nobody can give up."""
         sizes = {f'lost {piece.name}': piece.result_bytes for piece in batch.pieces}
-        self.finished(batch, sizes, now)
+        self.on_finished(batch, sizes, now)
 
-    def failed(self, batch: StageBatch, now: float, *, full: bool) -> None:
+    def on_failed(self, batch: StageBatch, now: float, *, full: bool) -> None:
         """Leave a replica alone for a while that failed a call or was full."""
         target = batch.target
-        target.calls -= 1
+        target.open_calls -= 1
         target.reserved_bytes -= sum(piece.result_bytes for piece in batch.pieces)
         if full:
-            target.idle_until = now + min(MAX_FULL_S, FULL_S * 2**target.declines)
-            target.declines += 1
+            target.unavailable_until = now + min(MAX_FULL_BACKOFF_S, MIN_FULL_BACKOFF_S * 2**target.consecutive_declines)
+            target.consecutive_declines += 1
             return
-        target.failures += 1
-        target.idle_until = now + min(MAX_EJECT_S, EJECT_S * 2 ** (target.failures - 1))
+        target.consecutive_failures += 1
+        target.unavailable_until = now + min(MAX_EJECTION_S, MIN_EJECTION_S * 2 ** (target.consecutive_failures - 1))
 
-    def rate(self) -> float:
+    def pieces_per_s(self) -> float:
         """Return the pieces a second that the replicas can make with calls nearly full."""
-        pieces = max(1, round(self.spec.batch * USUAL_FILL))
-        return pieces * self.calls_per_s(self.open_replicas(), pieces)
+        pieces = max(1, round(self.spec.batch * TYPICAL_FILL_RATIO))
+        return pieces * self.calls_per_s(self.available_replicas(), pieces)
 
     def calls_per_s(self, replicas: Iterable[StageReplica], pieces: int) -> float:
         """Return the calls of so many pieces that some replicas take in a second."""
-        most = 1 / self.expected_s(pieces)
+        unlimited_per_s = 1 / self.expected_call_s(pieces)
         rates = (self.permits.rate_of(item.replica) for item in replicas)
-        return sum(most if rate is None else min(most, rate) for rate in rates)
+        return sum(unlimited_per_s if rate is None else min(unlimited_per_s, rate) for rate in rates)
 
     def opens_in_s(self) -> float:
         """Return when the first replica may be called, 0 for now."""
         waits = (
-            max(self.back_s(item.replica), self.permits.opens_in_s(item.replica))
+            max(self.backoff_left_s(item.replica), self.permits.opens_in_s(item.replica))
             for item in self.replicas.values()
         )
         return min(waits, default=0.0)
 
-    def share_s(self) -> float:
+    def typical_piece_s(self) -> float:
         """Return what a piece takes of a call that is filled as usual."""
-        return self.usual_s() / max(1, round(self.spec.batch * USUAL_FILL))
+        return self.typical_call_s() / max(1, round(self.spec.batch * TYPICAL_FILL_RATIO))
 
-    def usual_s(self) -> float:
+    def typical_call_s(self) -> float:
         """Return what a call usually takes."""
-        return self.expected_s(max(1, round(self.spec.batch * USUAL_FILL)))
+        return self.expected_call_s(max(1, round(self.spec.batch * TYPICAL_FILL_RATIO)))
 
-    def expected_s(self, pieces: int) -> float:
+    def expected_call_s(self, pieces: int) -> float:
         """Return what a call with so many pieces takes, in seconds."""
         return self.spec.call_s + self.spec.piece_s * pieces
 
 
-def waited_s(groups: list[PieceGroup], now: float) -> float:
+def longest_wait_s(groups: list[PieceGroup], now: float) -> float:
     """Return how long the group that waits longest has waited."""
-    return now - min(group.since for group in groups)
+    return now - min(group.waiting_since for group in groups)
 
 
 def jobs_of(batch: StageBatch) -> list[Job]:
--- a/packages/core/calicopath_core/scheduling/succession.py
+++ b/packages/core/calicopath_core/scheduling/succession.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from calicopath_core.scheduling.jobs import Job, Result
-from calicopath_core.scheduling.messages import Adopt, EngineLoads, HandedOver, Learned
+from calicopath_core.scheduling.messages import AdoptJob, EngineLoads, HandedOver, LearnedEstimates
 
 if TYPE_CHECKING:
     from calicopath_core.scheduling.scheduler import Scheduler
@@ -34,7 +34,7 @@
         self.successor = successor
         self.tell_learned(successor)
         for job in list(self.scheduler.jobs.values()):
-            if not job.adopted:
+            if not job.is_adopted:
                 self.hand_over(job)
 
     def tell_learned(self, successor: str) -> None:
@@ -46,7 +46,7 @@
             scheduler.send(successor, message)
         taken = scheduler.allowances.taken(scheduler.clock.monotonic())
         if taken:
-            learned = Learned(
+            learned = LearnedEstimates(
                 sender=scheduler.own_address,
                 taken=taken,
                 bias=scheduler.admission.bias,
@@ -60,23 +60,23 @@
         if job.open_calls or job.placed_on is not None or successor is None:
             return
         now = scheduler.clock.monotonic()
-        results = job.all_made()
+        results = job.describe_results()
         place = msgspec.structs.replace(
             job.place,
             objective_s=job.objective_at - now,
             deadline_s=job.deadline_at - now,
             asked_before=True,
-            beyond=job.beyond,
+            is_over_allowance=job.is_over_allowance,
             backoffs=scheduler.boards.backoffs.of_box(job.place.reply_to, now),
         )
         waited_s = now - job.arrived_at
-        scheduler.send(successor, Adopt(place=place, results=results, waited_s=waited_s))
+        scheduler.send(successor, AdoptJob(place=place, results=results, waited_s=waited_s))
         scheduler.send(job.place.reply_to, HandedOver(job=job.id, scheduler=successor))
         scheduler.observer.on_handed_over(job, successor, len(results))
         job.ended = True
-        scheduler.forget(job)
+        scheduler.remove_job(job)
 
-    def on_adopt(self, message: Adopt) -> None:
+    def on_adopt(self, message: AdoptJob) -> None:
         """Go on with a job that another scheduler has begun."""
         scheduler = self.scheduler
         if message.place.job in scheduler.jobs:
@@ -84,35 +84,35 @@
         now = scheduler.clock.monotonic()
         scheduler.boards.backoffs.note(message.place.reply_to, message.place.backoffs, now)
         job = Job(place=message.place, now=now)
-        job.adopted = True
+        job.is_adopted = True
         job.arrived_at = now - message.waited_s
-        scheduler.remember(job)
+        scheduler.add_job(job)
         if message.place.service not in scheduler.boards:
             scheduler.reject(job, 'unknown-service')
             return
         self.take_results(job, message, now)
-        job.tail_s = scheduler.tails(job)
+        job.critical_path_s = scheduler.critical_paths(job)
         scheduler.advance(job)
 
-    def take_results(self, job: Job, message: Adopt, now: float) -> None:
+    def take_results(self, job: Job, message: AdoptJob, now: float) -> None:
         """Take in what is made of a job, and count the room that it takes."""
         for item in message.results:
             made = Result(
-                handle=item.handle, maker=item.maker, zone=item.zone, size=item.size, made_at=now
+                handle=item.handle, producer=item.producer, zone=item.zone, size=item.size, created_at=now
             )
             made.freed = item.freed
             job.results[item.phase][item.index] = made
             service = message.place.phases[item.phase].service
             queue = self.scheduler.stages.queues.get(service)
             if queue is not None and not item.freed:
-                queue.book(item.maker, item.handle, item.size, now)
+                queue.book_result(item.producer, item.handle, item.size, now)
 
     def on_engine_loads(self, message: EngineLoads) -> None:
         """Take in what a leaving scheduler has placed."""
         now = self.scheduler.clock.monotonic()
         self.scheduler.boards.on_foreign_loads(message.sender, message.loads, now)
 
-    def on_learned(self, message: Learned) -> None:
+    def on_learned(self, message: LearnedEstimates) -> None:
         """Take in what a leaving scheduler has learned, unless this one has seen enough itself."""
         scheduler = self.scheduler
         now = scheduler.clock.monotonic()
--- a/packages/core/calicopath_core/scheduling/tests/admission_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/admission_tests.py
@@ -8,10 +8,10 @@
 
 from calicopath_core.scheduling.admission import MIN_RETRY_S, RETRY_SHARE, RETRY_SPREAD, Admission
 from calicopath_core.scheduling.pacing import HOLDS_S, Pacing
-from calicopath_core.scheduling.stages import GATHER_S
+from calicopath_core.scheduling.stages import MAX_BATCH_DELAY_S
 from calicopath_core.scheduling.tests.work import job, phase, queue, replica, result, wait
 
-LATER = GATHER_S + 0.01
+LATER = MAX_BATCH_DELAY_S + 0.01
 
 
 def crowd(count: int, **changes: Any) -> list[Any]:
@@ -48,7 +48,7 @@
         item = job('one', phase())
         waits = [self.admission.room_in_s(item, crowd(n), self.queues, 0.0) for n in (0, 10, 20)]
         self.assertEqual(0.0, waits[0])
-        self.assertAlmostEqual(40 / self.queues['look'].rate(), waits[1])
+        self.assertAlmostEqual(40 / self.queues['look'].pieces_per_s(), waits[1])
         self.assertAlmostEqual(2 * waits[1], waits[2])
 
     def test_work_of_lower_rank_is_not_in_its_way(self) -> None:
@@ -59,7 +59,7 @@
         self.assertTrue(self.judge(job('one', phase()), late).admitted)
         hopeless = crowd(40, objective_s=0.5)
         for other in hopeless:
-            other.tail_s = {0: 0.6}
+            other.critical_path_s = {0: 0.6}
         self.assertTrue(self.judge(job('two', phase()), hopeless).admitted)
 
     def test_one_that_will_be_late_is_let_in_if_its_caller_waits_that_long(self) -> None:
@@ -81,7 +81,7 @@
 
     def test_the_estimate_follows_what_jobs_take_within_bounds(self) -> None:
         item = job('one', phase())
-        item.expected_s = 1.0
+        item.expected_stages_s = 1.0
         for _ in range(200):
             self.admission.learn(item, 10.0)
         self.assertEqual(2.0, self.admission.bias)
@@ -118,14 +118,14 @@
     def test_pieces_not_in_a_call_are_counted_as_they_are_called_and_come_back(self) -> None:
         target = queue(replica('r'))
         one = job('one', phase('look', count=3), phase('look', (0,), count=2))
-        self.assertEqual([3, 2], one.uncalled)
+        self.assertEqual([3, 2], one.undispatched)
         wait(target, one)
         batch = target.next_batch(LATER)
         assert batch is not None
-        self.assertEqual([0, 2], one.uncalled)
+        self.assertEqual([0, 2], one.undispatched)
         target.add(batch.pieces[0], LATER)
-        self.assertEqual([1, 2], one.uncalled)
+        self.assertEqual([1, 2], one.undispatched)
         one.invalidate(0)
-        self.assertEqual([3, 2], one.uncalled)
+        self.assertEqual([3, 2], one.undispatched)
         target.add(batch.pieces[1], LATER)
-        self.assertEqual([3, 2], one.uncalled)
+        self.assertEqual([3, 2], one.undispatched)
--- a/packages/core/calicopath_core/scheduling/tests/backoffs_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/backoffs_tests.py
@@ -11,9 +11,9 @@
 from calicopath_core.scheduling.backoffs import LEAST_SHUN_S, TRIAL_S
 from calicopath_core.scheduling.interfaces import SchedulerObserver, StageCaller
 from calicopath_core.scheduling.messages import (
-    Adopt,
-    BackoffNews,
-    Place,
+    AdoptJob,
+    BackoffNotice,
+    PlaceJob,
     Placed,
     Rejected,
     RunEnded,
@@ -42,7 +42,7 @@
     def __init__(self) -> None:
         self.placed: dict[str, str] = {}
         self.rejected: dict[str, Rejected] = {}
-        self.handed: list[Adopt] = []
+        self.handed: list[AdoptJob] = []
 
     def send(self, address: str, message: msgspec.Struct) -> None:
         """Keep a message."""
@@ -50,11 +50,11 @@
             self.placed[message.job] = message.replica
         elif isinstance(message, Rejected):
             self.rejected[message.job] = message
-        elif isinstance(message, Adopt):
+        elif isinstance(message, AdoptJob):
             self.handed.append(message)
 
 
-def place(name: str, box: str = BOX, **changes: Any) -> Place:
+def place(name: str, box: str = BOX, **changes: Any) -> PlaceJob:
     """Return a question."""
     return job(name, reply_to=box, **changes).place
 
@@ -87,7 +87,7 @@
 
     def test_a_box_is_given_none_that_wants_nothing_from_it(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs={'e1': 3.0, 'e2': 3.0}))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs={'e1': 3.0, 'e2': 3.0}))
             for number in range(6):
                 scheduler.on_place(place(f'j{number}'))
             self.assertEqual(['e3'] * 6, list(told.placed.values()))
@@ -96,7 +96,7 @@
 
     def test_another_box_is_given_it_only_if_there_is_no_other(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs={'e1': 3.0, 'e2': 3.0}))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs={'e1': 3.0, 'e2': 3.0}))
             scheduler.on_place(place('first', OTHER))
             scheduler.on_place(place('second', OTHER))
             self.assertEqual('e3', told.placed['first'])
@@ -114,7 +114,7 @@
     def test_with_none_left_in_time_it_is_rejected_at_once_until_the_first_is_back(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
             lefts = {'e1': 9.0, 'e2': 4.0, 'e3': 8.0}
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=lefts))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=lefts))
             scheduler.on_place(place('j', objective_s=3.0, deadline_s=60.0))
             self.assertEqual('backing-off', told.rejected['j'].reason)
             self.assertLessEqual(4.0, told.rejected['j'].retry_after_s)
@@ -125,7 +125,7 @@
     def test_a_wait_that_ends_in_time_is_waited_for(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
             lefts = dict.fromkeys(ENGINES, 1.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=lefts))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=lefts))
             scheduler.on_place(place('j', objective_s=3.0))
             self.assertEqual({}, told.placed)
             await asyncio.sleep(1.1)
@@ -140,7 +140,7 @@
             scheduler.on_place(place('waits', objective_s=3.0))
             self.assertNotIn('waits', told.placed)
             lefts = dict.fromkeys(ENGINES, 5.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=lefts))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=lefts))
             self.assertEqual('backing-off', told.rejected['waits'].reason)
 
         self.play(work, slots=1)
@@ -148,7 +148,7 @@
     def test_what_may_have_run_is_held_until_its_deadline_would_pass(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
             lefts = dict.fromkeys(ENGINES, 5.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=lefts))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=lefts))
             scheduler.on_place(place('j', objective_s=3.0, may_have_run=True))
             self.assertEqual({}, told.rejected)
             await asyncio.sleep(5.1)
@@ -159,7 +159,7 @@
     def test_the_jobs_of_one_box_do_not_hold_up_those_of_others(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
             lefts = dict.fromkeys(ENGINES, 1.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=lefts))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=lefts))
             scheduler.on_place(place('waits', objective_s=2.0))
             scheduler.on_place(place('other', OTHER))
             self.assertEqual(['other'], list(told.placed))
@@ -199,7 +199,7 @@
     def test_what_waited_does_not_come_back_in_one_instant(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
             lefts = dict.fromkeys(ENGINES, 1.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=lefts))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=lefts))
             for number in range(30):
                 scheduler.on_place(place(f'j{number}', objective_s=6.0))
             await asyncio.sleep(1.1)
@@ -214,7 +214,7 @@
     def test_a_job_that_is_handed_over_takes_what_is_left_of_it_along(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
             lefts = dict.fromkeys(ENGINES, 1.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=lefts))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=lefts))
             scheduler.on_place(place('j', objective_s=3.0))
             await asyncio.sleep(0.4)
             scheduler.succession.give_way(OTHER)
@@ -227,7 +227,7 @@
     def test_what_is_over_is_forgotten(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
             lefts = dict.fromkeys(ENGINES, 1.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=lefts))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=lefts))
             scheduler.boards.forget_lost(30.0)
             backoffs = scheduler.boards.backoffs
             self.assertEqual(({}, {}), (backoffs.by_box, backoffs.shuns))
--- a/packages/core/calicopath_core/scheduling/tests/fairness_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/fairness_tests.py
@@ -78,7 +78,7 @@
     def test_it_goes_after_what_is_allowed_and_before_what_is_late(self) -> None:
         jobs = {
             'allowed': job('allowed', phase(), priority=2),
-            'beyond': job('beyond', phase(), priority=0, objective_s=1.0, beyond=True),
+            'beyond': job('beyond', phase(), priority=0, objective_s=1.0, is_over_allowance=True),
             'late': job('late', phase(), priority=0, objective_s=-1.0),
         }
         ranked = sorted(jobs, key=lambda name: rank(jobs[name].pieces[0][0], 0.0))
@@ -86,17 +86,17 @@
 
     def test_it_is_in_nobodys_way_at_the_door(self) -> None:
         allowed = job('allowed', phase(), priority=2)
-        beyond = job('beyond', phase(), priority=0, beyond=True)
+        beyond = job('beyond', phase(), priority=0, is_over_allowance=True)
         self.assertTrue(outranks(allowed, beyond))
         self.assertFalse(outranks(beyond, allowed))
 
     def test_its_begun_work_holds_nobody_else_back(self) -> None:
         queues = {'look': queue(replica('r')), 'rank': queue(replica('s'))}
         chain = (phase('look'), phase('rank', (0,), count=4))
-        begun = [job(f'begun-{number}', *chain, beyond=True) for number in range(8)]
+        begun = [job(f'begun-{number}', *chain, is_over_allowance=True) for number in range(8)]
         for item in begun:
             item.results[0][0] = result('h')
-        fresh = [job('allowed', *chain), job('beyond', *chain, beyond=True)]
+        fresh = [job('allowed', *chain), job('beyond', *chain, is_over_allowance=True)]
         self.assertEqual({'beyond'}, Pacing().held([*begun, *fresh], queues, 0.0))
 
 
--- a/packages/core/calicopath_core/scheduling/tests/freeing_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/freeing_tests.py
@@ -8,7 +8,7 @@
 
 from calicopath_core.backends.base import MayHaveRun
 from calicopath_core.fleet.replicas import ReplicaTable
-from calicopath_core.scheduling.freeing import GATHER_S
+from calicopath_core.scheduling.freeing import FREE_BATCH_DELAY_S
 from calicopath_core.scheduling.interfaces import StageCaller
 from calicopath_core.scheduling.stage_calls import StageCalls
 from calicopath_core.scheduling.stages import StageBatch
@@ -39,7 +39,7 @@
     )
     found.set_spec('look', SPEC)
     found.on_replicas()
-    found.queues['look'].book('maker-a', 'h', SIZE, 0.0)
+    found.queues['look'].book_result('maker-a', 'h', SIZE, 0.0)
     return found
 
 
@@ -57,7 +57,7 @@
 
         async def scenario() -> list[int]:
             calls = calls_to(caller)
-            calls.release.give_up([result('h', size=SIZE)])
+            calls.release.free_soon([result('h', size=SIZE)])
             found = []
             begun = asyncio.get_running_loop().time()
             for moment in seconds:
@@ -68,11 +68,11 @@
         return self.run_virtual(scenario())
 
     def test_room_is_taken_until_the_maker_has_answered(self) -> None:
-        moments = [GATHER_S + ANSWER_S / 2, GATHER_S + 2 * ANSWER_S]
+        moments = [FREE_BATCH_DELAY_S + ANSWER_S / 2, FREE_BATCH_DELAY_S + 2 * ANSWER_S]
         self.assertEqual([SIZE, 0], self.booked_after(moments))
 
     def test_room_stays_taken_if_the_maker_cannot_be_reached(self) -> None:
-        moments = [GATHER_S + 2 * ANSWER_S]
+        moments = [FREE_BATCH_DELAY_S + 2 * ANSWER_S]
         self.assertEqual([SIZE], self.booked_after(moments, MayHaveRun('reset')))
 
 
--- a/packages/core/calicopath_core/scheduling/tests/hopeless_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/hopeless_tests.py
@@ -11,7 +11,7 @@
 from calicopath_core.scheduling.engines import EngineBoard
 from calicopath_core.scheduling.interfaces import StageCaller
 from calicopath_core.scheduling.messages import Rejected
-from calicopath_core.scheduling.scheduler import TICK_S, Scheduler
+from calicopath_core.scheduling.scheduler import TICK_INTERVAL_S, Scheduler
 from calicopath_core.scheduling.tests.work import SPEC, job, phase, replica
 from testkit.cases import VirtualCase
 from testkit.ledgers import new_guard
@@ -61,7 +61,7 @@
             scheduler.on_place(job('one', *phases, deadline_s=DEADLINE_S).place)
             running = asyncio.create_task(scheduler.run())
             while not any(isinstance(message, Rejected) for message in sent):
-                await asyncio.sleep(TICK_S / 5)
+                await asyncio.sleep(TICK_INTERVAL_S / 5)
             running.cancel()
             for task in scheduler.stages.tasks:
                 task.cancel()
@@ -72,7 +72,7 @@
     def test_a_begun_job_is_rejected_once_what_is_left_of_it_takes_too_long(self) -> None:
         least_s = SPEC.call_s + SPEC.piece_s + FIRST_EVENT_S
         found = self.rejected_at(*CHAIN)
-        self.assertLess(found, DEADLINE_S - least_s + 3 * TICK_S)
+        self.assertLess(found, DEADLINE_S - least_s + 3 * TICK_INTERVAL_S)
 
     def test_a_call_at_work_is_waited_for_while_its_job_may_be_in_time(self) -> None:
         self.assertGreaterEqual(self.rejected_at(CHAIN[0]), DEADLINE_S)
--- a/packages/core/calicopath_core/scheduling/tests/limited_stages_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/limited_stages_tests.py
@@ -7,14 +7,14 @@
 import testtools
 
 from calicopath_core.permits.holder import NoLimits
-from calicopath_core.scheduling.stages import GATHER_S
+from calicopath_core.scheduling.stages import MAX_BATCH_DELAY_S
 from calicopath_core.scheduling.tests.work import job, phase, queue, replica, wait
 
 if TYPE_CHECKING:
     from calicopath_core.fleet.replicas import Replica
     from calicopath_core.scheduling.stages import StageQueue
 
-LATER = GATHER_S + 0.01
+LATER = MAX_BATCH_DELAY_S + 0.01
 
 
 class OneLimited(NoLimits):
@@ -50,5 +50,5 @@
     def test_what_is_expected_of_a_stage_goes_by_its_limits(self) -> None:
         free, limited = self.stage('other'), self.stage('limited')
         self.assertEqual(0.5, limited.opens_in_s())
-        self.assertLess(limited.rate(), free.rate())
+        self.assertLess(limited.pieces_per_s(), free.pieces_per_s())
         self.assertEqual(1.0, limited.calls_per_s(limited.replicas.values(), 4))
--- a/packages/core/calicopath_core/scheduling/tests/pacing_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/pacing_tests.py
@@ -17,7 +17,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.queues = {name: queue(replica('r')) for name in ('look', 'rank', 'check')}
-        self.call_s = self.queues['look'].usual_s()
+        self.call_s = self.queues['look'].typical_call_s()
 
     def test_a_stage_is_reached_when_those_before_it_are_done(self) -> None:
         found = reach_s(job('one', *CHAIN), self.queues)
@@ -29,11 +29,11 @@
 
     def test_what_is_on_its_way_is_enough_for_jobs_without_time_to_spare(self) -> None:
         hurried = job('one', *CHAIN, objective_s=0.1)
-        hurried.tail_s = {0: 1.0}
+        hurried.critical_path_s = {0: 1.0}
         self.assertEqual(reach_s(hurried, self.queues), ahead_s(hurried, self.queues))
 
     def test_a_call_more_at_most_is_enough_for_jobs_with_much_time(self) -> None:
-        full_s = self.queues['look'].expected_s(SPEC.batch)
+        full_s = self.queues['look'].expected_call_s(SPEC.batch)
         for objective_s, extra_s in ((1.0, SPARE_SHARE), (100.0, full_s)):
             found = ahead_s(job('one', *CHAIN, objective_s=objective_s), self.queues)
             self.assertAlmostEqual(self.call_s + extra_s, found[1])
--- a/packages/core/calicopath_core/scheduling/tests/stages_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/stages_tests.py
@@ -10,14 +10,14 @@
 
 from calicopath_core.scheduling import waiting
 from calicopath_core.scheduling.stage_calls import StageCalls
-from calicopath_core.scheduling.stage_replicas import SLOW_MEMORY_S
+from calicopath_core.scheduling.stage_replicas import SLOWNESS_EXPIRY_S
 from calicopath_core.scheduling.stages import (
-    FULL_S,
-    GATHER_S,
-    NO_ROOM_S,
+    MIN_FULL_BACKOFF_S,
+    MAX_BATCH_DELAY_S,
+    NO_ROOM_BACKOFF_S,
 )
 from calicopath_core.scheduling.tests.work import SPEC, job, phase, queue, replica, result, wait
-from calicopath_core.scheduling.waiting import OLD_RESULT_S
+from calicopath_core.scheduling.waiting import OLD_RESULT_AGE_S
 from testkit.ledgers import new_guard
 from testkit.virtual import VirtualClock, run_virtual
 
@@ -25,7 +25,7 @@
     from calicopath_core.scheduling.jobs import Job
     from calicopath_core.scheduling.stages import StageQueue
 
-LATER = GATHER_S + 0.01
+LATER = MAX_BATCH_DELAY_S + 0.01
 LARGE = 300_000
 
 
@@ -38,7 +38,7 @@
         found = []
         while (batch := target.next_batch(now)) is not None:
             found.append(batch.pieces[0].job.id)
-            target.finished(batch, {}, now)
+            target.on_finished(batch, {}, now)
         return found
 
     def test_least_time_to_spare_goes_first_whatever_the_rank(self) -> None:
@@ -58,15 +58,15 @@
 
     def test_what_can_not_be_in_time_any_more_gives_way_to_what_can(self) -> None:
         hopeless = job('hopeless', phase(), objective_s=1.0)
-        hopeless.tail_s = {0: 1.5}
+        hopeless.critical_path_s = {0: 1.5}
         timely = job('timely', phase(), priority=2, objective_s=3.0)
-        timely.tail_s = {0: 1.5}
+        timely.critical_path_s = {0: 1.5}
         self.assertEqual(['timely', 'hopeless'], self.served(hopeless, timely))
 
     def test_old_results_and_broken_streams_go_first(self) -> None:
         fresh = job('fresh', phase(), objective_s=0.5)
         old = job('old', phase(), phase(), objective_s=9.0)
-        old.results[1][0] = result('h', made_at=LATER - OLD_RESULT_S - 0.1)
+        old.results[1][0] = result('h', created_at=LATER - OLD_RESULT_AGE_S - 0.1)
         broken = job('broken', phase(), objective_s=9.0, resumed=True)
         self.assertEqual({'old', 'broken'}, set(self.served(fresh, old, broken)[:2]))
 
@@ -77,7 +77,7 @@
         first = target.next_batch(LATER)
         assert first is not None
         wait(target, job('hurried', phase(), objective_s=0.1))
-        target.finished(first, {'h': 100}, LATER)
+        target.on_finished(first, {'h': 100}, LATER)
         second = target.next_batch(LATER)
         assert second is not None
         self.assertEqual('begun', second.pieces[0].job.id)
@@ -162,7 +162,7 @@
         batch = target.next_batch(LATER)
         assert batch is not None
         self.assertEqual(3, len(batch.pieces))
-        target.finished(batch, {'h1': LARGE, 'h2': LARGE, 'h3': LARGE}, 0.5)
+        target.on_finished(batch, {'h1': LARGE, 'h2': LARGE, 'h3': LARGE}, 0.5)
         self.assertIsNone(target.next_batch(0.6))
         target.replicas['r'].free('h1')
         self.assertIsNotNone(target.next_batch(0.6))
@@ -172,7 +172,7 @@
         wait(target, job('one', phase(size=LARGE, count=4)))
         batch = target.next_batch(LATER)
         assert batch is not None
-        target.finished(batch, {'h1': LARGE, 'h2': LARGE, 'h3': LARGE}, 0.5)
+        target.on_finished(batch, {'h1': LARGE, 'h2': LARGE, 'h3': LARGE}, 0.5)
         target.replicas['r'].expire(0.5 + SPEC.result_ttl_s)
         self.assertIsNotNone(target.next_batch(5.0))
 
@@ -181,20 +181,20 @@
         wait(target, job('one', phase(count=2)))
         batch = target.next_batch(LATER)
         assert batch is not None
-        target.finished(batch, {}, LATER)
-        target.no_room(batch, LATER)
+        target.on_finished(batch, {}, LATER)
+        target.on_no_room(batch, LATER)
         for piece in batch.pieces:
             target.add(piece, LATER)
-        self.assertIsNone(target.next_batch(LATER + NO_ROOM_S / 2))
-        self.assertIsNotNone(target.next_batch(LATER + NO_ROOM_S))
+        self.assertIsNone(target.next_batch(LATER + NO_ROOM_BACKOFF_S / 2))
+        self.assertIsNotNone(target.next_batch(LATER + NO_ROOM_BACKOFF_S))
 
     def test_a_replica_that_had_none_is_used_again_once_a_result_there_is_given_up(self) -> None:
         target = queue(replica('r'))
         wait(target, job('one', phase(count=4)))
         batch = target.next_batch(LATER)
         assert batch is not None
-        target.finished(batch, {'h': 100}, LATER)
-        target.no_room(batch, LATER)
+        target.on_finished(batch, {'h': 100}, LATER)
+        target.on_no_room(batch, LATER)
         wait(target, job('two', phase(count=4)))
         self.assertIsNone(target.next_batch(LATER))
         target.replicas['r'].free('h')
@@ -203,15 +203,15 @@
     def test_what_others_have_booked_is_counted_until_it_is_adopted(self) -> None:
         target = queue(replica('r'))
         maker = target.replicas['r']
-        maker.on_free_bytes(400_000, SPEC, 0.0)
+        maker.update_free_bytes(400_000, SPEC, 0.0)
         before = maker.room_left(SPEC, 0.1)
-        target.book('r', 'h1', LARGE, 0.1)
+        target.book_result('r', 'h1', LARGE, 0.1)
         self.assertEqual(before, maker.room_left(SPEC, 0.1))
 
     def test_a_large_result_is_not_made_long_before_it_is_needed(self) -> None:
         target = queue(replica('r'))
         staged = job('staged', phase(size=LARGE), phase(), phase(needs=(1,)))
-        staged.tail_s = {0: 0.7, 1: 1.6, 2: 0.8}
+        staged.critical_path_s = {0: 0.7, 1: 1.6, 2: 0.8}
         wait(target, staged, 0)
         self.assertIsNone(target.next_batch(LATER))
         staged.results[1][0] = result('h')
@@ -228,10 +228,10 @@
     def test_much_to_move_waits_for_its_zone_while_there_is_time(self) -> None:
         target = queue(replica('far', 'a'), replica('near', 'b'))
         near = target.replicas['near']
-        near.calls, near.free_at, near.due_at = 1, 0.4, 9.0
+        near.open_calls, near.free_at, near.due_at = 1, 0.4, 9.0
         wait(target, self.reading(LARGE), 1)
         self.assertIsNone(target.next_batch(LATER))
-        near.calls = 0
+        near.open_calls = 0
         batch = target.next_batch(LATER)
         assert batch is not None
         self.assertEqual('near', batch.target.replica.id)
@@ -240,7 +240,7 @@
         """Return a queue in which a piece's home has a call at work until 0.4 s."""
         target = queue(replica('far', 'a'), replica('near', 'b'))
         near = target.replicas['near']
-        near.calls, near.free_at, near.due_at = 1, 0.4, 9.0
+        near.open_calls, near.free_at, near.due_at = 1, 0.4, 9.0
         wait(target, item, 1)
         return target
 
@@ -255,7 +255,7 @@
 
     def test_a_zone_whose_replica_is_overdue_or_gone_is_not_waited_for(self) -> None:
         overdue = queue(replica('far', 'a'), replica('near', 'b'))
-        overdue.replicas['near'].calls = 1
+        overdue.replicas['near'].open_calls = 1
         wait(overdue, self.reading(LARGE), 1)
         self.assertIsNotNone(overdue.next_batch(LATER))
         gone = queue(replica('far', 'a'))
@@ -267,8 +267,8 @@
     def test_a_slow_replica_is_used_only_when_the_others_cannot_keep_up(self) -> None:
         target = queue(replica('slow'), replica('quick'))
         slow = target.replicas['slow']
-        slow.on_time(2.0, 0.4, 0.0)
-        target.replicas['quick'].calls = 1
+        slow.record_duration(2.0, 0.4, 0.0)
+        target.replicas['quick'].open_calls = 1
         wait(target, job('one', phase(count=2)))
         self.assertIsNone(target.next_batch(LATER))
         wait(target, job('many', phase(count=20)))
@@ -276,11 +276,11 @@
 
     def test_a_slow_replica_is_tried_again(self) -> None:
         target = queue(replica('slow'), replica('quick'))
-        target.replicas['slow'].on_time(2.0, 0.4, 0.0)
-        target.replicas['quick'].calls = 1
+        target.replicas['slow'].record_duration(2.0, 0.4, 0.0)
+        target.replicas['quick'].open_calls = 1
         wait(target, job('one', phase(count=2)))
         self.assertIsNone(target.next_batch(LATER))
-        self.assertIsNotNone(target.next_batch(SLOW_MEMORY_S))
+        self.assertIsNotNone(target.next_batch(SLOWNESS_EXPIRY_S))
 
     def test_a_replica_that_fails_is_left_alone_longer_each_time(self) -> None:
         target = queue(replica('r'))
@@ -290,8 +290,8 @@
             now = 100.0 * (number + 1)
             batch = target.next_batch(now)
             assert batch is not None
-            target.failed(batch, now, full=False)
-            pauses.append(target.replicas['r'].idle_until - now)
+            target.on_failed(batch, now, full=False)
+            pauses.append(target.replicas['r'].unavailable_until - now)
         self.assertEqual([1.0, 2.0, 4.0], pauses)
 
     def test_one_that_wants_nothing_gets_nothing_and_counts_for_nothing_until_it_is_back(
@@ -299,9 +299,9 @@
     ) -> None:
         wishes = {'r': 3.0}
         target = queue(replica('r'), replica('s'))
-        target.back_s = lambda item: wishes.get(item.id, 0.0)
-        both = queue(replica('r'), replica('s')).rate()
-        self.assertEqual(both / 2, target.rate())
+        target.backoff_left_s = lambda item: wishes.get(item.id, 0.0)
+        both = queue(replica('r'), replica('s')).pieces_per_s()
+        self.assertEqual(both / 2, target.pieces_per_s())
         wait(target, job('one', phase(count=8)))
         names = [batch.target.replica.id for batch in target.batches(LATER)]
         self.assertEqual(['s'], names)
@@ -315,20 +315,20 @@
             wait(target, job(f'j{calls}', phase(count=4)))
             batch = target.next_batch(now)
             assert batch is not None
-            target.failed(batch, now, full=True)
+            target.on_failed(batch, now, full=True)
             calls += 1
-            now = target.replicas['r'].idle_until
+            now = target.replicas['r'].unavailable_until
         self.assertLessEqual(calls, 15)
         wait(target, job('taken', phase(count=4)))
         batch = target.next_batch(now)
         assert batch is not None
-        target.finished(batch, {}, now)
-        self.assertEqual(0, target.replicas['r'].declines)
+        target.on_finished(batch, {}, now)
+        self.assertEqual(0, target.replicas['r'].consecutive_declines)
 
     def test_a_full_replica_is_asked_again_soon(self) -> None:
         target = queue(replica('r'))
         wait(target, job('one', phase(count=4)))
         batch = target.next_batch(0.0)
         assert batch is not None
-        target.failed(batch, 0.0, full=True)
-        self.assertEqual((FULL_S, 0), (target.replicas['r'].idle_until, target.replicas['r'].calls))
+        target.on_failed(batch, 0.0, full=True)
+        self.assertEqual((MIN_FULL_BACKOFF_S, 0), (target.replicas['r'].unavailable_until, target.replicas['r'].open_calls))
--- a/packages/core/calicopath_core/scheduling/tests/succession_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/succession_tests.py
@@ -10,7 +10,7 @@
 from calicopath_core.scheduling.admission import MOST_BIAS
 from calicopath_core.scheduling.beliefs import FIRST_EVENT_S
 from calicopath_core.scheduling.interfaces import StageCaller
-from calicopath_core.scheduling.messages import Learned
+from calicopath_core.scheduling.messages import LearnedEstimates
 from calicopath_core.scheduling.scheduler import Scheduler
 from testkit.cases import VirtualCase
 from testkit.ledgers import new_guard
@@ -51,7 +51,7 @@
             self.learned(before)
             await asyncio.sleep(20.0)
             before.succession.give_way('next:7')
-            (told,) = [message for message in sent if isinstance(message, Learned)]
+            (told,) = [message for message in sent if isinstance(message, LearnedEstimates)]
             after.succession.on_learned(told)
             self.assertAlmostEqual(SEEN_S, after.engine_times.expected_s(SIZE), delta=0.01)
             self.assertEqual(1.4, after.admission.bias)
@@ -68,7 +68,7 @@
             await asyncio.sleep(20.0)
             before.succession.give_way('next:7')
             for message in sent:
-                if isinstance(message, Learned):
+                if isinstance(message, LearnedEstimates):
                     after.succession.on_learned(message)
             self.assertEqual(1.0, after.admission.bias)
             self.assertEqual(FIRST_EVENT_S, after.engine_times.expected_s(SIZE))
@@ -78,7 +78,7 @@
     def test_what_can_not_be_is_not_believed(self) -> None:
         async def scenario() -> None:
             after = self.scheduler([])
-            wild = Learned(sender='x', taken=(), bias=99.0, first_events_s={14: -5.0})
+            wild = LearnedEstimates(sender='x', taken=(), bias=99.0, first_events_s={14: -5.0})
             after.succession.on_learned(wild)
             self.assertEqual(MOST_BIAS, after.admission.bias)
             self.assertGreaterEqual(after.engine_times.expected_s(SIZE), 0.0)
--- a/packages/core/calicopath_core/scheduling/tests/work.py
+++ b/packages/core/calicopath_core/scheduling/tests/work.py
@@ -7,7 +7,7 @@
 from calicopath_core.fleet.deployment import StageSpec
 from calicopath_core.fleet.replicas import Replica
 from calicopath_core.scheduling.jobs import Job, Piece, Result
-from calicopath_core.scheduling.messages import PhaseWork, Place, Prompt, PromptPart
+from calicopath_core.scheduling.messages import PhaseWork, PlaceJob, Prompt, PromptPart
 from calicopath_core.scheduling.stages import StageQueue
 
 SPEC = StageSpec(
@@ -48,7 +48,7 @@
         'phases': tuple(phases),
         'prompt': prompt((f'own-{name}', 100)),
     }
-    found = Job(place=Place(**(fields | changes)), now=now)
+    found = Job(place=PlaceJob(**(fields | changes)), now=now)
     for number, work in enumerate(found.place.phases):
         found.pieces[number] = [
             Piece(job=found, phase=number, index=index) for index in range(work.pieces)
@@ -56,9 +56,9 @@
     return found
 
 
-def result(handle: str, zone: str = 'a', size: int = 100, made_at: float = 0.0) -> Result:
+def result(handle: str, zone: str = 'a', size: int = 100, created_at: float = 0.0) -> Result:
     """Return a result."""
-    return Result(handle=handle, maker=f'maker-{zone}', zone=zone, size=size, made_at=made_at)
+    return Result(handle=handle, producer=f'maker-{zone}', zone=zone, size=size, created_at=created_at)
 
 
 def queue(*replicas: Replica, spec: StageSpec = SPEC) -> StageQueue:
--- a/packages/core/calicopath_core/scheduling/waiting.py
+++ b/packages/core/calicopath_core/scheduling/waiting.py
@@ -16,10 +16,10 @@
 
     from calicopath_core.scheduling.jobs import Job, Piece
 
-SPARE_STEP_S = 0.4
+SLACK_STEP_S = 0.4
 """Jobs whose time to spare differs by less than about a call are told apart by rank."""
 
-OLD_RESULT_S = 1.2
+OLD_RESULT_AGE_S = 1.2
 """How old a result may grow before what reads it goes first: the users' results live for 4 s, and
 the stages that follow take about half of that."""
 
@@ -27,19 +27,19 @@
 class Rank(NamedTuple):
     """Hold by what a group is served, least first."""
 
-    step: int
-    spare: int
+    tier: int
+    slack_step: int
     priority: int
-    at: float
+    order_at: float
 
 
 class PieceGroup:
     """Hold the pieces of one phase of a job that wait; `since` is when the first came to wait."""
 
-    def __init__(self, *, job: Job, phase: int, since: float) -> None:
+    def __init__(self, *, job: Job, phase: int, waiting_since: float) -> None:
         self.job = job
         self.phase = phase
-        self.since = since
+        self.waiting_since = waiting_since
         self.pieces: list[Piece] = []
 
     @property
@@ -68,7 +68,7 @@
         key = (piece.job.id, piece.phase)
         group = self.groups.get(key)
         if group is None:
-            group = self.groups[key] = PieceGroup(job=piece.job, phase=piece.phase, since=now)
+            group = self.groups[key] = PieceGroup(job=piece.job, phase=piece.phase, waiting_since=now)
         group.pieces.append(piece)
         self.count += 1
 
@@ -87,7 +87,7 @@
         for phase in range(len(job.place.phases)):
             group = self.groups.get((job.id, phase))
             if group is not None:
-                self.remove([piece for piece in group.pieces if piece.stale])
+                self.remove([piece for piece in group.pieces if piece.is_stale])
 
     def ready(self, held: Container[str], now: float) -> list[RankedGroup]:
         """Return the groups that may be called now in order; jobs that are `held` are left out."""
@@ -108,20 +108,20 @@
     group: PieceGroup
 
 
-def rank_again(ranked: list[RankedGroup], taken: Iterable[Piece], now: float) -> list[RankedGroup]:
+def update_ranking(ranked: list[RankedGroup], dispatched: Iterable[Piece], now: float) -> list[RankedGroup]:
     """Bring an order up to date after pieces were taken; return what is left of their groups.
 
     `ranked` is changed in place.
     """
-    touched = {(piece.job.id, piece.phase) for piece in taken}
-    found = []
-    for item in [one for one in ranked if (one.group.job.id, one.group.phase) in touched]:
+    changed_keys = {(piece.job.id, piece.phase) for piece in dispatched}
+    changed = []
+    for item in [one for one in ranked if (one.group.job.id, one.group.phase) in changed_keys]:
         ranked.remove(item)
         if item.group.pieces:
-            again = RankedGroup(rank(item.group.first, now), item.number, item.group)
-            bisect.insort(ranked, again)
-            found.append(again)
-    return found
+            reranked = RankedGroup(rank(item.group.first, now), item.number, item.group)
+            bisect.insort(ranked, reranked)
+            changed.append(reranked)
+    return changed
 
 
 def rank(piece: Piece, now: float) -> Rank:
@@ -137,16 +137,16 @@
     comes after it.
     """
     job = piece.job
-    if piece.has_siblings_ahead or job.oldest_result_s(now) > OLD_RESULT_S:
+    if piece.has_siblings_in_progress or job.oldest_result_s(now) > OLD_RESULT_AGE_S:
         return Rank(0, 0, 0, job.arrived_at)
     return rank_job(job, piece.slack_s(now))
 
 
-def rank_job(job: Job, spare_s: float) -> Rank:
+def rank_job(job: Job, slack_s: float) -> Rank:
     """Return by what a job is served that has some time to spare."""
     if job.resumed:
         return Rank(0, 0, 0, job.arrived_at)
-    if spare_s < 0:
-        return Rank(3, 0, job.urgency, job.objective_at)
-    step = 2 if job.beyond else 1
-    return Rank(step, int(spare_s / SPARE_STEP_S), job.urgency, job.objective_at)
+    if slack_s < 0:
+        return Rank(3, 0, job.effective_priority, job.objective_at)
+    tier = 2 if job.is_over_allowance else 1
+    return Rank(tier, int(slack_s / SLACK_STEP_S), job.effective_priority, job.objective_at)
--- a/packages/daemon/calicopathd/gateway/box.py
+++ b/packages/daemon/calicopathd/gateway/box.py
@@ -26,7 +26,7 @@
 from calicopath_core.scheduling.client import SchedulerClient
 from calicopath_core.scheduling.election import BoxAddress, Election
 from calicopath_core.scheduling.groups import GroupRule
-from calicopath_core.scheduling.messages import BackoffNews, Pong
+from calicopath_core.scheduling.messages import BackoffNotice, Pong
 from calicopath_core.scheduling.scheduler import Scheduler
 from calicopathd import events
 from calicopathd.gateway.following import StoreFollowing
@@ -95,7 +95,7 @@
             own_address=str(settings.peer_listen),
             hubs=self.hubs,
             send=self.send,
-            lender=lambda: self.client.target,
+            lender=lambda: self.client.scheduler_address,
             share=lambda: 1 / max(1, self.election.groups),
             on_backoff=self.on_replica_backoff,
         )
@@ -150,8 +150,8 @@
             own_address=self.own.address,
             share_of=self.election.share_of,
             crashes=self.crashes,
-            back_s=self.gate.backoffs.left_s,
-            support_back_s=self.gate.support_opens_in_s,
+            backoff_left_s=self.gate.backoffs.left_s,
+            support_backoff_left_s=self.gate.support_opens_in_s,
             permits=self.notices.holder,
             warmup=settings.warmup,
             new_board=self.random_board if alone else None,
@@ -162,7 +162,7 @@
             send=self.link.send,
             on_scheduler=self.on_scheduler,
             contact=self.contact,
-            knows=lambda: self.view.current is not None,
+            has_configuration=lambda: self.view.current is not None,
         )
         self.following = StoreFollowing(
             own=self.own,
@@ -305,14 +305,14 @@
     async def measure_lag(self) -> None:
         """Measure how late this box's event loop is while it schedules, until cancelled."""
         while True:
-            if self.client.target == self.own.address:
+            if self.client.scheduler_address == self.own.address:
                 await self.group_rule.lag.measure()
             else:
                 await asyncio.sleep(UNMEASURED_S)
 
     def judge_groups(self, now: float) -> None:
         """Have the fleet split, or joined, if this box schedules and finds that it should be."""
-        if self.client.target != self.own.address or self.leaving:
+        if self.client.scheduler_address != self.own.address or self.leaving:
             self.group_rule.start_again()
             return
         leads = self.election.leads(now)
@@ -350,8 +350,8 @@
     def tell_backoffs(self, lefts: dict[str, float]) -> None:
         """Tell the box that schedules of engines that want nothing from this one."""
         if lefts:
-            news = BackoffNews(address=self.own.address, backoffs=lefts)
-            self.link.send(self.client.target, news)
+            news = BackoffNotice(address=self.own.address, backoffs=lefts)
+            self.link.send(self.client.scheduler_address, news)
 
     def on_scheduler(self, address: str, asked_again: int) -> None:
         """Note that another box schedules now."""
--- a/packages/daemon/calicopathd/gateway/observer.py
+++ b/packages/daemon/calicopathd/gateway/observer.py
@@ -216,10 +216,10 @@
             replica=replica.id,
             zone=replica.zone,
             result_zones=[item.zone for item in job.final_results()],
-            crossing_kb=job.crossing_bytes(job.final_results(), replica.zone) // 1000,
+            crossing_kb=job.cross_domain_bytes(job.final_results(), replica.zone) // 1000,
             cost_ms=round(cost_s * 1000),
             staged_ms=round(waited_s * 1000),
-            expected_ms=round(job.expected_s * 1000),
+            expected_ms=round(job.expected_stages_s * 1000),
             priority=job.place.priority,
             late=waited_s > job.objective_at - job.arrived_at,
         )
@@ -234,7 +234,7 @@
             job=job.id,
             reason=reason,
             priority=job.place.priority,
-            expected_ms=round(job.expected_s * 1000),
+            expected_ms=round(job.expected_stages_s * 1000),
             objective_ms=round(job.place.objective_s * 1000),
             retry_after_ms=round(retry_after_s * 1000),
         )
--- a/packages/daemon/calicopathd/gateway/peers.py
+++ b/packages/daemon/calicopathd/gateway/peers.py
@@ -22,13 +22,13 @@
 from calicopath_core.scheduling.election import PING_S
 from calicopath_core.scheduling.messages import (
     MESSAGES,
-    Adopt,
-    BackoffNews,
+    AdoptJob,
+    BackoffNotice,
     EngineLoads,
     HandedOver,
-    Learned,
+    LearnedEstimates,
     Ping,
-    Place,
+    PlaceJob,
     Placed,
     Pong,
     Progress,
@@ -122,15 +122,15 @@
                 self.notices.on_digests(message)
             case Pong():
                 self.election.on_pong(message, self.clock.monotonic())
-            case Place():
+            case PlaceJob():
                 # Others may have noticed before this box that the former scheduler is silent.
-                self.client.check()
+                self.client.update_scheduler()
                 self.scheduler.on_place(message)
-            case Adopt():
+            case AdoptJob():
                 self.scheduler.succession.on_adopt(message)
             case EngineLoads():
                 self.scheduler.succession.on_engine_loads(message)
-            case Learned():
+            case LearnedEstimates():
                 self.scheduler.succession.on_learned(message)
             case Placed():
                 self.client.on_placed(message)
@@ -155,7 +155,7 @@
                 self.subscription.on_update(message)
             case CrashNews():
                 self.crashes.on_news(message)
-            case BackoffNews():
+            case BackoffNotice():
                 self.scheduler.on_backoffs(message)
             case _:
                 self.notices.handle(message)
--- a/packages/daemon/calicopathd/gateway/run.py
+++ b/packages/daemon/calicopathd/gateway/run.py
@@ -154,7 +154,7 @@
         age_s = box.contact().age_s
         self.figures.set_state(
             ready=float(box.ready()),
-            scheduling=float(box.client.target == box.own.address),
+            scheduling=float(box.client.scheduler_address == box.own.address),
             config_version=box.config_version(),
             store_age_seconds=-1.0 if math.isinf(age_s) else age_s,
             replicas=len(box.replicas.replicas),
@@ -192,7 +192,7 @@
         left_s = grace_s - (self.box.clock.monotonic() - begun)
         if not await self.exchanges.wait_idle(max(0.0, left_s - REFUSE_MARGIN_S)):
             events.emit(log, events.GATEWAY_REFUSING, in_progress=self.exchanges.in_progress)
-            self.box.client.refuse_waiting()
+            self.box.client.reject_waiting()
             self.box.notices.permits.refuse_waiting()
             await self.exchanges.wait_idle(REFUSE_MARGIN_S)
         await self.withdraw()
--- a/packages/daemon/calicopathd/gateway/tests/crashing_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/crashing_tests.py
@@ -164,7 +164,7 @@
             await asyncio.sleep(PING_S / 4)
             sink = fleet.ask('box-2', POISON)
             await asyncio.sleep(0.0)
-            content = next(iter(box.client.asked.values())).place.content
+            content = next(iter(box.client.pending.values())).place.content
             ages = {f'gone-{number}@1': (1.0 + number, 9.0) for number in range(3)}
             scheduler.ledger.merge(
                 [Evidence(keys_of(content, 'engine').own.content, 'engine', ages, None)], 'another'
@@ -189,7 +189,7 @@
             box = fleet.boxes['box-2'].box
             sink = fleet.ask('box-2', POISON)
             await asyncio.sleep(0.0)
-            content = next(iter(box.client.asked.values())).place.content
+            content = next(iter(box.client.pending.values())).place.content
             ages = {f'gone-{number}@1': (1.0 + number, 9.0) for number in range(3)}
             box.ledger.merge(
                 [Evidence(keys_of(content, 'engine').own.content, 'engine', ages, None)], 'another'
--- a/packages/daemon/calicopathd/gateway/tests/fleet_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/fleet_tests.py
@@ -80,7 +80,7 @@
             await fleet.settle()
             self.assertEqual([WHOLE] * 6, [sink.event_ids for sink in sinks])
             self.assertEqual(18, sum(len(calls) for _, calls in fleet.stages.calls))
-            others = {box.box.client.target for box in fleet.boxes.values()}
+            others = {box.box.client.scheduler_address for box in fleet.boxes.values()}
             self.assertEqual({'box-1:7'}, others)
             await fleet.stop()
 
@@ -92,7 +92,7 @@
             await fleet.start()
             sinks = [fleet.serve('box-1', exchange(number, 'draft', now())) for number in range(6)]
             await asyncio.sleep(0.1)
-            fleet.boxes['box-1'].box.client.refuse_waiting()
+            fleet.boxes['box-1'].box.client.reject_waiting()
             await asyncio.sleep(0.01)
             self.assertEqual({(503, 'stopping')}, {(sink.status, sink.reason) for sink in sinks})
             self.assertNotIn(None, [sink.retry_after_s for sink in sinks])
@@ -112,7 +112,7 @@
             for _ in range(30):
                 candidate.heard_at = now()
                 await asyncio.sleep(0.05)
-            self.assertEqual('box-1:7', fleet.boxes['box-2'].box.client.target)
+            self.assertEqual('box-1:7', fleet.boxes['box-2'].box.client.scheduler_address)
             begun, sent = now(), fleet.boxes['box-2'].box.link.sent
             sinks = [fleet.serve('box-2', exchange(number, 'draft', now())) for number in range(4)]
             for _ in range(10):
@@ -149,7 +149,7 @@
             await fleet.start()
             fleet.network.blocked = lambda source, target: 'box-3:7' in (source, target)
             await asyncio.sleep(1.5)
-            self.assertEqual('box-3:7', fleet.boxes['box-3'].box.client.target)
+            self.assertEqual('box-3:7', fleet.boxes['box-3'].box.client.scheduler_address)
             sink = fleet.serve('box-3', exchange(1, 'draft', now()))
             await fleet.settle()
             self.assertEqual(WHOLE, sink.event_ids)
--- a/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
@@ -206,7 +206,7 @@
             await asyncio.sleep(0.1)
             fleet.kill('box-0')
             await asyncio.sleep(2.0)
-            scheduler = self.box(fleet, self.box(fleet, 'box-3').client.target.split(':')[0])
+            scheduler = self.box(fleet, self.box(fleet, 'box-3').client.scheduler_address.split(':')[0])
             now = scheduler.clock.monotonic()
             held = scheduler.scheduler.boards.backoffs.of_box('box-3:7', now)
             self.assertEqual({'engine-4', 'engine-5'}, set(held))
--- a/testkit/gateway.py
+++ b/testkit/gateway.py
@@ -124,7 +124,7 @@
 
     def schedulers(self) -> set[str]:
         """Return the addresses that boxes take for the scheduler."""
-        return {box.box.client.target for box in self.boxes.values()}
+        return {box.box.client.scheduler_address for box in self.boxes.values()}
 
     def serve(self, name: str, request: Exchange) -> FakeSink:
         """Have a box serve a request; return where its answer goes."""
--- a/testkit/replay/plain.py
+++ b/testkit/replay/plain.py
@@ -46,7 +46,7 @@
         for job in listed:
             for number, phase in enumerate(job.place.phases):
                 queue = queues[phase.service]
-                job.ahead_s[number] = SAME_AHEAD_S * queue.rate() / full_rate(queue)
+                job.allowed_backlog_s[number] = SAME_AHEAD_S * queue.pieces_per_s() / full_rate(queue)
         return super().find(listed, queues)
 
 
--- a/testkit/replay/world.py
+++ b/testkit/replay/world.py
@@ -9,8 +9,8 @@
 
 from calicopath_core.fleet.deployment import Deployment, ServiceSpec
 from calicopath_core.fleet.replicas import ReplicaTable
-from calicopath_core.scheduling.client import Asked
-from calicopath_core.scheduling.messages import Adopt, Place, Placed, Progress, Rejected, RunEnded
+from calicopath_core.scheduling.client import PendingJob
+from calicopath_core.scheduling.messages import AdoptJob, PlaceJob, Placed, Progress, Rejected, RunEnded
 from calicopath_core.scheduling.messages import RunStarted as Started
 from calicopath_core.scheduling.scheduler import Scheduler
 from calicopath_core.scheduling.starts import WarmupTerms
@@ -54,8 +54,8 @@
 """Callers wait as long as they are told, but at most this share of the time they have left."""
 
 TIMED = ('on_place', 'on_started', 'on_ended', 'tick', 'advance')
-TIMED_STAGES = ('dispatch', 'on_freed', 'take_result')
-TIMED_RELEASE = ('tell_made', 'give_up_read', 'on_fetched')
+TIMED_STAGES = ('dispatch', 'on_freed', 'on_result')
+TIMED_RELEASE = ('report_results', 'free_read', 'on_fetched')
 
 
 class Variant(NamedTuple):
@@ -86,7 +86,7 @@
         self.zones = {item.id: item.zone for item in fleet.replicas()}
         self.observer = CountingObserver()
         self.stopwatch = Stopwatch()
-        self.asked: dict[str, Asked] = {}
+        self.asked: dict[str, PendingJob] = {}
         self.scheduler: Scheduler | None = None
         self.running: asyncio.Task[None] | None = None
         self.down_until = 0.0
@@ -159,13 +159,13 @@
             scheduler = self.scheduler
             if scheduler is None:
                 return
-            if isinstance(message, Place):
+            if isinstance(message, PlaceJob):
                 scheduler.on_place(message)
             elif isinstance(message, Started):
                 scheduler.on_started(message)
             elif isinstance(message, RunEnded):
                 scheduler.on_ended(message)
-            elif isinstance(message, Adopt):
+            elif isinstance(message, AdoptJob):
                 scheduler.succession.on_adopt(message)
 
         asyncio.get_running_loop().call_later(NETWORK_S, arrive)
@@ -218,8 +218,8 @@
         if with_jobs:
             now = self.clock.monotonic()
             for asked in waiting:
-                asked.targets.append(self.scheduler.own_address)
-                self.tell(asked.question(now, missed='gone'))
+                asked.schedulers.append(self.scheduler.own_address)
+                self.tell(asked.request(now, silent_scheduler='gone'))
 
     async def call(self, arrival: Arrival) -> None:
         """Send one request and, if it may, once more."""
@@ -251,7 +251,7 @@
         for index, phase in enumerate(arrival.phases):
             self.sizes[name, index] = phase.result_bytes
         place = self.question(arrival, name, left_s)
-        asked = self.asked[name] = Asked(place=place, now=self.clock.monotonic())
+        asked = self.asked[name] = PendingJob(place=place, now=self.clock.monotonic())
         deaths = self.deaths
         self.tell(place)
         try:
@@ -265,7 +265,7 @@
             return 1.0 if answer is None else max(0.001, answer.retry_after_s)
         return await self.run_engine(arrival, name, answer)
 
-    async def answer_of(self, asked: Asked, deaths: int) -> Any:
+    async def answer_of(self, asked: PendingJob, deaths: int) -> Any:
         """Return a scheduler's answer, or nothing if the box that asked died first."""
         while not asked.answer.done():
             await asyncio.wait({asked.answer}, timeout=0.05)
@@ -273,10 +273,10 @@
                 return None
         return asked.answer.result()
 
-    def question(self, arrival: Arrival, name: str, left_s: float) -> Place:
+    def question(self, arrival: Arrival, name: str, left_s: float) -> PlaceJob:
         """Return what the scheduler is asked."""
         kind = arrival.kind
-        return Place(
+        return PlaceJob(
             job=name,
             reply_to='box',
             zone=arrival.zone,
--- a/tools/mutants/catalogue.py
+++ b/tools/mutants/catalogue.py
@@ -228,7 +228,7 @@
     Mutant(
         'those beside the cause are spared',
         f'{CORE}/scheduling/stages.py',
-        'alone = self.goes_alone(group.first.job)',
+        'alone = self.runs_alone(group.first.job)',
         'alone = False',
         f'{CRASHING}::Crashing',
     ),
--- a/tools/mutants/notices.py
+++ b/tools/mutants/notices.py
@@ -114,7 +114,7 @@
     Mutant(
         'stages that want nothing',
         f'{CORE}/scheduling/stages.py',
-        'if self.back_s(item.replica) <= 0]',
+        'if self.backoff_left_s(item.replica) <= 0]',
         'if item]',
         f'{CORE}/scheduling/tests/stages_tests.py::Failing',
     ),
