--- a/bench/claiming.py
+++ b/bench/claiming.py
@@ -9,11 +9,11 @@
 
 from calicopath_core.claims.executors import (
     ClaimExecutor,
-    ShardOwners,
     ForwardingExecutor,
     GroupId,
     GroupingConfig,
     LocalExecutor,
+    ShardOwners,
 )
 from calicopath_core.claims.keys import parse_key
 from calicopath_core.claims.registry import ClaimRegistry, Granted
--- a/packages/core/calicopath_core/claims/forwarding.py
+++ b/packages/core/calicopath_core/claims/forwarding.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from calicopath_core.claims.executors import ShardOwners, GroupId, LocalExecutor
+from calicopath_core.claims.executors import GroupId, LocalExecutor, ShardOwners
 from calicopath_core.claims.operations import Op, OpResult, StoredClaim
 from calicopath_core.routing.selectors import rendezvous_weight
 from calicopath_core.store.base import StoreError, StoreUnavailable
--- a/packages/core/calicopath_core/claims/tests/claims_tests.py
+++ b/packages/core/calicopath_core/claims/tests/claims_tests.py
@@ -9,7 +9,7 @@
 
 from calicopath_core.claims.keys import InvalidKey, parse_key
 from calicopath_core.claims.registry import Granted, Taken
-from calicopath_core.claims.tests.claim_case import group_value, key, fake_store, new_registry
+from calicopath_core.claims.tests.claim_case import fake_store, group_value, key, new_registry
 from calicopath_core.store.base import StoreUnavailable
 from testkit.cases import VirtualCase
 from testkit.fake_store import StoreState, WriteFate
--- a/packages/core/calicopath_core/crashes/guard.py
+++ b/packages/core/calicopath_core/crashes/guard.py
@@ -75,15 +75,21 @@
             keys = keys_of(content, service)
             crash_ids[keys.exact] = crash_id
             if not answered:
-                crash_ids.update(dict.fromkeys(keys.common, add_request(crash_id, keys.exact.content)))
+                crash_ids.update(
+                    dict.fromkeys(keys.common, add_request(crash_id, keys.exact.content))
+                )
         if isinstance(error, ConnectionBroken) and await probe.has_crashed():
             self.record_crash(crash_ids, crash)
             return
-        task = asyncio.get_running_loop().create_task(self.record_if_confirmed(crash_ids, crash, probe))
+        task = asyncio.get_running_loop().create_task(
+            self.record_if_confirmed(crash_ids, crash, probe)
+        )
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def record_if_confirmed(self, crash_ids: dict[SuspectKey, str], crash: Crash, probe: CrashProbe) -> None:
+    async def record_if_confirmed(
+        self, crash_ids: dict[SuspectKey, str], crash: Crash, probe: CrashProbe
+    ) -> None:
         """Note the end of a replica that shows later."""
         if await probe.confirm_crash():
             self.record_crash(crash_ids, crash)
--- a/packages/core/calicopath_core/crashes/suspects.py
+++ b/packages/core/calicopath_core/crashes/suspects.py
@@ -104,7 +104,11 @@
             if crash.at <= self.survived_at or is_repeat:
                 continue
             last_crash_at[replica] = crash.at
-            if not times or crash.at - times[-1] > SIMULTANEOUS_S or crash.run_started_at >= times[-1]:
+            if (
+                not times
+                or crash.at - times[-1] > SIMULTANEOUS_S
+                or crash.run_started_at >= times[-1]
+            ):
                 times.append(crash.at)
         return times
 
--- a/packages/core/calicopath_core/exchanges/plain.py
+++ b/packages/core/calicopath_core/exchanges/plain.py
@@ -114,7 +114,9 @@
     if replica is not None and context.gate.limits.limit_of(replica) is None:
         return replica
     if replica is not None:
-        permit = await context.gate.permits.request_permit([replica], wait_s=0.0, priority=ticket.priority)
+        permit = await context.gate.permits.request_permit(
+            [replica], wait_s=0.0, priority=ticket.priority
+        )
         return replica if permit.replica else None
     limited = context.balancer.limited(ticket.service, ticket.left_out, now)
     if not limited:
@@ -141,7 +143,9 @@
     if permit_available_in_s is None:
         wait_s = return_s(context, ticket)
         return RefusedExchange(STATUS_UNAVAILABLE, 'no-endpoint', retry_after_s=wait_s)
-    wait_s = max(RETRY_SOON_S, permit_available_in_s * context.balancer.rng.uniform(1.0, RETURN_SPREAD))
+    wait_s = max(
+        RETRY_SOON_S, permit_available_in_s * context.balancer.rng.uniform(1.0, RETURN_SPREAD)
+    )
     return RefusedExchange(STATUS_UNAVAILABLE, 'limited', retry_after_s=wait_s)
 
 
--- a/packages/core/calicopath_core/fleet/gate.py
+++ b/packages/core/calicopath_core/fleet/gate.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from calicopath_core.fleet.notices import Exclusion, ReplicaExcluded, CallInterceptor
+from calicopath_core.fleet.notices import CallInterceptor, Exclusion, ReplicaExcluded
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -86,7 +86,9 @@
 
     def control_call_available_in_s(self, replica: Replica) -> float:
         """Return when a call without new work may go to a replica, 0 for now."""
-        return max(self.backoffs.remaining_s(replica), self.limits.control_call_available_in_s(replica))
+        return max(
+            self.backoffs.remaining_s(replica), self.limits.control_call_available_in_s(replica)
+        )
 
     def remaining_backoffs(self, service: str) -> dict[str, float]:
         """Return the replicas of a service that want nothing from this box, for how long yet."""
--- a/packages/core/calicopath_core/fleet/leaving.py
+++ b/packages/core/calicopath_core/fleet/leaving.py
@@ -102,7 +102,11 @@
     def expire(self, known: Container[str]) -> None:
         """Forget old words of replicas that are not known any more."""
         oldest = self.clock.monotonic() - RETENTION_S
-        old = [name for name, item in self.departures.items() if item.heard_at < oldest and name not in known]
+        old = [
+            name
+            for name, item in self.departures.items()
+            if item.heard_at < oldest and name not in known
+        ]
         for name in old:
             self.forget(name)
         self.cached_digest = None
@@ -124,7 +128,9 @@
     def digest(self) -> str:
         """Return what is alike at boxes that share the same; empty for nothing."""
         if self.cached_digest is None:
-            self.cached_digest = digest_of(self.digest_entry(name) for name in self.shared_replicas())
+            self.cached_digest = digest_of(
+                self.digest_entry(name) for name in self.shared_replicas()
+            )
         return self.cached_digest
 
 
--- a/packages/core/calicopath_core/fleet/leaving_sharing.py
+++ b/packages/core/calicopath_core/fleet/leaving_sharing.py
@@ -73,7 +73,9 @@
         """Return the latest words of some replicas."""
         now, held = self.clock.monotonic(), self.leaving.departures
         reports = [
-            LeavingReport(name, held[name].started_ms, now - held[name].heard_at, held[name].lost_address)
+            LeavingReport(
+                name, held[name].started_ms, now - held[name].heard_at, held[name].lost_address
+            )
             for name in names
         ]
         reports.sort(key=lambda report: report.age_s)
--- a/packages/core/calicopath_core/fleet/relays.py
+++ b/packages/core/calicopath_core/fleet/relays.py
@@ -162,7 +162,9 @@
         """Return that relay's address."""
         if self.is_relay:
             return None
-        usable = (address for address in self.candidates if self.relay_states[address].is_usable(now))
+        usable = (
+            address for address in self.candidates if self.relay_states[address].is_usable(now)
+        )
         return next(usable, None)
 
     def store_fails_relays(self, now: float) -> bool:
--- a/packages/core/calicopath_core/fleet/restoring.py
+++ b/packages/core/calicopath_core/fleet/restoring.py
@@ -170,7 +170,11 @@
             changes = [Change(name, held.unconfirmed[name].record) for name in due]
             if changes and held.position is not None:
                 self.on_changes(kind, held.position, changes)
-            for name in [name for name, item in held.tombstones.items() if item.gone_at < now - TOMBSTONE_RETENTION_S]:
+            for name in [
+                name
+                for name, item in held.tombstones.items()
+                if item.gone_at < now - TOMBSTONE_RETENTION_S
+            ]:
                 if name not in held.unconfirmed:
                     del held.tombstones[name]
 
--- a/packages/core/calicopath_core/fleet/tests/evacuations_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/evacuations_tests.py
@@ -24,7 +24,9 @@
         self.evacuations = Evacuations(
             wall_clock=lambda: self.now,
             on_evacuation_started=lambda item: self.told.append(f'out {item.failure_domain}'),
-            on_evacuation_ended=lambda held: self.told.append(f'back {held.evacuation.failure_domain}'),
+            on_evacuation_ended=lambda held: self.told.append(
+                f'back {held.evacuation.failure_domain}'
+            ),
             on_changed=self.table.set_evacuated,
         )
 
@@ -64,7 +66,9 @@
         self.assertEqual(['r-a', 'r-b'], sorted(self.usable()))
 
     def test_a_name_that_is_no_zone_stops_nothing(self) -> None:
-        self.evacuations.apply_changes([('nowhere', Evacuation('nowhere', 7)), ('', Evacuation('', 8))])
+        self.evacuations.apply_changes(
+            [('nowhere', Evacuation('nowhere', 7)), ('', Evacuation('', 8))]
+        )
         self.assertEqual(['r-a', 'r-b'], sorted(self.usable()))
 
     def test_relays_tell_both(self) -> None:
--- a/packages/core/calicopath_core/fleet/tests/gate_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/gate_tests.py
@@ -7,10 +7,15 @@
 
 from calicopath_core.crashes.fate import ReplicaCrashProbe
 from calicopath_core.exchanges.messages import ReplicaReach
-from calicopath_core.fleet.backoffs import RETENTION_S, MAX_BACKOFF_S, MAX_JITTER_S, TRIAL_CALL_WAIT_S
-from calicopath_core.fleet.leaving import RETENTION_S as WORD_KEEP_S
+from calicopath_core.fleet.backoffs import (
+    MAX_BACKOFF_S,
+    MAX_JITTER_S,
+    RETENTION_S,
+    TRIAL_CALL_WAIT_S,
+)
 from calicopath_core.fleet.leaving import MAX_DEPARTURES
-from calicopath_core.fleet.notices import EMPTY_NOTICE, Exclusion, ReplicaExcluded, Notice
+from calicopath_core.fleet.leaving import RETENTION_S as WORD_KEEP_S
+from calicopath_core.fleet.notices import EMPTY_NOTICE, Exclusion, Notice, ReplicaExcluded
 from calicopath_core.fleet.replicas import Replica, ReplicaTable
 from calicopath_core.permits.limits import ENFORCEMENT_DELAY_S
 from testkit.cases import VirtualCase
--- a/packages/core/calicopath_core/fleet/tests/relays_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/relays_tests.py
@@ -12,9 +12,9 @@
 from calicopath_core.fleet.relay_messages import RelayStatus, decode_changes, encode_changes
 from calicopath_core.fleet.relays import (
     MAX_BOXES_PER_RELAY,
+    MAX_CONTACT_AGE_S,
     MIN_RELAYS,
     RELAY_TIMEOUT_S,
-    MAX_CONTACT_AGE_S,
     RelaySelection,
     choose_relays,
 )
--- a/packages/core/calicopath_core/membership/gossip.py
+++ b/packages/core/calicopath_core/membership/gossip.py
@@ -166,7 +166,9 @@
         """Send new objects to a few boxes."""
         if not self.unsent_updates:
             return
-        entries = [Entry(item.key, item.version, item.spec) for item in self.unsent_updates.values()]
+        entries = [
+            Entry(item.key, item.version, item.spec) for item in self.unsent_updates.values()
+        ]
         self.unsent_updates.clear()
         now = self.clock.monotonic()
         for member in self.members.sample(PUSH_FANOUT, now, self.rng):
@@ -180,7 +182,9 @@
 
     def send_heartbeats(self, now: float) -> None:
         """Tell a few boxes that we live, what we hold and whom we know."""
-        own = msgspec.structs.replace(self.members.own, heartbeat_number=self.members.own.heartbeat_number + 1)
+        own = msgspec.structs.replace(
+            self.members.own, heartbeat_number=self.members.own.heartbeat_number + 1
+        )
         self.members.own = own
         chosen = self.members.sample(HEARTBEAT_FANOUT, now, self.rng)
         heartbeat = Heartbeat(
--- a/packages/core/calicopath_core/membership/members.py
+++ b/packages/core/calicopath_core/membership/members.py
@@ -32,7 +32,9 @@
     decides which boxes are neighbours.
     """
 
-    def __init__(self, *, own_name: str, info: MemberInfo, heard_at: float | None, now: float) -> None:
+    def __init__(
+        self, *, own_name: str, info: MemberInfo, heard_at: float | None, now: float
+    ) -> None:
         self.rank = rank(info.name)
         self.distance = rank('|'.join(sorted((own_name, info.name))))
         self.info = info
@@ -68,7 +70,9 @@
         for name, info in listed.items():
             member = self.members.get(name)
             if member is None or (member.heard_at is None and member.info != info):
-                self.members[name] = Member(own_name=self.own.name, info=info, heard_at=None, now=now)
+                self.members[name] = Member(
+                    own_name=self.own.name, info=info, heard_at=None, now=now
+                )
         for name in list(self.members):
             if name not in listed and not self.members[name].is_live(now):
                 del self.members[name]
@@ -84,10 +88,15 @@
         self.expects_others = True
         member = self.members.get(info.name)
         if member is None:
-            self.members[info.name] = Member(own_name=self.own.name, info=info, heard_at=now, now=now)
+            self.members[info.name] = Member(
+                own_name=self.own.name, info=info, heard_at=now, now=now
+            )
             return True
         has_restarted = direct and info.started_ms != member.info.started_ms
-        is_newer = (info.started_ms, info.heartbeat_number) > (member.info.started_ms, member.info.heartbeat_number)
+        is_newer = (info.started_ms, info.heartbeat_number) > (
+            member.info.started_ms,
+            member.info.heartbeat_number,
+        )
         if not is_newer and not has_restarted:
             return False
         member.info = info
--- a/packages/core/calicopath_core/membership/sharing.py
+++ b/packages/core/calicopath_core/membership/sharing.py
@@ -90,7 +90,9 @@
     def notify_hubs(self) -> None:
         """Tell the hubs what is new here."""
         now = self.clock.monotonic()
-        self.repeat_until = {key: at for key, at in self.repeat_until.items() if at > now and self.holds(key)}
+        self.repeat_until = {
+            key: at for key, at in self.repeat_until.items() if at > now and self.holds(key)
+        }
         if not self.repeat_until:
             return
         news = self.news_for(self.repeat_until)
@@ -103,7 +105,9 @@
         if digest == self.digest():
             return
         now = self.clock.monotonic()
-        self.next_full_send_at = {name: at for name, at in self.next_full_send_at.items() if at > now}
+        self.next_full_send_at = {
+            name: at for name, at in self.next_full_send_at.items() if at > now
+        }
         if address in self.next_full_send_at:
             return
         self.next_full_send_at[address] = now + MIN_FULL_SEND_INTERVAL_S
--- a/packages/core/calicopath_core/permits/limits.py
+++ b/packages/core/calicopath_core/permits/limits.py
@@ -155,7 +155,9 @@
         self.store(replica.id, replica.service, state, now, OWN)
         self.on_changed(replica.id)
 
-    def merge(self, replica: str, service: str, state: LimitState, age_s: float, source: str) -> bool:
+    def merge(
+        self, replica: str, service: str, state: LimitState, age_s: float, source: str
+    ) -> bool:
         """Take in what another box has heard; tell whether that is news."""
         heard_at = self.clock.monotonic() - age_s
         known = self.by_replica.get(replica)
@@ -164,19 +166,25 @@
         if known is not None:
             if known.state == state or state.started_ms < known.state.started_ms:
                 return False
-            if state.started_ms == known.state.started_ms and not supersedes(state, heard_at, known):
+            if state.started_ms == known.state.started_ms and not supersedes(
+                state, heard_at, known
+            ):
                 return False
         self.store(replica, service, state, heard_at, source)
         return True
 
-    def store(self, replica: str, service: str, state: LimitState, heard_at: float, source: str) -> None:
+    def store(
+        self, replica: str, service: str, state: LimitState, heard_at: float, source: str
+    ) -> None:
         """Keep what was heard of a replica in place of what is known."""
         self.cached_digest = None
         now = self.clock.monotonic()
         known = self.by_replica.get(replica)
         if known is None or known.state.ended or known.state.started_ms != state.started_ms:
             if len(self.by_replica) >= MAX_LIMITS:
-                del self.by_replica[min(self.by_replica, key=lambda name: self.by_replica[name].heard_at)]
+                del self.by_replica[
+                    min(self.by_replica, key=lambda name: self.by_replica[name].heard_at)
+                ]
             known = AdvertisedLimit(state=state, since=now, heard_at=heard_at, source=source)
             self.by_replica[replica] = known
         known.state, known.heard_at, known.source = state, heard_at, source
@@ -196,7 +204,9 @@
     def control_call_available_in_s(self, replica: Replica) -> float:
         """Return when a call without new work may go to a replica, 0 for now."""
         found = self.limit_of(replica)
-        return found.control_calls.available_in_s(self.clock.monotonic()) if found is not None else 0.0
+        return (
+            found.control_calls.available_in_s(self.clock.monotonic()) if found is not None else 0.0
+        )
 
     def take_control_call(self, replica: Replica) -> bool:
         """Count a call without new work if it may go; tell whether it may."""
@@ -206,7 +216,9 @@
         now = self.clock.monotonic()
         if found.control_calls.available_in_s(now) > 0:
             return False
-        found.control_calls.take(max(MIN_CONTROL_CALLS_PER_S, CONTROL_CALL_SHARE * found.per_s), now)
+        found.control_calls.take(
+            max(MIN_CONTROL_CALLS_PER_S, CONTROL_CALL_SHARE * found.per_s), now
+        )
         return True
 
     def expire(self, known: Container[str]) -> None:
@@ -220,6 +232,8 @@
     def digest(self) -> str:
         """Return what is alike at boxes that know the same limits; empty for none."""
         if self.cached_digest is None:
-            named = [f'{k}={v.state.per_s}' for k, v in self.by_replica.items() if not v.state.ended]
+            named = [
+                f'{k}={v.state.per_s}' for k, v in self.by_replica.items() if not v.state.ended
+            ]
             self.cached_digest = digest_of(sorted(named))
         return self.cached_digest
--- a/packages/core/calicopath_core/permits/sharing.py
+++ b/packages/core/calicopath_core/permits/sharing.py
@@ -81,7 +81,9 @@
         items = [(name, self.limits.by_replica[name]) for name in names]
         reports = [LimitReport(name, *item.state, now - item.heard_at) for name, item in items]
         reports.sort(key=lambda report: report.age_s)
-        return LimitNews(sender=self.own_address, whole=whole, reports=tuple(reports[:MAX_REPORTS_PER_MESSAGE]))
+        return LimitNews(
+            sender=self.own_address, whole=whole, reports=tuple(reports[:MAX_REPORTS_PER_MESSAGE])
+        )
 
     def merge(self, news: LimitNews) -> list[str]:
         """Join another box's words; return which were news."""
--- a/packages/core/calicopath_core/scheduling/backoffs.py
+++ b/packages/core/calicopath_core/scheduling/backoffs.py
@@ -92,7 +92,11 @@
     def on_started(self, replica: str, placed_at: float, now: float) -> None:
         """Note a run that has begun: the engine takes calls again, if it was asked since."""
         avoidance = self.avoidances.get(replica)
-        if avoidance is not None and avoidance.until <= now and placed_at >= avoidance.turned_away_at:
+        if (
+            avoidance is not None
+            and avoidance.until <= now
+            and placed_at >= avoidance.turned_away_at
+        ):
             del self.avoidances[replica]
 
     def on_turned_away(self, replica: str, now: float) -> None:
@@ -110,6 +114,10 @@
             self.by_box[box] = {name: until for name, until in held.items() if until > now}
             if not self.by_box[box]:
                 del self.by_box[box]
-        expired = [name for name, avoidance in self.avoidances.items() if avoidance.until + AVOIDANCE_MEMORY_S <= now]
+        expired = [
+            name
+            for name, avoidance in self.avoidances.items()
+            if avoidance.until + AVOIDANCE_MEMORY_S <= now
+        ]
         for name in expired:
             del self.avoidances[name]
--- a/packages/core/calicopath_core/scheduling/baseline.py
+++ b/packages/core/calicopath_core/scheduling/baseline.py
@@ -6,7 +6,7 @@
 
 from calicopath_core.fleet.contact import STEADY
 from calicopath_core.scheduling.election import Election
-from calicopath_core.scheduling.engines import EnginePool, EngineChoice
+from calicopath_core.scheduling.engines import EngineChoice, EnginePool
 
 if TYPE_CHECKING:
     import random
--- a/packages/core/calicopath_core/scheduling/election.py
+++ b/packages/core/calicopath_core/scheduling/election.py
@@ -115,7 +115,9 @@
 
     def on_heard(self, message: Presence, now: float) -> None:
         """Note a sign of life; after a silence, trust has to grow again."""
-        if self.last_heard_at is not None and now - self.last_heard_at >= self.silence_timeout_s(now):
+        if self.last_heard_at is not None and now - self.last_heard_at >= self.silence_timeout_s(
+            now
+        ):
             self.probation_until = now + PROBATION_S
         self.last_heard_at = now
         self.unanswered_since = None
@@ -129,7 +131,9 @@
 
     def mark_reconnect_if_due(self, now: float) -> bool:
         """Tell whether the connection to the box should be made anew, and note that it is."""
-        waiting_since = max(self.reconnected_at, self.unanswered_since if self.unanswered_since is not None else now)
+        waiting_since = max(
+            self.reconnected_at, self.unanswered_since if self.unanswered_since is not None else now
+        )
         if self.last_heard_at is None or now - waiting_since < RECONNECT_AFTER_S:
             return False
         self.reconnected_at = now
@@ -164,7 +168,11 @@
     def on_listed(self, boxes: Iterable[BoxAddress], now: float) -> None:
         """Take in the boxes of the platform's list; a new address is a new incarnation."""
         listed = {box.name: box for box in boxes if box.name != self.own.name}
-        own_records = [box for box in boxes if box.name == self.own.name and box.incarnation == self.own.incarnation]
+        own_records = [
+            box
+            for box in boxes
+            if box.name == self.own.name and box.incarnation == self.own.incarnation
+        ]
         self.own_order = own_records[0].order if own_records else None
         for name, box in listed.items():
             known = self.candidates.get(name)
@@ -276,7 +284,11 @@
         one that has none yet would refuse what others could serve. Boxes that are behind another
         go last.
         """
-        configured = (name for name in self.eligible(now) if self.has_configuration(name, own=has_configuration))
+        configured = (
+            name
+            for name in self.eligible(now)
+            if self.has_configuration(name, own=has_configuration)
+        )
         eligible = list(itertools.islice(configured, MAX_COMPARED_CONTACTS))
         eligible = eligible or list(itertools.islice(self.eligible(now), MAX_COMPARED_CONTACTS))
         contacts = {name: self.store_contact_of(name, own_contact, now) for name in eligible}
--- a/packages/core/calicopath_core/scheduling/engine_pools.py
+++ b/packages/core/calicopath_core/scheduling/engine_pools.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from calicopath_core.permits.holder import UnlimitedIssuer, PermitIssuer
+from calicopath_core.permits.holder import PermitIssuer, UnlimitedIssuer
 from calicopath_core.scheduling.backoffs import FleetBackoffs
 from calicopath_core.scheduling.engines import EnginePool
 from calicopath_core.scheduling.starts import start_limit_of
--- a/packages/core/calicopath_core/scheduling/estimates.py
+++ b/packages/core/calicopath_core/scheduling/estimates.py
@@ -50,4 +50,6 @@
     def restore(self, snapshot: dict[int, float]) -> None:
         """Go by what another scheduler has learned of sizes that this one has not seen."""
         for size, mean_s in snapshot.items():
-            self.means.setdefault(size, MeanDuration(prior_s=min(MAX_OBSERVATION_S, max(0.0, mean_s))))
+            self.means.setdefault(
+                size, MeanDuration(prior_s=min(MAX_OBSERVATION_S, max(0.0, mean_s)))
+            )
--- a/packages/core/calicopath_core/scheduling/fairness.py
+++ b/packages/core/calicopath_core/scheduling/fairness.py
@@ -87,7 +87,9 @@
         usage = self.workspaces.setdefault(workspace, Usage())
         allowed = self.allowed_rate(usage, now)
         saved_s = allowed * MAX_SAVED_S
-        usage.allowance_left_s = min(saved_s, usage.allowance_left_s + allowed * (now - usage.updated_at))
+        usage.allowance_left_s = min(
+            saved_s, usage.allowance_left_s + allowed * (now - usage.updated_at)
+        )
         usage.updated_at = now
         beyond = usage.allowance_left_s < cost_s and now - self.started_at >= LEARNING_PERIOD_S
         usage.recent.add(cost_s, now)
@@ -117,7 +119,8 @@
         """Return what is usual, for the next scheduler."""
         known = self.observed_share(now)
         return tuple(
-            UsualRate(name, usage.usual.value_at(now) / known) for name, usage in self.workspaces.items()
+            UsualRate(name, usage.usual.value_at(now) / known)
+            for name, usage in self.workspaces.items()
         )
 
     def restore(self, usual_rates: tuple[UsualRate, ...], now: float) -> bool:
--- a/packages/core/calicopath_core/scheduling/groups.py
+++ b/packages/core/calicopath_core/scheduling/groups.py
@@ -72,7 +72,10 @@
         """Return what count should be in force; only the scheduler that `leads` joins groups."""
         self.overloaded_since = since(self.overloaded_since, self.lag.value_s > OVERLOAD_LAG_S, now)
         self.idle_since = since(self.idle_since, self.lag.value_s < IDLE_LAG_S, now)
-        if has_lasted(self.overloaded_since, OVERLOAD_DURATION_S, now) and count.groups < MAX_GROUPS:
+        if (
+            has_lasted(self.overloaded_since, OVERLOAD_DURATION_S, now)
+            and count.groups < MAX_GROUPS
+        ):
             self.reset()
             return GroupCount(count.epoch + 1, count.groups + 1)
         idle_duration_s = IDLE_DURATION_S * 2**self.merge_count
--- a/packages/core/calicopath_core/scheduling/placing.py
+++ b/packages/core/calicopath_core/scheduling/placing.py
@@ -19,30 +19,32 @@
     from calicopath_core.scheduling.jobs import Piece
     from calicopath_core.scheduling.stage_replicas import StageReplica
 
-WORTH_WAITING_BYTES = 150_000
+MIN_PREFERENCE_BYTES = 150_000
 """A piece that moves less than this is made in any failure domain: it counts for less than 15 ms of
 an engine's time, by what a byte between failure domains counts there."""
 
 
-class Home(NamedTuple):
+class DomainPreference(NamedTuple):
     """Say in which failure domain, if any, pieces should be made, and how long they may wait."""
 
     failure_domain: str | None
     slack_s: float
 
 
-ANYWHERE = Home(None, 0.0)
+NO_PREFERENCE = DomainPreference(None, 0.0)
 
 
-def home_of(piece: Piece, now: float) -> Home:
+def preference_of(piece: Piece, now: float) -> DomainPreference:
     """Return where a piece, and with it its group, should be made."""
-    failure_domain = piece.home
-    if failure_domain is None or piece.job.resumed or piece.moved_bytes() < WORTH_WAITING_BYTES:
-        return ANYWHERE
-    return Home(failure_domain, piece.slack_s(now))
+    failure_domain = piece.preferred_failure_domain
+    if failure_domain is None or piece.job.resumed or piece.transfer_bytes() < MIN_PREFERENCE_BYTES:
+        return NO_PREFERENCE
+    return DomainPreference(failure_domain, piece.slack_s(now))
 
 
-def may_go(home: Home, failure_domain: str, waits: Mapping[str, float]) -> bool:
+def may_run_in(
+    preference: DomainPreference, failure_domain: str, waits: Mapping[str, float]
+) -> bool:
     """Tell whether pieces may be made in a failure domain: at home, or elsewhere if that can't
     wait.
 
@@ -50,12 +52,12 @@
     already has nothing to lose by the wait.
     """
     if (
-        home.failure_domain is None
-        or home.failure_domain == failure_domain
-        or home.failure_domain not in waits
+        preference.failure_domain is None
+        or preference.failure_domain == failure_domain
+        or preference.failure_domain not in waits
     ):
         return True
-    return 0 < home.slack_s < waits[home.failure_domain]
+    return 0 < preference.slack_s < waits[preference.failure_domain]
 
 
 def failure_domain_waits(
@@ -64,11 +66,11 @@
     """Return the failure domains worth waiting for, and for how many seconds."""
     found: dict[str, float] = {}
     for item in replicas:
-        if item.idle_until > now or item.is_slow(now) or item.is_overdue(now):
+        if item.unavailable_until > now or item.is_slow(now) or item.is_overdue(now):
             continue
         if item.room_left(spec, now) <= 0:
             continue
         failure_domain = item.replica.failure_domain
-        wait_s = max(item.busy_s(now), permits.available_in_s(item.replica))
+        wait_s = max(item.busy_for_s(now), permits.available_in_s(item.replica))
         found[failure_domain] = min(found.get(failure_domain, math.inf), wait_s)
     return found
--- a/packages/core/calicopath_core/scheduling/tests/engines_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/engines_tests.py
@@ -9,9 +9,9 @@
 from calicopath_core.scheduling.engines import (
     BASE_EJECTION_S,
     PREFIX_CACHE_TTL_S,
-    EnginePool,
-    EngineChoice,
     CachedPart,
+    EngineChoice,
+    EnginePool,
 )
 from calicopath_core.scheduling.tests.work import job, phase, prompt, replica, result
 
--- a/packages/core/calicopath_core/scheduling/tests/groups_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/groups_tests.py
@@ -161,4 +161,6 @@
         other = next(item for item in elections if item.group != lead.group)
         for now in (0.0, LEADER_PING_INTERVAL_S):
             self.assertIn('b1', [item.box.name for item in other.candidates_to_ping(now)])
-        self.assertNotIn('b1', [item.box.name for item in other.candidates_to_ping(LEADER_PING_INTERVAL_S + 0.2)])
+        self.assertNotIn(
+            'b1', [item.box.name for item in other.candidates_to_ping(LEADER_PING_INTERVAL_S + 0.2)]
+        )
--- a/packages/core/calicopath_core/scheduling/tests/starts_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/starts_tests.py
@@ -15,7 +15,12 @@
 from calicopath_core.scheduling.interfaces import StageCaller
 from calicopath_core.scheduling.messages import Placed, Rejected, RunEnded
 from calicopath_core.scheduling.scheduler import Scheduler
-from calicopath_core.scheduling.starts import NO_OVERAGE, START_WINDOW_S, WarmupTerms, start_limit_of
+from calicopath_core.scheduling.starts import (
+    NO_OVERAGE,
+    START_WINDOW_S,
+    WarmupTerms,
+    start_limit_of,
+)
 from calicopath_core.scheduling.tests.work import job, prompt, replica
 from testkit.cases import VirtualCase
 from testkit.ledgers import new_guard
--- a/packages/core/calicopath_core/scheduling/tests/work.py
+++ b/packages/core/calicopath_core/scheduling/tests/work.py
@@ -7,11 +7,16 @@
 from calicopath_core.fleet.deployment import StageSpec
 from calicopath_core.fleet.replicas import Replica
 from calicopath_core.scheduling.jobs import Job, Piece, Result
-from calicopath_core.scheduling.messages import PhaseWork, Place, Prompt, PromptPart
+from calicopath_core.scheduling.messages import PhaseWork, PlaceJob, Prompt, PromptPart
 from calicopath_core.scheduling.stages import StageQueue
 
 SPEC = StageSpec(
-    concurrency=1, batch=4, call_s=0.2, piece_s=0.05, result_capacity_bytes=1_000_000, result_ttl_s=4.0
+    concurrency=1,
+    batch=4,
+    call_s=0.2,
+    piece_s=0.05,
+    result_capacity_bytes=1_000_000,
+    result_ttl_s=4.0,
 )
 
 
@@ -48,7 +53,7 @@
         'phases': tuple(phases),
         'prompt': prompt((f'own-{name}', 100)),
     }
-    found = Job(place=Place(**(fields | changes)), now=now)
+    found = Job(place=PlaceJob(**(fields | changes)), now=now)
     for number, work in enumerate(found.place.phases):
         found.pieces[number] = [
             Piece(job=found, phase=number, index=index) for index in range(work.pieces)
@@ -56,14 +61,16 @@
     return found
 
 
-def result(handle: str, failure_domain: str = 'a', size: int = 100, made_at: float = 0.0) -> Result:
+def result(
+    handle: str, failure_domain: str = 'a', size: int = 100, created_at: float = 0.0
+) -> Result:
     """Return a result."""
     return Result(
         handle=handle,
-        maker=f'maker-{failure_domain}',
+        producer=f'maker-{failure_domain}',
         failure_domain=failure_domain,
         size=size,
-        made_at=made_at,
+        created_at=created_at,
     )
 
 
--- a/packages/daemon/calicopathd/gateway/box.py
+++ b/packages/daemon/calicopathd/gateway/box.py
@@ -22,11 +22,11 @@
 from calicopath_core.fleet.deployment import DEFAULT_LIMITS, Deployment, DeploymentView
 from calicopath_core.fleet.positions import NO_POSITION, Position
 from calicopath_core.fleet.store import RecordKind
-from calicopath_core.scheduling.baseline import StandaloneElection, RandomEnginePool
+from calicopath_core.scheduling.baseline import RandomEnginePool, StandaloneElection
 from calicopath_core.scheduling.client import SchedulerClient
 from calicopath_core.scheduling.election import BoxAddress, Election
 from calicopath_core.scheduling.groups import GroupPolicy
-from calicopath_core.scheduling.messages import BackoffNews, Pong
+from calicopath_core.scheduling.messages import BackoffNotice, Pong
 from calicopath_core.scheduling.scheduler import Scheduler
 from calicopathd import events
 from calicopathd.gateway.following import StoreFollowing
@@ -95,7 +95,7 @@
             own_address=str(settings.peer_listen),
             hubs=self.hubs,
             send=self.send,
-            lender=lambda: self.client.target,
+            lender=lambda: self.client.scheduler_address,
             share=lambda: 1 / max(1, self.election.groups),
             on_backoff=self.on_replica_backoff,
         )
@@ -150,8 +150,8 @@
             own_address=self.own.address,
             share_of=self.election.share_of,
             crashes=self.crashes,
-            back_s=self.gate.backoffs.remaining_s,
-            support_back_s=self.gate.control_call_available_in_s,
+            backoff_left_s=self.gate.backoffs.remaining_s,
+            support_backoff_left_s=self.gate.control_call_available_in_s,
             permits=self.notices.holder,
             warmup=settings.warmup,
             new_board=self.random_board if alone else None,
@@ -162,7 +162,7 @@
             send=self.link.send,
             on_scheduler=self.on_scheduler,
             contact=self.contact,
-            knows=lambda: self.view.current is not None,
+            has_configuration=lambda: self.view.current is not None,
         )
         self.following = StoreFollowing(
             own=self.own,
@@ -256,7 +256,9 @@
 
     def keeps_blocked(self) -> bool:
         """Tell whether this box is the one that keeps blocked requests in the store."""
-        return self.subscription.relay_selection.is_first_relay and self.synced() and not self.leaving
+        return (
+            self.subscription.relay_selection.is_first_relay and self.synced() and not self.leaving
+        )
 
     def synced(self) -> bool:
         """Tell whether all that says where requests may go was read once."""
@@ -273,7 +275,11 @@
 
     def unaware_boxes(self) -> set[str]:
         """Return the boxes that hear the store through this one, and the other relays."""
-        relays = self.subscription.relay_selection.candidates if self.subscription.relay_selection.is_relay else []
+        relays = (
+            self.subscription.relay_selection.candidates
+            if self.subscription.relay_selection.is_relay
+            else []
+        )
         return {*self.publisher.subscribers, *relays}
 
     def knows_blocked(self) -> bool:
@@ -305,14 +311,14 @@
     async def measure_lag(self) -> None:
         """Measure how late this box's event loop is while it schedules, until cancelled."""
         while True:
-            if self.client.target == self.own.address:
+            if self.client.scheduler_address == self.own.address:
                 await self.group_rule.lag.measure()
             else:
                 await asyncio.sleep(UNMEASURED_S)
 
     def judge_groups(self, now: float) -> None:
         """Have the fleet split, or joined, if this box schedules and finds that it should be."""
-        if self.client.target != self.own.address or self.leaving:
+        if self.client.scheduler_address != self.own.address or self.leaving:
             self.group_rule.reset()
             return
         leads = self.election.is_leader(now)
@@ -350,8 +356,8 @@
     def tell_backoffs(self, lefts: dict[str, float]) -> None:
         """Tell the box that schedules of engines that want nothing from this one."""
         if lefts:
-            news = BackoffNews(address=self.own.address, backoffs=lefts)
-            self.link.send(self.client.target, news)
+            news = BackoffNotice(address=self.own.address, backoffs=lefts)
+            self.link.send(self.client.scheduler_address, news)
 
     def on_scheduler(self, address: str, asked_again: int) -> None:
         """Note that another box schedules now."""
--- a/packages/daemon/calicopathd/gateway/observer.py
+++ b/packages/daemon/calicopathd/gateway/observer.py
@@ -19,7 +19,7 @@
     from calicopath_core.backends.base import BackendError
     from calicopath_core.exchanges.context import RefusedExchange, Ticket
     from calicopath_core.exchanges.messages import Exchange
-    from calicopath_core.fleet.evacuations import Evacuation, ActiveEvacuation
+    from calicopath_core.fleet.evacuations import ActiveEvacuation, Evacuation
     from calicopath_core.fleet.notices import Exclusion
     from calicopath_core.fleet.positions import Position
     from calicopath_core.fleet.replicas import Replica
@@ -216,10 +216,10 @@
             replica=replica.id,
             zone=replica.failure_domain,
             result_zones=[item.failure_domain for item in job.final_results()],
-            crossing_kb=job.crossing_bytes(job.final_results(), replica.failure_domain) // 1000,
+            crossing_kb=job.cross_domain_bytes(job.final_results(), replica.failure_domain) // 1000,
             cost_ms=round(cost_s * 1000),
             staged_ms=round(waited_s * 1000),
-            expected_ms=round(job.expected_s * 1000),
+            expected_ms=round(job.expected_stages_s * 1000),
             priority=job.place.priority,
             late=waited_s > job.objective_at - job.arrived_at,
         )
@@ -234,7 +234,7 @@
             job=job.id,
             reason=reason,
             priority=job.place.priority,
-            expected_ms=round(job.expected_s * 1000),
+            expected_ms=round(job.expected_stages_s * 1000),
             objective_ms=round(job.place.objective_s * 1000),
             retry_after_ms=round(retry_after_s * 1000),
         )
--- a/packages/daemon/calicopathd/gateway/tests/evacuating_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/evacuating_tests.py
@@ -157,14 +157,18 @@
 
     def test_relays_tell_boxes_that_the_store_fails(self) -> None:
         async def scenario(fleet: GatewayFleet) -> None:
-            relays = {box.name for box in fleet.boxes['box-0'].box.subscription.relay_selection.relays}
+            relays = {
+                box.name for box in fleet.boxes['box-0'].box.subscription.relay_selection.relays
+            }
             cut = [box for name, box in fleet.boxes.items() if name not in relays]
             for box in cut:
                 box.store.cut = True
             await asyncio.sleep(1.0)
             fleet.take_out('south')
             await asyncio.sleep(0.5)
-            self.assertEqual([{'south'}] * len(cut), [set(box.box.evacuations.active) for box in cut])
+            self.assertEqual(
+                [{'south'}] * len(cut), [set(box.box.evacuations.active) for box in cut]
+            )
             fleet.give_back('south')
             await asyncio.sleep(0.5)
             self.assertEqual([set()] * len(cut), [set(box.box.evacuations.active) for box in cut])
@@ -173,7 +177,9 @@
 
     def test_boxes_that_the_store_serves_hear_though_all_relays_are_turned_away(self) -> None:
         async def scenario(fleet: GatewayFleet) -> None:
-            relays = {box.name for box in fleet.boxes['box-0'].box.subscription.relay_selection.relays}
+            relays = {
+                box.name for box in fleet.boxes['box-0'].box.subscription.relay_selection.relays
+            }
             for name in relays:
                 fleet.boxes[name].store.cut = True
             fleet.take_out('south')
--- a/packages/daemon/calicopathd/gateway/tests/relaying_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/relaying_tests.py
@@ -249,7 +249,9 @@
 
 def relays(fleet: GatewayFleet) -> list[str]:
     """Return the boxes that follow the store for others."""
-    return [name for name, box in fleet.boxes.items() if box.box.subscription.relay_selection.is_relay]
+    return [
+        name for name, box in fleet.boxes.items() if box.box.subscription.relay_selection.is_relay
+    ]
 
 
 def versions(fleet: GatewayFleet) -> set[int]:
--- a/packages/daemon/calicopathd/gateway/tests/restored_store_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/restored_store_tests.py
@@ -67,7 +67,9 @@
             for version in range(10, 10 + others):
                 fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(version))
             await asyncio.sleep(DRAIN_S)
-            self.assertEqual({Exclusion.DRAINING}, bars(fleet, leaving), f'{count} boxes, {others} more')
+            self.assertEqual(
+                {Exclusion.DRAINING}, bars(fleet, leaving), f'{count} boxes, {others} more'
+            )
             fleet.stages.calls.clear()
             await fleet.load('draft', 0.2, for_s=4.0)
             called = {name for name, _ in fleet.stages.calls}
