--- a/bench/load.py
+++ b/bench/load.py
@@ -180,7 +180,7 @@
                 engine=HttpEngine(session=self.session),
                 pool=HttpStagePool(session=self.session),
                 service=HttpPlainService(session=self.session),
-                reach=HttpReach(),
+                prober=HttpReach(),
             ),
             rng=self.rng,
         )
--- a/packages/clients/calicopath_clients/calls.py
+++ b/packages/clients/calicopath_clients/calls.py
@@ -14,11 +14,11 @@
 from calicopath_core.backends.base import (
     ConnectionBroken,
     Declined,
-    EndpointReach,
+    EndpointProber,
     MayHaveRun,
     NotStarted,
     PlainService,
-    Reach,
+    ProbeResult,
     StagePool,
     WrongAnswer,
 )
@@ -114,32 +114,32 @@
     return output
 
 
-class HttpReach(EndpointReach):
+class HttpReach(EndpointProber):
     """Look whether endpoints take connections."""
 
-    async def reach(self, endpoint: Endpoint, watch_s: float) -> Reach:
+    async def probe(self, endpoint: Endpoint, watch_s: float) -> ProbeResult:
         """Return what attempts to connect show, until one is refused or the watch is over."""
         url = urlsplit(endpoint.address)
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + watch_s
         while True:
             found = await try_to_connect(url.hostname or '', url.port or HTTP_PORT)
-            if found is not Reach.OPEN or loop.time() >= ends_at:
+            if found is not ProbeResult.OPEN or loop.time() >= ends_at:
                 return found
             await asyncio.sleep(REACH_S)
 
 
-async def try_to_connect(host: str, port: int) -> Reach:
+async def try_to_connect(host: str, port: int) -> ProbeResult:
     """Return what one attempt to connect shows."""
     try:
         async with asyncio.timeout(REACH_S):
             _, writer = await asyncio.open_connection(host, port)
     except ConnectionRefusedError:
-        return Reach.REFUSED
+        return ProbeResult.REFUSED
     except (OSError, TimeoutError):
-        return Reach.SILENT
+        return ProbeResult.SILENT
     writer.close()
-    return Reach.OPEN
+    return ProbeResult.OPEN
 
 
 class HttpStagePool(StagePool):
--- a/packages/clients/calicopath_clients/http1/pool.py
+++ b/packages/clients/calicopath_clients/http1/pool.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from calicopath_clients.http1.connections import Connection
-from calicopath_core.backends.base import MayHaveRun, NotStarted, Reach
+from calicopath_core.backends.base import MayHaveRun, NotStarted, ProbeResult
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -177,7 +177,7 @@
         connection.on_closed = partial(self.on_closed, address)
         return connection
 
-    async def reach(self, address: str, watch_s: float) -> Reach:
+    async def reach(self, address: str, watch_s: float) -> ProbeResult:
         """Return what an attempt to connect shows; a connection that opens is kept for use.
 
         It is watched for a while, and another one is tried if it closes meanwhile.
@@ -190,14 +190,14 @@
                     connection = await self.connect(address)
             except NotStarted as error:
                 refused = isinstance(error.__cause__, ConnectionRefusedError)
-                return Reach.REFUSED if refused else Reach.SILENT
+                return ProbeResult.REFUSED if refused else ProbeResult.SILENT
             except TimeoutError:
-                return Reach.SILENT
+                return ProbeResult.SILENT
             self.give_back(address, connection)
             while not connection.closed and loop.time() < ends_at:
                 await asyncio.sleep(REACH_CHECK_S)
             if not connection.closed or loop.time() >= ends_at:
-                return Reach.OPEN
+                return ProbeResult.OPEN
 
     def on_closed(self, address: str) -> None:
         """Note that a connection is gone."""
--- a/packages/clients/calicopath_clients/tests/http1_tests.py
+++ b/packages/clients/calicopath_clients/tests/http1_tests.py
@@ -10,7 +10,7 @@
 import testtools
 
 from calicopath_clients.http1.pool import CallHead, HttpPool, keep_alive_s
-from calicopath_core.backends.base import ConnectionBroken, MayHaveRun, NotStarted, Reach
+from calicopath_core.backends.base import ConnectionBroken, MayHaveRun, NotStarted, ProbeResult
 from testkit.servers import read_request
 
 if TYPE_CHECKING:
@@ -258,11 +258,11 @@
             return [*found, await get(pool, address)]
 
         found, connections = self.play(script, work)
-        self.assertEqual([Reach.REFUSED, Reach.OPEN, b'one'], found)
+        self.assertEqual([ProbeResult.REFUSED, ProbeResult.OPEN, b'one'], found)
         self.assertEqual(1, connections)
 
     def test_a_port_that_closes_after_its_connections_is_seen_to_be_refused(self) -> None:
-        async def scenario() -> Reach:
+        async def scenario() -> ProbeResult:
             accepted = asyncio.Event()
 
             async def end(reader: Any, writer: Any) -> None:
@@ -277,7 +277,7 @@
             listener.close()
             return await found
 
-        self.assertEqual(Reach.REFUSED, asyncio.run(scenario()))
+        self.assertEqual(ProbeResult.REFUSED, asyncio.run(scenario()))
 
     def test_a_broken_connection_is_told_from_an_answer_that_makes_no_sense(self) -> None:
         async def lost(reader: Any, writer: Any) -> None:
--- a/packages/core/calicopath_core/backends/base.py
+++ b/packages/core/calicopath_core/backends/base.py
@@ -21,7 +21,7 @@
     from calicopath_core.structure.endpoints import Endpoint
 
 
-class Reach(enum.Enum):
+class ProbeResult(enum.Enum):
     """Say what an attempt to connect has shown."""
 
     REFUSED = 'refused'
@@ -99,11 +99,11 @@
         """Ask an engine to stop a generation; a failure to do so is not reported."""
 
 
-class EndpointReach(ABC):
+class EndpointProber(ABC):
     """Look whether endpoints can be reached."""
 
     @abstractmethod
-    async def reach(self, endpoint: Endpoint, watch_s: float) -> Reach:
+    async def probe(self, endpoint: Endpoint, watch_s: float) -> ProbeResult:
         """Return what an attempt to connect shows; one that opens is watched for a while."""
 
 
@@ -111,9 +111,9 @@
     """Hold one adapter for each kind of endpoint, and how to look whether any is there."""
 
     def __init__(
-        self, *, engine: Engine, pool: StagePool, service: PlainService, reach: EndpointReach
+        self, *, engine: Engine, pool: StagePool, service: PlainService, prober: EndpointProber
     ) -> None:
         self.engine = engine
         self.pool = pool
         self.service = service
-        self.reach = reach
+        self.prober = prober
--- a/packages/core/calicopath_core/clock.py
+++ b/packages/core/calicopath_core/clock.py
@@ -24,14 +24,14 @@
         """Return seconds since 1970 in UTC; may jump, so nothing safe rests on it."""
 
 
-SUSPENDED_S = 0.05
+MIN_SUSPENSION_S = 0.05
 """How far the two clocks must part to be told from the time between reading them."""
 
-LOOK_S = 0.02
+CHECK_INTERVAL_S = 0.02
 """How often it is looked whether they have: a look takes five times as long as the loop's time."""
 
 
-def boot_lead_s() -> float:
+def boottime_lead_s() -> float:
     """Return how far the clock that counts suspensions is ahead of the steady one.
 
     It is read first, so that a pause between the two readings makes the lead less, never more.
@@ -59,22 +59,22 @@
     the loop as a point in time; spans are alike on both clocks.
     """
 
-    def __init__(self, *, lead_s: Callable[[], float] = boot_lead_s) -> None:
+    def __init__(self, *, lead_s: Callable[[], float] = boottime_lead_s) -> None:
         self.lead_s = lead_s
-        self.first_lead_s = lead_s()
+        self.initial_lead_s = lead_s()
         self.suspended_s = 0.0
-        self.look_at = -math.inf
+        self.next_check_at = -math.inf
 
     def monotonic(self) -> float:
         """Return the event loop's time and what the machine was suspended for, in seconds."""
         now = asyncio.get_running_loop().time()
-        if now >= self.look_at:
-            self.look_at = now + LOOK_S
-            self.look()
+        if now >= self.next_check_at:
+            self.next_check_at = now + CHECK_INTERVAL_S
+            self.update_suspended()
         return now + self.suspended_s
 
-    def look(self) -> None:
+    def update_suspended(self) -> None:
         """See whether the machine was suspended since the last look."""
-        suspended_s = self.lead_s() - self.first_lead_s
-        if suspended_s > self.suspended_s + SUSPENDED_S:
+        suspended_s = self.lead_s() - self.initial_lead_s
+        if suspended_s > self.suspended_s + MIN_SUSPENSION_S:
             self.suspended_s = suspended_s
--- a/packages/core/calicopath_core/crashes/fate.py
+++ b/packages/core/calicopath_core/crashes/fate.py
@@ -6,11 +6,11 @@
 from abc import ABC, abstractmethod
 from typing import TYPE_CHECKING
 
-from calicopath_core.backends.base import Reach
+from calicopath_core.backends.base import ProbeResult
 
 if TYPE_CHECKING:
-    from calicopath_core.backends.base import EndpointReach
-    from calicopath_core.exchanges.messages import ReplicaReach
+    from calicopath_core.backends.base import EndpointProber
+    from calicopath_core.exchanges.messages import ReplicaProber
     from calicopath_core.fleet.replicas import Replica, ReplicaTable
     from calicopath_core.structure.endpoints import Endpoint
 
@@ -42,7 +42,7 @@
 class ReplicaFate(Fate):
     """Tell what became of a replica that announces itself in the store."""
 
-    def __init__(self, *, reach: ReplicaReach, replicas: ReplicaTable, replica: Replica) -> None:
+    def __init__(self, *, reach: ReplicaProber, replicas: ReplicaTable, replica: Replica) -> None:
         self.reach = reach
         self.replicas = replicas
         self.replica = replica
@@ -50,13 +50,13 @@
 
     async def has_ended(self) -> bool:
         """Tell whether its port refuses connections."""
-        return await self.reach.reach(self.replica, 0.0) is Reach.REFUSED
+        return await self.reach.probe(self.replica, 0.0) is ProbeResult.REFUSED
 
     async def ends_soon(self) -> bool:
         """Tell whether its port refuses connections soon, or its entry goes while it is silent."""
-        found = await self.reach.reach(self.replica, DOUBT_S)
-        if found is not Reach.SILENT:
-            return found is Reach.REFUSED
+        found = await self.reach.probe(self.replica, DOUBT_S)
+        if found is not ProbeResult.SILENT:
+            return found is ProbeResult.REFUSED
         return await self.lapses()
 
     async def lapses(self) -> bool:
@@ -76,15 +76,15 @@
 class EndpointFate(Fate):
     """Tell what became of an endpoint that operators have added; one that is silent may live."""
 
-    def __init__(self, *, reach: EndpointReach, endpoint: Endpoint) -> None:
+    def __init__(self, *, reach: EndpointProber, endpoint: Endpoint) -> None:
         self.reach = reach
         self.endpoint = endpoint
         self.name = endpoint.name
 
     async def has_ended(self) -> bool:
         """Tell whether its port refuses connections."""
-        return await self.reach.reach(self.endpoint, 0.0) is Reach.REFUSED
+        return await self.reach.probe(self.endpoint, 0.0) is ProbeResult.REFUSED
 
     async def ends_soon(self) -> bool:
         """Tell whether its port refuses connections soon."""
-        return await self.reach.reach(self.endpoint, DOUBT_S) is Reach.REFUSED
+        return await self.reach.probe(self.endpoint, DOUBT_S) is ProbeResult.REFUSED
--- a/packages/core/calicopath_core/exchanges/balancer.py
+++ b/packages/core/calicopath_core/exchanges/balancer.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from calicopath_core.exchanges.cold import ColdShares
+from calicopath_core.exchanges.cold import ColdReplicaLimiter
 
 if TYPE_CHECKING:
     import random
@@ -13,21 +13,21 @@
     from calicopath_core.fleet.gate import CallGate
     from calicopath_core.fleet.replicas import Replica, ReplicaTable
 
-FIRST_LATENCY_S = 0.05
-SMOOTHING = 0.2
+INITIAL_LATENCY_S = 0.05
+SMOOTHING_WEIGHT = 0.2
 """The weight of the newest call in averages of time and failures."""
 
-FAR_S = 0.002
+REMOTE_PENALTY_S = 0.002
 """What a replica in another failure domain counts as, beside its time: two crossings of 0.5 ms
 and the bytes that they carry."""
 
-FAILURE_WEIGHT = 20.0
+FAILURE_COST_FACTOR = 20.0
 """How many times its usual time a call to a replica counts as that fails every call."""
 
-EJECT_AFTER = 3
-EJECT_S = 1.0
-MAX_EJECT_S = 8.0
-REPORT_LIFE_S = 0.5
+FAILURES_TO_EJECT = 3
+MIN_EJECTION_S = 1.0
+MAX_EJECTION_S = 8.0
+REPORT_TTL_S = 0.5
 """How long a reported load is believed."""
 
 
@@ -44,32 +44,32 @@
 
     def __init__(self) -> None:
         self.in_flight = 0
-        self.latency_s = FIRST_LATENCY_S
+        self.latency_s = INITIAL_LATENCY_S
         self.failure_rate = 0.0
-        self.failures = 0
+        self.consecutive_failures = 0
         self.ejected_until = 0.0
         self.report: LoadReport | None = None
         self.reported_at = 0.0
 
-    def busy(self, now: float) -> float:
+    def estimated_calls(self, now: float) -> float:
         """Return how many calls are believed to be there, those of others included."""
-        if self.report is None or now - self.reported_at > REPORT_LIFE_S:
+        if self.report is None or now - self.reported_at > REPORT_TTL_S:
             return float(self.in_flight)
         return max(float(self.in_flight), float(self.report.running + self.report.waiting))
 
     def on_success(self, took_s: float) -> None:
         """Note an answer in time."""
-        self.latency_s += SMOOTHING * (took_s - self.latency_s)
-        self.failure_rate *= 1 - SMOOTHING
-        self.failures = 0
+        self.latency_s += SMOOTHING_WEIGHT * (took_s - self.latency_s)
+        self.failure_rate *= 1 - SMOOTHING_WEIGHT
+        self.consecutive_failures = 0
 
     def on_failure(self, now: float) -> None:
         """Note a failed call; several in a row leave the replica alone for a while."""
-        self.failure_rate += SMOOTHING * (1 - self.failure_rate)
-        self.failures += 1
-        if self.failures >= EJECT_AFTER:
-            pause_s = min(MAX_EJECT_S, EJECT_S * 2 ** (self.failures - EJECT_AFTER))
-            self.ejected_until = now + pause_s
+        self.failure_rate += SMOOTHING_WEIGHT * (1 - self.failure_rate)
+        self.consecutive_failures += 1
+        if self.consecutive_failures >= FAILURES_TO_EJECT:
+            ejection_s = min(MAX_EJECTION_S, MIN_EJECTION_S * 2 ** (self.consecutive_failures - FAILURES_TO_EJECT))
+            self.ejected_until = now + ejection_s
 
     def on_report(self, report: LoadReport, now: float) -> None:
         """Note a reported load."""
@@ -94,50 +94,50 @@
         self.failure_domain = failure_domain
         self.rng = rng
         self.stats: dict[str, ReplicaStats] = {}
-        self.cold = ColdShares(rng=rng, rate_of=cold_rate_of)
-        replicas.listeners.append(self.forget_gone)
+        self.cold_limiter = ColdReplicaLimiter(rng=rng, rate_of=cold_rate_of)
+        replicas.listeners.append(self.drop_removed)
 
-    def forget_gone(self) -> None:
+    def drop_removed(self) -> None:
         """Drop what is known of replicas that are gone."""
         for name in list(self.stats):
             if name not in self.replicas.replicas:
                 del self.stats[name]
-        self.cold.forget_gone(self.replicas.replicas)
+        self.cold_limiter.drop_removed(self.replicas.replicas)
 
-    def of(self, replica: Replica) -> ReplicaStats:
+    def stats_of(self, replica: Replica) -> ReplicaStats:
         """Return what is known of a replica."""
         found = self.stats.get(replica.id)
         if found is None:
             found = self.stats[replica.id] = ReplicaStats()
         return found
 
-    def choose(self, service: str, tried: set[str], now: float) -> Replica | None:
+    def choose(self, service: str, excluded: set[str], now: float) -> Replica | None:
         """Return the better of two replicas drawn, or of all if there are few."""
-        usable = [item for item in self.gate.usable(service) if item.id not in tried]
-        usable = self.cold.allowed(usable, now)
+        usable = [item for item in self.gate.usable(service) if item.id not in excluded]
+        usable = self.cold_limiter.allowed(usable, now)
         if not usable:
             return None
-        healthy = [item for item in usable if self.of(item).ejected_until <= now]
+        healthy = [item for item in usable if self.stats_of(item).ejected_until <= now]
         pool = healthy or usable
         self.rng.shuffle(pool)
         found = min(pool, key=lambda item: self.cost_s(item, now))
-        self.cold.on_sent(found, now)
+        self.cold_limiter.on_sent(found, now)
         return found
 
-    def limited(self, service: str, tried: set[str], now: float) -> list[Replica]:
+    def permit_candidates(self, service: str, excluded: set[str], now: float) -> list[Replica]:
         """Return the replicas that may be called with a permit, the quickest first."""
-        found = [item for item in self.gate.limited(service) if item.id not in tried]
-        return sorted(self.cold.allowed(found, now), key=lambda item: self.cost_s(item, now))
+        found = [item for item in self.gate.limited(service) if item.id not in excluded]
+        return sorted(self.cold_limiter.allowed(found, now), key=lambda item: self.cost_s(item, now))
 
-    def usual_s(self, replicas: Iterable[Replica]) -> float:
+    def min_latency_s(self, replicas: Iterable[Replica]) -> float:
         """Return what the quickest of some replicas usually takes."""
-        return min((self.of(item).latency_s for item in replicas), default=0.0)
+        return min((self.stats_of(item).latency_s for item in replicas), default=0.0)
 
     def cost_s(self, replica: Replica, now: float) -> float:
         """Return what a call is expected to take, failures and distance counted."""
-        stats = self.of(replica)
+        stats = self.stats_of(replica)
         slots = max(1, replica.slots)
-        wait = max(0.0, stats.busy(now) + 1 - slots) / slots
-        far = 0.0 if replica.failure_domain == self.failure_domain else FAR_S
-        crowd = 0.25 * stats.busy(now) / slots
-        return stats.latency_s * (1 + wait + crowd + FAILURE_WEIGHT * stats.failure_rate) + far
+        queueing = max(0.0, stats.estimated_calls(now) + 1 - slots) / slots
+        distance_s = 0.0 if replica.failure_domain == self.failure_domain else REMOTE_PENALTY_S
+        utilization = 0.25 * stats.estimated_calls(now) / slots
+        return stats.latency_s * (1 + queueing + utilization + FAILURE_COST_FACTOR * stats.failure_rate) + distance_s
--- a/packages/core/calicopath_core/exchanges/cold.py
+++ b/packages/core/calicopath_core/exchanges/cold.py
@@ -15,7 +15,7 @@
     from calicopath_core.fleet.replicas import Replica
 
 
-class ColdShares:
+class ColdReplicaLimiter:
     """Hold when this box may next send to each cold replica, in monotonic seconds.
 
     `rate_of` gives a service's requests a second that this box may send to one cold replica, or
@@ -25,7 +25,7 @@
     def __init__(self, *, rng: random.Random, rate_of: Callable[[str], float | None]) -> None:
         self.rng = rng
         self.rate_of = rate_of
-        self.next_at: dict[str, float] = {}
+        self.next_send_at: dict[str, float] = {}
 
     def allowed(self, replicas: Iterable[Replica], now: float) -> list[Replica]:
         """Return the replicas that this box may send to now."""
@@ -39,18 +39,18 @@
         rate = self.rate_of(replica.service)
         if rate is None:
             return True
-        if replica.id not in self.next_at:
-            self.next_at[replica.id] = now + self.rng.random() / rate
-        return now >= self.next_at[replica.id]
+        if replica.id not in self.next_send_at:
+            self.next_send_at[replica.id] = now + self.rng.random() / rate
+        return now >= self.next_send_at[replica.id]
 
     def on_sent(self, replica: Replica, now: float) -> None:
         """Count a request that is sent to a replica."""
         rate = self.rate_of(replica.service)
         if replica.cold and rate is not None:
-            self.next_at[replica.id] = now + 1 / rate
+            self.next_send_at[replica.id] = now + 1 / rate
 
-    def forget_gone(self, replicas: dict[str, Replica]) -> None:
+    def drop_removed(self, replicas: dict[str, Replica]) -> None:
         """Forget replicas that are gone, or cold no more."""
-        for name in list(self.next_at):
+        for name in list(self.next_send_at):
             if name not in replicas or not replicas[name].cold:
-                del self.next_at[name]
+                del self.next_send_at[name]
--- a/packages/core/calicopath_core/exchanges/context.py
+++ b/packages/core/calicopath_core/exchanges/context.py
@@ -15,8 +15,8 @@
     from calicopath_core.clock import Clock
     from calicopath_core.crashes.guard import CrashGuard
     from calicopath_core.exchanges.balancer import Balancer
-    from calicopath_core.exchanges.budget import Budgets
-    from calicopath_core.exchanges.messages import Exchange, ReplicaCaller
+    from calicopath_core.exchanges.budget import RetryBudgets
+    from calicopath_core.exchanges.messages import Exchange, ReplicaClient
     from calicopath_core.fleet.deployment import Deployment, DeploymentView, Route
     from calicopath_core.fleet.gate import CallGate
     from calicopath_core.fleet.notices import Bar
@@ -30,7 +30,7 @@
 STATUS_UNAVAILABLE = 503
 STATUS_GATEWAY_TIMEOUT = 504
 
-RETRY_SOON_S = 0.3
+SHORT_RETRY_AFTER_S = 0.3
 """When a caller may come back after a refusal that has nothing to do with load."""
 
 
@@ -48,7 +48,7 @@
         self.retry_after_s = retry_after_s
 
 
-def failure_of(error: Exception) -> str:
+def failure_kind(error: Exception) -> str:
     """Return in one word how an attempt failed, for logs and figures."""
     if isinstance(error, ConnectionBroken):
         return 'broken'
@@ -61,7 +61,7 @@
     return 'silent'
 
 
-class Ticket:
+class ExchangeState:
     """Follow one exchange: its route and deadline, what was tried, how it ended."""
 
     def __init__(
@@ -83,8 +83,8 @@
         self.content = content_of(exchange, workspace)
         self.priority = priority
         self.deadline_at = deadline_at
-        self.replicas: list[str] = []
-        self.passed_over: list[str] = []
+        self.tried_replicas: list[str] = []
+        self.skipped_replicas: list[str] = []
         self.runs = 0
         self.sends = 0
         self.sent_at = 0.0
@@ -105,21 +105,21 @@
 
     def on_send(self, replica: str, now: float) -> None:
         """Note that the request goes to a replica."""
-        self.replicas.append(replica)
+        self.tried_replicas.append(replica)
         self.sends += 1
         self.sent_at = now
 
-    def on_unsent(self) -> None:
+    def on_send_cancelled(self) -> None:
         """Note that it did not go there after all."""
-        self.replicas.pop()
+        self.tried_replicas.pop()
         self.sends -= 1
 
     @property
-    def left_out(self) -> set[str]:
+    def excluded_replicas(self) -> set[str]:
         """Return the replicas that are not chosen for it any more."""
-        return {*self.replicas, *self.passed_over}
+        return {*self.tried_replicas, *self.skipped_replicas}
 
-    def may_send_again(self) -> bool:
+    def may_run_again(self) -> bool:
         """Tell whether the request may run on one more replica."""
         if self.may_have_run and not self.route.repeatable:
             return False
@@ -130,7 +130,7 @@
     """Learn of what happens to exchanges."""
 
     @abstractmethod
-    def on_ended(self, ticket: Ticket, took_s: float) -> None:
+    def on_ended(self, state: ExchangeState, took_s: float) -> None:
         """Note how an exchange ended."""
 
     @abstractmethod
@@ -139,22 +139,22 @@
 
     @abstractmethod
     def on_attempt_failed(
-        self, ticket: Ticket, replica: str, error: Exception, left_s: float
+        self, state: ExchangeState, replica: str, error: Exception, left_s: float
     ) -> None:
         """Note an attempt that gave no whole answer, and the time that was left."""
 
     @abstractmethod
-    def on_passed_over(self, ticket: Ticket, replica: str, bar: Bar) -> None:
+    def on_replica_skipped(self, state: ExchangeState, replica: str, bar: Bar) -> None:
         """Note a replica that was chosen for a request and must not get it."""
 
     @abstractmethod
-    def on_permit_awaited(
-        self, ticket: Ticket, replica: str, waited_s: float, opens_in_s: float
+    def on_permit_wait_ended(
+        self, state: ExchangeState, replica: str, waited_s: float, opens_in_s: float
     ) -> None:
         """Note a request that only limited replicas could serve, and the permit it got, if any."""
 
     @abstractmethod
-    def on_blocked_refused(self, ticket: Ticket) -> None:
+    def on_blocked_refused(self, state: ExchangeState) -> None:
         """Note a request that is not sent since replicas end under what it asks."""
 
 
@@ -162,16 +162,16 @@
 """The reason that is given for a request under which too many replicas have ended."""
 
 
-def check_sendable(context: ExchangeContext, ticket: Ticket) -> None:
+def check_not_blocked(context: ExchangeContext, state: ExchangeState) -> None:
     """Raise `RefusedExchange` if too many replicas have ended under what the request asks.
 
     Asked anew before each send: other boxes may have seen what this one has not.
     """
-    wait_s = context.crashes.blocked_s(ticket.content, ticket.services)
+    wait_s = context.crashes.blocked_s(state.content, state.services)
     if wait_s is None:
         return
-    context.observer.on_blocked_refused(ticket)
-    if ticket.may_have_run:
+    context.observer.on_blocked_refused(state)
+    if state.may_have_run:
         raise RefusedExchange(STATUS_BAD_GATEWAY, CRASHES_REPLICAS)
     raise RefusedExchange(STATUS_UNAVAILABLE, CRASHES_REPLICAS, retry_after_s=wait_s)
 
@@ -184,12 +184,12 @@
     replicas: ReplicaTable
     gate: CallGate
     balancer: Balancer
-    budgets: Budgets
+    retry_budgets: RetryBudgets
     election: Election
     scheduler: SchedulerClient
-    caller: ReplicaCaller
+    replica_client: ReplicaClient
     observer: ExchangeObserver
     crashes: CrashGuard
-    new_job: Callable[[], str]
+    new_job_id: Callable[[], str]
     may_serve: Callable[[], bool]
     failure_domain: str
--- a/packages/core/calicopath_core/exchanges/events.py
+++ b/packages/core/calicopath_core/exchanges/events.py
@@ -11,21 +11,21 @@
     """Take bytes in and give whole events out; remembers the identifier of the last one."""
 
     def __init__(self) -> None:
-        self.rest = b''
-        self.last_id: str | None = None
+        self.buffer = b''
+        self.last_event_id: str | None = None
         self.count = 0
 
     def feed(self, data: bytes) -> bytes:
         """Return the bytes of the events that are now whole."""
-        self.rest += data
-        end = max(self.rest.rfind(sep) + len(sep) if sep in self.rest else 0 for sep in SEPARATORS)
+        self.buffer += data
+        end = max(self.buffer.rfind(sep) + len(sep) if sep in self.buffer else 0 for sep in SEPARATORS)
         if end == 0:
-            if len(self.rest) > MAX_EVENT_BYTES:
+            if len(self.buffer) > MAX_EVENT_BYTES:
                 raise ValueError('an event is larger than 1 MiB')
             return b''
-        whole, self.rest = self.rest[:end], self.rest[end:]
-        for line in whole.splitlines():
+        complete, self.buffer = self.buffer[:end], self.buffer[end:]
+        for line in complete.splitlines():
             if line.startswith(b'id:'):
-                self.last_id = line[3:].strip().decode('latin-1')
+                self.last_event_id = line[3:].strip().decode('latin-1')
                 self.count += 1
-        return whole
+        return complete
--- a/packages/core/calicopath_core/exchanges/executor.py
+++ b/packages/core/calicopath_core/exchanges/executor.py
@@ -6,13 +6,13 @@
 from typing import TYPE_CHECKING
 
 from calicopath_core.exchanges.context import (
-    RETRY_SOON_S,
+    SHORT_RETRY_AFTER_S,
     STATUS_NOT_FOUND,
     STATUS_UNAUTHORIZED,
     STATUS_UNAVAILABLE,
     RefusedExchange,
-    Ticket,
-    check_sendable,
+    ExchangeState,
+    check_not_blocked,
 )
 from calicopath_core.exchanges.plain import serve_plain
 from calicopath_core.exchanges.streams import Stream
@@ -32,34 +32,34 @@
 
     async def serve(self, exchange: Exchange, sink: ReplySink) -> None:
         """Answer an exchange, and note how it ended."""
-        ticket: Ticket | None = None
+        state: ExchangeState | None = None
         try:
-            ticket = self.admit(exchange)
-            check_sendable(self.context, ticket)
-            self.context.budgets.of(ticket.service).on_request(exchange.received_at)
-            if ticket.route.streaming:
-                await Stream(context=self.context, ticket=ticket, sink=sink).serve()
+            state = self.admit(exchange)
+            check_not_blocked(self.context, state)
+            self.context.retry_budgets.for_service(state.service).on_request(exchange.received_at)
+            if state.route.streaming:
+                await Stream(context=self.context, state=state, sink=sink).serve()
             else:
-                await serve_plain(self.context, ticket, sink)
+                await serve_plain(self.context, state, sink)
         except RefusedExchange as refusal:
-            end_refused(ticket, sink, refusal)
-            if ticket is None:
+            send_refusal(state, sink, refusal)
+            if state is None:
                 self.context.observer.on_refused(exchange, refusal)
         except BaseException:
-            if ticket is not None and not ticket.outcome:
-                ticket.outcome = 'caller-left'
-            sink.cut()
+            if state is not None and not state.outcome:
+                state.outcome = 'caller-left'
+            sink.abort()
             raise
         finally:
-            if ticket is not None:
+            if state is not None:
                 took_s = self.context.clock.monotonic() - exchange.received_at
-                self.context.observer.on_ended(ticket, took_s)
+                self.context.observer.on_ended(state, took_s)
 
-    def admit(self, exchange: Exchange) -> Ticket:
+    def admit(self, exchange: Exchange) -> ExchangeState:
         """Return the exchange's ticket; raise `RefusedExchange` if it isn't allowed."""
         deployment = self.context.view.current
         if deployment is None or not self.context.may_serve():
-            raise RefusedExchange(STATUS_UNAVAILABLE, 'not-ready', retry_after_s=RETRY_SOON_S)
+            raise RefusedExchange(STATUS_UNAVAILABLE, 'not-ready', retry_after_s=SHORT_RETRY_AFTER_S)
         route = deployment.route_for(exchange.host, exchange.path)
         if route is None:
             raise RefusedExchange(STATUS_NOT_FOUND, 'no-route')
@@ -67,18 +67,18 @@
         timeout_s = route.timeout_s
         if exchange.deadline_s is not None:
             timeout_s = min(timeout_s, exchange.deadline_s)
-        return Ticket(
+        return ExchangeState(
             exchange=exchange,
             deployment=deployment,
             route=route,
-            service=service_of(route, exchange),
+            service=choose_service(route, exchange),
             workspace=workspace.name if workspace is not None else None,
-            priority=rank_of(route, workspace),
+            priority=priority_of(route, workspace),
             deadline_at=exchange.received_at + timeout_s,
         )
 
 
-def rank_of(route: Route, workspace: Workspace | None) -> int:
+def priority_of(route: Route, workspace: Workspace | None) -> int:
     """Return a request's rank, 0 first: the workspace's priority decides, then the route's."""
     if workspace is None or workspace.priority is None:
         return route.priority
@@ -93,26 +93,26 @@
     return workspace
 
 
-def service_of(route: Route, exchange: Exchange) -> str:
+def choose_service(route: Route, exchange: Exchange) -> str:
     """Return the service of a request; on a split route, by chance that follows its identifier."""
     if len(route.services) == 1:
         return route.services[0].service
-    draw = random.Random(exchange.call_id).random() * sum(item.weight for item in route.services)
+    remaining = random.Random(exchange.call_id).random() * sum(item.weight for item in route.services)
     for item in route.services:
-        draw -= item.weight
-        if draw < 0:
+        remaining -= item.weight
+        if remaining < 0:
             return item.service
     return route.services[-1].service
 
 
-def end_refused(ticket: Ticket | None, sink: ReplySink, refusal: RefusedExchange) -> None:
+def send_refusal(state: ExchangeState | None, sink: ReplySink, refusal: RefusedExchange) -> None:
     """Give the answer of our own; a stream that has begun is cut instead."""
-    if ticket is not None:
-        ticket.outcome = 'refused' if refusal.status == STATUS_UNAVAILABLE else 'failed'
-        ticket.detail = refusal.reason
-        if ticket.first_byte_at is not None:
-            ticket.outcome = 'cut'
-            sink.cut()
+    if state is not None:
+        state.outcome = 'refused' if refusal.status == STATUS_UNAVAILABLE else 'failed'
+        state.detail = refusal.reason
+        if state.first_byte_at is not None:
+            state.outcome = 'cut'
+            sink.abort()
             return
-        ticket.status = refusal.status
+        state.status = refusal.status
     sink.refuse(refusal.status, refusal.reason, refusal.retry_after_s)
--- a/packages/core/calicopath_core/exchanges/messages.py
+++ b/packages/core/calicopath_core/exchanges/messages.py
@@ -8,13 +8,13 @@
 from calicopath_core.fleet.notices import Deaf
 
 if TYPE_CHECKING:
-    from calicopath_core.backends.base import Reach
+    from calicopath_core.backends.base import ProbeResult
     from calicopath_core.exchanges.balancer import LoadReport
     from calicopath_core.fleet.notices import ReplicaListener
     from calicopath_core.fleet.replicas import Replica
     from calicopath_core.scheduling.messages import Prompt
 
-STATUSES_OF_LOAD = (429, 503)
+OVERLOAD_STATUSES = (429, 503)
 """With what a replica declines that has too much to do."""
 
 Headers = tuple[tuple[str, str], ...]
@@ -43,7 +43,7 @@
     piece_key: str
 
 
-class Outbound(NamedTuple):
+class OutboundRequest(NamedTuple):
     """Hold what a replica is sent beside the request itself."""
 
     exchange: Exchange
@@ -53,7 +53,7 @@
     priority: int
     inputs: tuple[str, ...]
     last_event_id: str | None
-    fresh: bool
+    needs_verified_connection: bool
     """Whether the call must go over a connection that is known to be good."""
 
 
@@ -68,7 +68,7 @@
     @property
     def turned_away(self) -> bool:
         """Tell whether the replica declined since it has too much to do."""
-        return self.declined and self.status in STATUSES_OF_LOAD
+        return self.declined and self.status in OVERLOAD_STATUSES
 
     @property
     def success(self) -> bool:
@@ -90,21 +90,21 @@
         """Be done with the answer; cuts the connection if the answer is not whole."""
 
 
-class ReplicaReach(ABC):
+class ReplicaProber(ABC):
     """Look whether replicas can be reached; `listener` learns of every call and answer."""
 
-    listener: ReplicaListener = Deaf()
+    interceptor: ReplicaListener = Deaf()
 
     @abstractmethod
-    async def reach(self, replica: Replica, watch_s: float) -> Reach:
+    async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
         """Return what an attempt to connect shows; one that opens is watched for a while."""
 
 
-class ReplicaCaller(ReplicaReach):
+class ReplicaClient(ReplicaProber):
     """Send requests to replicas."""
 
     @abstractmethod
-    async def send(self, outbound: Outbound) -> ReplicaAnswer:
+    async def send(self, outbound: OutboundRequest) -> ReplicaAnswer:
         """Return the answer's head and body; raise `NotStarted`, `MayHaveRun`, `WrongAnswer`."""
 
 
@@ -128,7 +128,7 @@
         """End a whole body."""
 
     @abstractmethod
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End an answer that is not whole so that it cannot look whole."""
 
     @abstractmethod
--- a/packages/core/calicopath_core/exchanges/plain.py
+++ b/packages/core/calicopath_core/exchanges/plain.py
@@ -14,40 +14,40 @@
 )
 from calicopath_core.crashes.fate import ReplicaFate
 from calicopath_core.exchanges.context import (
-    RETRY_SOON_S,
+    SHORT_RETRY_AFTER_S,
     STATUS_BAD_GATEWAY,
     STATUS_GATEWAY_TIMEOUT,
     STATUS_UNAVAILABLE,
     RefusedExchange,
-    check_sendable,
+    check_not_blocked,
 )
-from calicopath_core.exchanges.messages import Outbound
+from calicopath_core.exchanges.messages import OutboundRequest
 from calicopath_core.fleet.notices import Barred
 
 if TYPE_CHECKING:
-    from calicopath_core.exchanges.context import ExchangeContext, Ticket
+    from calicopath_core.exchanges.context import ExchangeContext, ExchangeState
     from calicopath_core.exchanges.messages import AnswerHead, ReplicaAnswer, ReplySink
     from calicopath_core.fleet.replicas import Replica
 
 MAX_SENDS = 4
 """Replicas that one request may be sent to, those counted that declined it."""
 
-ATTEMPT_LATENCIES = 8.0
-LEAST_ATTEMPT_S = 0.25
+ATTEMPT_TIMEOUT_FACTOR = 8.0
+MIN_ATTEMPT_TIMEOUT_S = 0.25
 """How many times its usual time a replica may take over a request that another may run, and the
 least such time."""
 
-WAIT_SHARE = 0.5
+MAX_PERMIT_WAIT_RATIO = 0.5
 """The part of its time left that a request may wait for a permit: where more is asked than limits
 allow, waits grow to this, and a run that begins at its deadline is a permit lost."""
 
-RETURN_SPREAD = 1.5
+MAX_RETRY_AFTER_JITTER = 1.5
 """By how much more than the time to the next permit refused callers are told to wait, by chance."""
 
 STATUS_SERVER_ERROR = 500
 
 
-class WholeAnswer:
+class CompleteAnswer:
     """Hold an answer read to its end."""
 
     def __init__(self, *, head: AnswerHead, body: bytes) -> None:
@@ -55,39 +55,39 @@
         self.body = body
 
 
-async def serve_plain(context: ExchangeContext, ticket: Ticket, sink: ReplySink) -> None:
+async def serve_plain(context: ExchangeContext, state: ExchangeState, sink: ReplySink) -> None:
     """Send a request to one replica after the other until one answers whole."""
     while True:
-        check_sendable(context, ticket)
-        replica = await choose_permitted(context, ticket)
+        check_not_blocked(context, state)
+        replica = await choose_with_permit(context, state)
         if replica is None:
             continue
         try:
-            answer = await attempt(context, ticket, replica)
+            answer = await attempt(context, state, replica)
         except Barred as error:
-            ticket.on_unsent()
-            ticket.passed_over.append(replica.id)
-            context.observer.on_passed_over(ticket, replica.id, error.bar)
+            state.on_send_cancelled()
+            state.skipped_replicas.append(replica.id)
+            context.observer.on_replica_skipped(state, replica.id, error.bar)
             continue
         except BackendError as error:
-            left_s = ticket.deadline_at - context.clock.monotonic()
-            context.observer.on_attempt_failed(ticket, replica.id, error, left_s)
-            await note_crash(context, ticket, replica, error)
-            check_again(context, ticket, error)
+            left_s = state.deadline_at - context.clock.monotonic()
+            context.observer.on_attempt_failed(state, replica.id, error, left_s)
+            await note_crash(context, state, replica, error)
+            check_retry_allowed(context, state, error)
             continue
-        context.crashes.on_survived(ticket.content, ticket.service)
-        again = answer.head.status >= STATUS_SERVER_ERROR and may_repeat(context, ticket)
-        if again:
+        context.crashes.on_survived(state.content, state.service)
+        retry = answer.head.status >= STATUS_SERVER_ERROR and try_spend_retry(context, state)
+        if retry:
             continue
-        ticket.status = answer.head.status
-        ticket.outcome = 'answered' if answer.head.success else 'failed-by-replica'
+        state.status = answer.head.status
+        state.outcome = 'answered' if answer.head.success else 'failed-by-replica'
         sink.respond(answer.head.status, answer.head.headers, answer.body)
         return
 
 
 async def note_crash(
     context: ExchangeContext,
-    ticket: Ticket,
+    state: ExchangeState,
     replica: Replica,
     error: BackendError,
     *,
@@ -95,148 +95,148 @@
 ) -> None:
     """Find out whether a replica has ended, before the request is sent once more."""
     ran = not isinstance(error, NotStarted | WrongAnswer)
-    if ran and not ticket.expired(context.clock.monotonic()):
-        fate = ReplicaFate(reach=context.caller, replicas=context.replicas, replica=replica)
-        contents = [ticket.content]
+    if ran and not state.expired(context.clock.monotonic()):
+        fate = ReplicaFate(reach=context.replica_client, replicas=context.replicas, replica=replica)
+        contents = [state.content]
         await context.crashes.on_failed(
-            contents, ticket.service, fate, error, began=ticket.sent_at, answered=answered
+            contents, state.service, fate, error, began=state.sent_at, answered=answered
         )
 
 
-async def choose_permitted(context: ExchangeContext, ticket: Ticket) -> Replica | None:
+async def choose_with_permit(context: ExchangeContext, state: ExchangeState) -> Replica | None:
     """Return the replica to try next with a permit if it needs one, nothing to choose again.
 
     Raise `RefusedExchange` if there is none. A permit is waited for only where nobody can be called
     without.
     """
     now = context.clock.monotonic()
-    replica = context.balancer.choose(ticket.service, ticket.left_out, now)
+    replica = context.balancer.choose(state.service, state.excluded_replicas, now)
     if replica is not None and context.gate.limits.of(replica) is None:
         return replica
     if replica is not None:
-        permit = await context.gate.permits.ask([replica], wait_s=0.0, priority=ticket.priority)
+        permit = await context.gate.permits.ask([replica], wait_s=0.0, priority=state.priority)
         return replica if permit.replica else None
-    limited = context.balancer.limited(ticket.service, ticket.left_out, now)
-    if not limited:
-        raise none_left(context, ticket)
-    left_s = ticket.deadline_at - now - context.balancer.usual_s(limited)
-    wait_s = max(0.0, WAIT_SHARE * left_s)
-    priority = ticket.priority
-    permit = await context.gate.permits.ask(limited, wait_s=wait_s, priority=priority)
+    candidates = context.balancer.permit_candidates(state.service, state.excluded_replicas, now)
+    if not candidates:
+        raise no_replica_refusal(context, state)
+    left_s = state.deadline_at - now - context.balancer.min_latency_s(candidates)
+    wait_s = max(0.0, MAX_PERMIT_WAIT_RATIO * left_s)
+    priority = state.priority
+    permit = await context.gate.permits.ask(candidates, wait_s=wait_s, priority=priority)
     waited_s = context.clock.monotonic() - now
-    context.observer.on_permit_awaited(ticket, permit.replica, waited_s, permit.opens_in_s)
+    context.observer.on_permit_wait_ended(state, permit.replica, waited_s, permit.opens_in_s)
     found = context.replicas.replicas.get(permit.replica)
     if found is None:
-        raise none_left(context, ticket, permit.opens_in_s)
-    context.balancer.cold.on_sent(found, context.clock.monotonic())
+        raise no_replica_refusal(context, state, permit.opens_in_s)
+    context.balancer.cold_limiter.on_sent(found, context.clock.monotonic())
     return found
 
 
-def none_left(
-    context: ExchangeContext, ticket: Ticket, permit_in_s: float | None = None
+def no_replica_refusal(
+    context: ExchangeContext, state: ExchangeState, permit_available_in_s: float | None = None
 ) -> RefusedExchange:
     """Return how a request ends for which there is no replica, or no permit in time."""
-    if ticket.may_have_run:
+    if state.may_have_run:
         return RefusedExchange(STATUS_BAD_GATEWAY, 'no-other-endpoint')
-    if permit_in_s is None:
-        wait_s = return_s(context, ticket)
+    if permit_available_in_s is None:
+        wait_s = min_retry_after_s(context, state)
         return RefusedExchange(STATUS_UNAVAILABLE, 'no-endpoint', retry_after_s=wait_s)
-    wait_s = max(RETRY_SOON_S, permit_in_s * context.balancer.rng.uniform(1.0, RETURN_SPREAD))
+    wait_s = max(SHORT_RETRY_AFTER_S, permit_available_in_s * context.balancer.rng.uniform(1.0, MAX_RETRY_AFTER_JITTER))
     return RefusedExchange(STATUS_UNAVAILABLE, 'limited', retry_after_s=wait_s)
 
 
-def return_s(context: ExchangeContext, ticket: Ticket) -> float:
+def min_retry_after_s(context: ExchangeContext, state: ExchangeState) -> float:
     """Return when a caller may come back: not before the first replica that may be called."""
-    return max(RETRY_SOON_S, context.gate.first_back_s(ticket.service))
+    return max(SHORT_RETRY_AFTER_S, context.gate.first_back_s(state.service))
 
 
-def may_repeat(context: ExchangeContext, ticket: Ticket) -> bool:
+def try_spend_retry(context: ExchangeContext, state: ExchangeState) -> bool:
     """Tell whether a request that ran may be sent once more, and take it from the budget."""
-    if ticket.sends >= MAX_SENDS or not ticket.may_send_again():
+    if state.sends >= MAX_SENDS or not state.may_run_again():
         return False
-    if all(item.id in ticket.left_out for item in context.gate.usable(ticket.service)):
+    if all(item.id in state.excluded_replicas for item in context.gate.usable(state.service)):
         return False
     now = context.clock.monotonic()
-    return context.budgets.of(ticket.service).take(now, context.election.boxes_sharing())
+    return context.retry_budgets.for_service(state.service).try_spend(now, context.election.boxes_sharing())
 
 
-def check_again(context: ExchangeContext, ticket: Ticket, error: BackendError) -> None:
+def check_retry_allowed(context: ExchangeContext, state: ExchangeState, error: BackendError) -> None:
     """Return if the request may be sent once more; else raise how it ends."""
     now = context.clock.monotonic()
-    if not ticket.expired(now) and may_repeat(context, ticket):
+    if not state.expired(now) and try_spend_retry(context, state):
         return
-    if ticket.may_have_run:
-        if ticket.expired(now):
+    if state.may_have_run:
+        if state.expired(now):
             raise RefusedExchange(STATUS_GATEWAY_TIMEOUT, 'deadline-passed') from error
         raise RefusedExchange(STATUS_BAD_GATEWAY, 'endpoint-failed') from error
     raise RefusedExchange(
-        STATUS_UNAVAILABLE, 'endpoints-declined', retry_after_s=return_s(context, ticket)
+        STATUS_UNAVAILABLE, 'endpoints-declined', retry_after_s=min_retry_after_s(context, state)
     ) from error
 
 
-async def attempt(context: ExchangeContext, ticket: Ticket, replica: Replica) -> WholeAnswer:
+async def attempt(context: ExchangeContext, state: ExchangeState, replica: Replica) -> CompleteAnswer:
     """Send a request to one replica and read the whole answer."""
-    begun = context.clock.monotonic()
-    stats = context.balancer.of(replica)
+    started_at = context.clock.monotonic()
+    stats = context.balancer.stats_of(replica)
     stats.in_flight += 1
-    ticket.on_send(replica.id, begun)
-    limit_s = ticket.deadline_at - begun
-    if ticket.route.repeatable and ticket.runs + 1 < ticket.route.max_attempts:
-        limit_s = min(limit_s, max(LEAST_ATTEMPT_S, ATTEMPT_LATENCIES * stats.latency_s))
+    state.on_send(replica.id, started_at)
+    timeout_s = state.deadline_at - started_at
+    if state.route.repeatable and state.runs + 1 < state.route.max_attempts:
+        timeout_s = min(timeout_s, max(MIN_ATTEMPT_TIMEOUT_S, ATTEMPT_TIMEOUT_FACTOR * stats.latency_s))
     try:
-        async with asyncio.timeout(max(0.0, limit_s)):
-            answer = await exchange_once(context, ticket, replica)
+        async with asyncio.timeout(max(0.0, timeout_s)):
+            answer = await call_replica(context, state, replica)
     except TimeoutError as error:
-        ticket.may_have_run = True
-        ticket.runs += 1
+        state.may_have_run = True
+        state.runs += 1
         stats.on_failure(context.clock.monotonic())
-        raise MayHaveRun(f'{replica.id} did not answer within {limit_s:.3f} s') from error
+        raise MayHaveRun(f'{replica.id} did not answer within {timeout_s:.3f} s') from error
     except Barred:
         raise
     except NotStarted:
         stats.on_failure(context.clock.monotonic())
         raise
     except BackendError:
-        ticket.may_have_run = True
-        ticket.runs += 1
+        state.may_have_run = True
+        state.runs += 1
         stats.on_failure(context.clock.monotonic())
         raise
     finally:
         stats.in_flight -= 1
-    ticket.may_have_run = True
-    ticket.runs += 1
+    state.may_have_run = True
+    state.runs += 1
     now = context.clock.monotonic()
     if answer.head.status >= STATUS_SERVER_ERROR:
         stats.on_failure(now)
     else:
-        stats.on_success(now - begun)
+        stats.on_success(now - started_at)
     return answer
 
 
-async def exchange_once(context: ExchangeContext, ticket: Ticket, replica: Replica) -> WholeAnswer:
+async def call_replica(context: ExchangeContext, state: ExchangeState, replica: Replica) -> CompleteAnswer:
     """Make one call; raise `NotStarted` if the replica declined it."""
     now = context.clock.monotonic()
-    outbound = Outbound(
-        exchange=ticket.exchange,
+    outbound = OutboundRequest(
+        exchange=state.exchange,
         replica=replica,
-        deadline_s=ticket.deadline_at - now,
-        workspace=ticket.workspace,
-        priority=ticket.priority,
+        deadline_s=state.deadline_at - now,
+        workspace=state.workspace,
+        priority=state.priority,
         inputs=(),
-        last_event_id=ticket.exchange.last_event_id,
-        fresh=not ticket.route.repeatable,
+        last_event_id=state.exchange.last_event_id,
+        needs_verified_connection=not state.route.repeatable,
     )
-    answer = await context.caller.send(outbound)
+    answer = await context.replica_client.send(outbound)
     try:
         if answer.head.load is not None:
-            context.balancer.of(replica).on_report(answer.head.load, context.clock.monotonic())
+            context.balancer.stats_of(replica).on_report(answer.head.load, context.clock.monotonic())
         body = await read_all(answer)
     finally:
         answer.close()
     if answer.head.declined:
         text = f'{replica.id} declined with {answer.head.status}'
         raise Declined(text, turned_away=answer.head.turned_away)
-    return WholeAnswer(head=answer.head, body=body)
+    return CompleteAnswer(head=answer.head, body=body)
 
 
 async def read_all(answer: ReplicaAnswer) -> bytes:
--- a/packages/core/calicopath_core/exchanges/streams.py
+++ b/packages/core/calicopath_core/exchanges/streams.py
@@ -7,22 +7,22 @@
 
 from calicopath_core.backends.base import BackendError, Declined, MayHaveRun, NotStarted
 from calicopath_core.exchanges.context import (
-    RETRY_SOON_S,
+    SHORT_RETRY_AFTER_S,
     STATUS_BAD_GATEWAY,
     STATUS_GATEWAY_TIMEOUT,
     STATUS_UNAVAILABLE,
     RefusedExchange,
-    check_sendable,
+    check_not_blocked,
 )
 from calicopath_core.exchanges.events import EventSplitter
-from calicopath_core.exchanges.messages import Outbound
+from calicopath_core.exchanges.messages import OutboundRequest
 from calicopath_core.exchanges.plain import note_crash, read_all
 from calicopath_core.fleet.notices import Bar, Barred
 from calicopath_core.scheduling.client import PlacementRejected
 from calicopath_core.scheduling.messages import PhaseWork, Place, Prompt
 
 if TYPE_CHECKING:
-    from calicopath_core.exchanges.context import ExchangeContext, Ticket
+    from calicopath_core.exchanges.context import ExchangeContext, ExchangeState
     from calicopath_core.exchanges.messages import ReplicaAnswer, ReplySink
     from calicopath_core.fleet.replicas import Replica
     from calicopath_core.scheduling.messages import Placed
@@ -30,20 +30,20 @@
 MAX_SENDS = 4
 """Engines that one request may be sent to, those counted that declined it."""
 
-MAX_PASSED_OVER = 4
+MAX_SKIPPED_REPLICAS = 4
 """Engines that were chosen for one request although this box must not call them, before it is
 refused. Each question names those that it knows of, so that it takes as many surprises."""
 
-FIRST_EVENT_S = 2.0
-COST_FACTOR = 3.0
+FIRST_EVENT_TIMEOUT_S = 2.0
+FIRST_EVENT_COST_FACTOR = 3.0
 """How long the first event of a stream that may be resumed is waited for: this, and so many times
 what the scheduler expects."""
 
-EVENT_GAP_S = 1.2
+EVENT_GAP_TIMEOUT_S = 1.2
 """How long the next event of a stream that may be resumed is waited for. The users count a pause
 of 0.5 s as late and give up after some 4 s."""
 
-PERMIT_WAIT_S = 0.2
+MAX_PERMIT_WAIT_S = 0.2
 """How long a permit is waited for that did not come with the place at an engine."""
 
 STATUS_CONFLICT = 409
@@ -52,14 +52,14 @@
 class Stream:
     """Run one streaming exchange."""
 
-    def __init__(self, *, context: ExchangeContext, ticket: Ticket, sink: ReplySink) -> None:
+    def __init__(self, *, context: ExchangeContext, state: ExchangeState, sink: ReplySink) -> None:
         self.context = context
-        self.ticket = ticket
+        self.state = state
         self.sink = sink
         self.splitter = EventSplitter()
-        self.splitter.last_id = ticket.exchange.last_event_id
-        self.begun = False
-        self.answered = False
+        self.splitter.last_event_id = state.exchange.last_event_id
+        self.head_sent = False
+        self.first_event_received = False
 
     async def serve(self) -> None:
         """Place and run the stream until it is whole or can't be gone on with."""
@@ -68,7 +68,7 @@
 
     async def attempt(self) -> bool:
         """Place the request once and run it there; say whether the exchange is over."""
-        job = self.context.new_job()
+        job = self.context.new_job_id()
         failed = turned_away = False
         try:
             placed = await self.place(job)
@@ -76,24 +76,24 @@
             bar = Bar.GONE if replica is None else self.context.gate.bar_of(replica)
             if replica is None or bar is not None:
                 # This box knows of the replica what the scheduler did not; nothing was sent.
-                return self.pass_over(placed, bar or Bar.GONE)
+                return self.skip_replica(placed, bar or Bar.GONE)
             await self.take_permit(placed, replica)
-            check_sendable(self.context, self.ticket)
+            check_not_blocked(self.context, self.state)
             try:
                 return await self.run(job, placed, replica)
             except Barred as error:
-                self.ticket.on_unsent()
-                return self.pass_over(placed, error.bar)
+                self.state.on_send_cancelled()
+                return self.skip_replica(placed, error.bar)
             except BackendError as error:
                 failed = not isinstance(error, Declined)
                 turned_away = isinstance(error, Declined) and error.turned_away
-                await note_crash(self.context, self.ticket, replica, error, answered=self.answered)
+                await note_crash(self.context, self.state, replica, error, answered=self.first_event_received)
                 raise
         except BackendError as error:
             self.context.observer.on_attempt_failed(
-                self.ticket, placed.replica, error, self.left_s()
+                self.state, placed.replica, error, self.left_s()
             )
-            self.check_again(error)
+            self.check_retry_allowed(error)
             return False
         finally:
             self.context.scheduler.ended(job, failed=failed, turned_away=turned_away)
@@ -107,22 +107,22 @@
         if placed.permit:
             permits.lend(replica.id)
         elif self.context.gate.limits.binds(replica):
-            await permits.ask([replica], wait_s=PERMIT_WAIT_S, priority=self.ticket.priority)
+            await permits.ask([replica], wait_s=MAX_PERMIT_WAIT_S, priority=self.state.priority)
 
-    def pass_over(self, placed: Placed, bar: Bar) -> bool:
+    def skip_replica(self, placed: Placed, bar: Bar) -> bool:
         """Have another engine chosen, unless that went wrong too often."""
-        self.context.observer.on_passed_over(self.ticket, placed.replica, bar)
-        self.ticket.passed_over.append(placed.replica)
-        if len(self.ticket.passed_over) > MAX_PASSED_OVER:
+        self.context.observer.on_replica_skipped(self.state, placed.replica, bar)
+        self.state.skipped_replicas.append(placed.replica)
+        if len(self.state.skipped_replicas) > MAX_SKIPPED_REPLICAS:
             raise self.refusal('no-endpoint', None)
         return False
 
     async def place(self, job: str) -> Placed:
         """Return the engine for this attempt; raise `RefusedExchange` if there is none."""
-        question = self.question(job)
+        request = self.placement_request(job)
         try:
             async with asyncio.timeout(self.left_s()):
-                return await self.context.scheduler.place(question)
+                return await self.context.scheduler.place(request)
         except PlacementRejected as error:
             raise self.refusal(error.reason, error.retry_after_s) from error
         except TimeoutError as error:
@@ -130,21 +130,21 @@
 
     def refusal(self, reason: str, retry_after_s: float | None) -> RefusedExchange:
         """Return how the exchange ends without another attempt."""
-        if not self.ticket.may_have_run:
+        if not self.state.may_have_run:
             return RefusedExchange(
-                STATUS_UNAVAILABLE, reason, retry_after_s=retry_after_s or RETRY_SOON_S
+                STATUS_UNAVAILABLE, reason, retry_after_s=retry_after_s or SHORT_RETRY_AFTER_S
             )
-        late = self.ticket.expired(self.context.clock.monotonic())
+        late = self.state.expired(self.context.clock.monotonic())
         return RefusedExchange(STATUS_GATEWAY_TIMEOUT if late else STATUS_BAD_GATEWAY, reason)
 
-    def question(self, job: str) -> Place:
+    def placement_request(self, job: str) -> Place:
         """Return what the scheduler is asked."""
-        ticket, exchange = self.ticket, self.ticket.exchange
+        state, exchange = self.state, self.state.exchange
         spent_s = self.context.clock.monotonic() - exchange.received_at
         counts = exchange.piece_counts
         phases = tuple(
             PhaseWork(phase.service, phase.needs, phase.result_bytes, counts[number])
-            for number, phase in enumerate(ticket.route.phases)
+            for number, phase in enumerate(state.route.phases)
             if number < len(counts)
         )
         return Place(
@@ -153,141 +153,141 @@
             failure_domain=self.context.failure_domain,
             call_id=exchange.call_id,
             piece_key=exchange.piece_key,
-            priority=ticket.priority,
-            objective_s=ticket.route.objective_s - spent_s,
-            deadline_s=min(self.left_s(), ticket.route.patience_s - spent_s),
-            service=ticket.service,
+            priority=state.priority,
+            objective_s=state.route.objective_s - spent_s,
+            deadline_s=min(self.left_s(), state.route.patience_s - spent_s),
+            service=state.service,
             phases=phases,
             prompt=exchange.prompt or Prompt('', (), 0, 0),
-            exclude=(*ticket.replicas, *ticket.passed_over),
-            resumed=bool(ticket.replicas),
-            workspace=ticket.workspace or '',
-            content=ticket.content,
-            backoffs=self.context.gate.backoffs_of(ticket.service),
-            may_have_run=ticket.may_have_run,
+            exclude=(*state.tried_replicas, *state.skipped_replicas),
+            resumed=bool(state.tried_replicas),
+            workspace=state.workspace or '',
+            content=state.content,
+            backoffs=self.context.gate.backoffs_of(state.service),
+            may_have_run=state.may_have_run,
         )
 
     def left_s(self) -> float:
         """Return the seconds until the exchange must have ended."""
-        return max(0.0, self.ticket.deadline_at - self.context.clock.monotonic())
+        return max(0.0, self.state.deadline_at - self.context.clock.monotonic())
 
     async def run(self, job: str, placed: Placed, replica: Replica) -> bool:
         """Send the request to an engine and pass its events on; say whether it is over."""
-        ticket = self.ticket
-        ticket.on_send(replica.id, self.context.clock.monotonic())
-        self.answered = False
+        state = self.state
+        state.on_send(replica.id, self.context.clock.monotonic())
+        self.first_event_received = False
         answer = await self.send(placed, replica)
         try:
             if answer.head.declined:
                 text = f'{replica.id} declined with {answer.head.status}'
                 raise Declined(text, turned_away=answer.head.turned_away)
-            ticket.may_have_run = True
-            ticket.runs += 1
+            state.may_have_run = True
+            state.runs += 1
             if not answer.head.success:
-                return await self.pass_failure(answer)
-            await self.pass_events(job, placed, answer)
+                return await self.forward_failure(answer)
+            await self.forward_events(job, placed, answer)
             return True
         finally:
             answer.close()
 
     async def send(self, placed: Placed, replica: Replica) -> ReplicaAnswer:
         """Send the request and return the answer's head."""
-        ticket = self.ticket
-        outbound = Outbound(
-            exchange=ticket.exchange,
+        state = self.state
+        outbound = OutboundRequest(
+            exchange=state.exchange,
             replica=replica,
             deadline_s=self.left_s(),
-            workspace=ticket.workspace,
-            priority=ticket.priority,
+            workspace=state.workspace,
+            priority=state.priority,
             inputs=placed.inputs,
-            last_event_id=self.splitter.last_id,
-            fresh=not ticket.route.repeatable,
+            last_event_id=self.splitter.last_event_id,
+            needs_verified_connection=not state.route.repeatable,
         )
-        limit_s = self.first_event_limit_s(placed)
+        timeout_s = self.first_event_timeout_s(placed)
         try:
-            async with asyncio.timeout(limit_s):
-                return await self.context.caller.send(outbound)
+            async with asyncio.timeout(timeout_s):
+                return await self.context.replica_client.send(outbound)
         except NotStarted:
             raise
         except (BackendError, TimeoutError) as error:
-            ticket.may_have_run = True
-            ticket.runs += 1
+            state.may_have_run = True
+            state.runs += 1
             if isinstance(error, TimeoutError):
-                raise MayHaveRun(f'{replica.id} gave no head in {limit_s:.3f} s') from error
+                raise MayHaveRun(f'{replica.id} gave no head in {timeout_s:.3f} s') from error
             raise
 
-    def first_event_limit_s(self, placed: Placed) -> float:
+    def first_event_timeout_s(self, placed: Placed) -> float:
         """Return how long the first event is waited for."""
-        if not self.ticket.route.repeatable:
+        if not self.state.route.repeatable:
             return self.left_s()
-        return min(self.left_s(), FIRST_EVENT_S + COST_FACTOR * placed.cost_s)
+        return min(self.left_s(), FIRST_EVENT_TIMEOUT_S + FIRST_EVENT_COST_FACTOR * placed.cost_s)
 
-    async def pass_failure(self, answer: ReplicaAnswer) -> bool:
+    async def forward_failure(self, answer: ReplicaAnswer) -> bool:
         """Pass an engine's own failure on, unless the stream has begun."""
         body = await read_all(answer)
-        if self.begun:
+        if self.head_sent:
             raise MayHaveRun(f'the engine answered {answer.head.status} to a resumed stream')
-        self.ticket.status = answer.head.status
-        self.ticket.outcome = 'failed-by-replica'
-        self.context.crashes.on_survived(self.ticket.content, self.ticket.service)
+        self.state.status = answer.head.status
+        self.state.outcome = 'failed-by-replica'
+        self.context.crashes.on_survived(self.state.content, self.state.service)
         self.sink.respond(answer.head.status, answer.head.headers, body)
         return True
 
-    async def pass_events(self, job: str, placed: Placed, answer: ReplicaAnswer) -> None:
+    async def forward_events(self, job: str, placed: Placed, answer: ReplicaAnswer) -> None:
         """Pass whole events on as they come."""
-        limit_s = self.first_event_limit_s(placed)
-        self.splitter.rest = b''
+        timeout_s = self.first_event_timeout_s(placed)
+        self.splitter.buffer = b''
         while True:
-            data = await self.read(answer, limit_s)
+            data = await self.read(answer, timeout_s)
             if data is None:
                 break
-            whole = self.splitter.feed(data)
-            if not whole:
+            events = self.splitter.feed(data)
+            if not events:
                 continue
-            if not self.answered:
-                self.answered = True
+            if not self.first_event_received:
+                self.first_event_received = True
                 self.context.scheduler.started(job)
-                limit_s = EVENT_GAP_S if self.ticket.route.repeatable else self.left_s()
-            await self.pass_on(answer, whole)
-        if self.splitter.rest:
+                timeout_s = EVENT_GAP_TIMEOUT_S if self.state.route.repeatable else self.left_s()
+            await self.forward(answer, events)
+        if self.splitter.buffer:
             raise MayHaveRun('the stream ended inside an event')
         self.finish(answer)
 
-    async def read(self, answer: ReplicaAnswer, limit_s: float) -> bytes | None:
+    async def read(self, answer: ReplicaAnswer, timeout_s: float) -> bytes | None:
         """Return the next bytes of a stream; raise `MayHaveRun` if they are too long in coming."""
         try:
-            async with asyncio.timeout(min(limit_s, self.left_s())):
+            async with asyncio.timeout(min(timeout_s, self.left_s())):
                 return await answer.read()
         except TimeoutError as error:
-            raise MayHaveRun(f'no event came in {limit_s:.3f} s') from error
+            raise MayHaveRun(f'no event came in {timeout_s:.3f} s') from error
 
-    async def pass_on(self, answer: ReplicaAnswer, whole: bytes) -> None:
+    async def forward(self, answer: ReplicaAnswer, events: bytes) -> None:
         """Pass whole events on, after the head of the first engine."""
-        if not self.begun:
-            self.begun = True
-            self.ticket.first_byte_at = self.context.clock.monotonic()
-            self.ticket.status = answer.head.status
+        if not self.head_sent:
+            self.head_sent = True
+            self.state.first_byte_at = self.context.clock.monotonic()
+            self.state.status = answer.head.status
             self.sink.begin(answer.head.status, answer.head.headers)
-        await self.sink.send(whole)
+        await self.sink.send(events)
 
     def finish(self, answer: ReplicaAnswer) -> None:
         """End the answer as whole."""
-        self.ticket.outcome = 'answered'
-        self.context.crashes.on_survived(self.ticket.content, self.ticket.service)
-        if not self.begun:
-            self.ticket.status = answer.head.status
+        self.state.outcome = 'answered'
+        self.context.crashes.on_survived(self.state.content, self.state.service)
+        if not self.head_sent:
+            self.state.status = answer.head.status
             self.sink.respond(answer.head.status, answer.head.headers, b'')
             return
         self.sink.finish()
 
-    def check_again(self, error: BackendError) -> None:
+    def check_retry_allowed(self, error: BackendError) -> None:
         """Return if the request may be sent once more; else raise how it ends."""
-        ticket = self.ticket
-        check_sendable(self.context, ticket)
+        state = self.state
+        check_not_blocked(self.context, state)
         now = self.context.clock.monotonic()
-        allowed = not ticket.expired(now) and ticket.sends < MAX_SENDS and ticket.may_send_again()
-        budget = self.context.budgets.of(ticket.service)
-        if allowed and budget.take(now, self.context.election.boxes_sharing()):
+        allowed = not state.expired(now) and state.sends < MAX_SENDS and state.may_run_again()
+        budget = self.context.retry_budgets.for_service(state.service)
+        if allowed and budget.try_spend(now, self.context.election.boxes_sharing()):
             return
-        reason = 'deadline-passed' if ticket.expired(now) else 'engine-failed'
+        reason = 'deadline-passed' if state.expired(now) else 'engine-failed'
         raise self.refusal(reason, None) from error
--- a/packages/core/calicopath_core/exchanges/tests/cold_tests.py
+++ b/packages/core/calicopath_core/exchanges/tests/cold_tests.py
@@ -62,7 +62,7 @@
         self.assertIsNone(box.choose('desk', set(), 0.0))
         replicas.put(replicas.replicas['r0']._replace(cold=False))
         self.assertIsNotNone(box.choose('desk', set(), 0.1))
-        self.assertEqual({}, box.cold.next_at)
+        self.assertEqual({}, box.cold_limiter.next_send_at)
 
     def test_where_nothing_is_bounded_a_cold_replica_is_as_good_as_any(self) -> None:
         box = balancer(table(True), 1, None)
--- a/packages/core/calicopath_core/exchanges/tests/parts_tests.py
+++ b/packages/core/calicopath_core/exchanges/tests/parts_tests.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from calicopath_core.exchanges.balancer import EJECT_AFTER, Balancer, LoadReport
-from calicopath_core.exchanges.budget import CAUTION, BudgetTerms, WindowBudget
+from calicopath_core.exchanges.balancer import FAILURES_TO_EJECT, Balancer, LoadReport
+from calicopath_core.exchanges.budget import USABLE_BUDGET_RATIO, RetryBudgetTerms, WindowRetryBudget
 from calicopath_core.exchanges.events import MAX_EVENT_BYTES, EventSplitter
 from calicopath_core.fleet.replicas import Replica, ReplicaTable
 from testkit.gates import new_gate
@@ -29,12 +29,12 @@
             whole = splitter.feed(EVENTS[begin:end])
             self.assertTrue(not whole or whole.endswith((b'\n\n', b'\r\n\r\n')))
             found += whole
-        self.assertEqual((EVENTS, b'', '6'), (found, splitter.rest, splitter.last_id))
+        self.assertEqual((EVENTS, b'', '6'), (found, splitter.buffer, splitter.last_event_id))
 
     def test_half_an_event_stays(self) -> None:
         splitter = EventSplitter()
         self.assertEqual(b'', splitter.feed(b'id: 7\ndata'))
-        self.assertIsNone(splitter.last_id)
+        self.assertIsNone(splitter.last_event_id)
 
     def test_an_event_without_end_is_none(self) -> None:
         self.assertRaises(ValueError, EventSplitter().feed, b'x' * (MAX_EVENT_BYTES + 1))
@@ -42,19 +42,19 @@
 
 class Budget(testtools.TestCase):
     def test_repeats_come_back_as_the_window_slides(self) -> None:
-        budget = WindowBudget(terms=BudgetTerms(0.2, 40.0, 10.0))
-        taken = sum(budget.take(0.0, 4) for _ in range(100))
-        self.assertEqual(int(CAUTION * 40 / 4), taken)
-        self.assertFalse(budget.take(9.9, 4))
-        self.assertTrue(budget.take(10.1, 4))
+        budget = WindowRetryBudget(terms=RetryBudgetTerms(0.2, 40.0, 10.0))
+        taken = sum(budget.try_spend(0.0, 4) for _ in range(100))
+        self.assertEqual(int(USABLE_BUDGET_RATIO * 40 / 4), taken)
+        self.assertFalse(budget.try_spend(9.9, 4))
+        self.assertTrue(budget.try_spend(10.1, 4))
 
     def test_requests_earn_repeats(self) -> None:
-        budget = WindowBudget(terms=BudgetTerms(0.2, 0.0, 10.0))
-        self.assertFalse(budget.take(0.0, 1))
+        budget = WindowRetryBudget(terms=RetryBudgetTerms(0.2, 0.0, 10.0))
+        self.assertFalse(budget.try_spend(0.0, 1))
         for _ in range(10):
             budget.on_request(0.0)
-        self.assertTrue(budget.take(0.0, 1))
-        self.assertFalse(budget.take(0.0, 1))
+        self.assertTrue(budget.try_spend(0.0, 1))
+        self.assertFalse(budget.try_spend(0.0, 1))
 
 
 class Choice(testtools.TestCase):
@@ -76,18 +76,18 @@
 
     def test_the_own_zone_is_preferred_until_it_is_busy(self) -> None:
         self.assertEqual('near', self.chosen())
-        self.balancer.of(self.near).on_report(LoadReport(4, 3, 4), 0.0)
+        self.balancer.stats_of(self.near).on_report(LoadReport(4, 3, 4), 0.0)
         self.assertEqual('far', self.chosen())
         self.assertEqual('near', self.chosen(5.0))
 
     def test_a_replica_that_fails_part_of_its_calls_is_avoided(self) -> None:
-        self.balancer.of(self.near).on_failure(0.0)
+        self.balancer.stats_of(self.near).on_failure(0.0)
         self.assertEqual('far', self.chosen())
 
     def test_one_that_fails_again_and_again_is_left_alone_but_never_all(self) -> None:
-        for _ in range(EJECT_AFTER):
-            self.balancer.of(self.near).on_failure(0.0)
-            self.balancer.of(self.far).on_failure(0.0)
+        for _ in range(FAILURES_TO_EJECT):
+            self.balancer.stats_of(self.near).on_failure(0.0)
+            self.balancer.stats_of(self.far).on_failure(0.0)
         self.assertIn(self.chosen(), ('near', 'far'))
 
     def test_what_was_tried_is_not_chosen_again(self) -> None:
@@ -97,6 +97,6 @@
         self.assertIsNone(self.balancer.choose('s', {'near', 'far'}, 0.0))
 
     def test_what_is_known_of_replicas_goes_with_them(self) -> None:
-        self.balancer.of(self.near)
+        self.balancer.stats_of(self.near)
         self.table.remove('near', 0.0)
         self.assertEqual([], list(self.balancer.stats))
--- a/packages/core/calicopath_core/execution/attempts.py
+++ b/packages/core/calicopath_core/execution/attempts.py
@@ -14,7 +14,7 @@
 from calicopath_core.crashes.fate import EndpointFate
 from calicopath_core.execution.requests import CallResult
 from calicopath_core.execution.run import Run, StageFailed
-from calicopath_core.routing.pools import NoEndpoint, NoRoom, Slot, Ticket
+from calicopath_core.routing.pools import NoEndpoint, NoFreeSlot, Slot, SlotRequest
 from calicopath_core.structure.outcomes import FailureReason
 from calicopath_core.structure.stages import StageKind
 
@@ -84,7 +84,7 @@
     """Get a slot for a stage, turning a refusal into the stage's failure."""
     check_sendable(context, run, budget)
     pool = context.pools.pool(budget.stage.service)
-    ticket = Ticket(
+    request = SlotRequest(
         workspace=run.plan.workspace,
         priority=run.request.priority,
         deadline=run.request.deadline,
@@ -94,12 +94,12 @@
         affinity=affinity_of(context, run, budget),
     )
     try:
-        slot = await pool.acquire(ticket)
+        slot = await pool.acquire(request)
     except NoEndpoint as error:
         raise StageFailed(
             FailureReason.NO_ENDPOINT, str(error), retry_after_s=NO_ENDPOINT_RETRY_S
         ) from error
-    except NoRoom as error:
+    except NoFreeSlot as error:
         raise StageFailed(
             FailureReason.OVERLOADED, str(error), retry_after_s=error.retry_after_s
         ) from error
@@ -133,7 +133,7 @@
 ) -> None:
     """Find out whether an endpoint has ended, before the request is sent once more."""
     if isinstance(error, ConnectionBroken):
-        fate = EndpointFate(reach=context.backends.reach, endpoint=slot.endpoint)
+        fate = EndpointFate(reach=context.backends.prober, endpoint=slot.endpoint)
         await context.crashes.on_failed(
             [run.content], service, fate, error, began=run.sent_at, answered=answered
         )
--- a/packages/core/calicopath_core/execution/door.py
+++ b/packages/core/calicopath_core/execution/door.py
@@ -52,7 +52,7 @@
 
     def check_load(self, plan: Plan, priority: int, now: float, deadline: float) -> Refused | None:
         """Refuse what the queues would make late; say when they should have drained."""
-        if self.lag.too_high:
+        if self.lag.is_too_high:
             detail = f'this box is {self.lag.value_s:.3f} s behind'
             return Refused(RefusalReason.OVERLOADED, detail, BUSY_RETRY_S)
         needed_s = self.estimate(plan, priority)
@@ -73,6 +73,6 @@
         elapsed_s = 0.0
         for stage in plan.stages:
             pool = self.pools.pool(stage.service)
-            elapsed_s = max(elapsed_s, pool.wait_estimate(priority))
+            elapsed_s = max(elapsed_s, pool.estimated_wait_s(priority))
             elapsed_s += stage.expected_s * max(1.0, pool.slowness())
         return elapsed_s
--- a/packages/core/calicopath_core/execution/generation.py
+++ b/packages/core/calicopath_core/execution/generation.py
@@ -128,7 +128,7 @@
         """
         if run.single_shot(budget.stage) and progress.offset == 0:
             return False
-        return self.context.budget.take()
+        return self.context.budget.try_spend()
 
     async def attempt(self, run: Run, budget: StageBudget, slot: Slot, progress: Progress) -> None:
         """Stream from one replica until the end."""
@@ -156,7 +156,7 @@
                 raise
             attempt.first_response_s = watch.first_response_s
             if watch.gap_s is not None:
-                slot.pool.learn_token_gap(watch.gap_s)
+                slot.pool.record_token_gap(watch.gap_s)
 
     async def stream(
         self,
--- a/packages/core/calicopath_core/execution/run.py
+++ b/packages/core/calicopath_core/execution/run.py
@@ -115,13 +115,13 @@
         """Count this request, by stage name, among those that will ask the pools for slots."""
         self.pending = pools
         for pool in pools.values():
-            pool.expect(self.request.priority)
+            pool.add_pending(self.request.priority)
 
     def got_slot(self, stage: StagePlan) -> None:
         """Count this request out of those that a stage's pool still expects."""
         pool = self.pending.pop(stage.name, None)
         if pool is not None:
-            pool.unexpect(self.request.priority)
+            pool.remove_pending(self.request.priority)
 
     def expect_no_more(self) -> None:
         """Count this request out of every pool that still expects it."""
--- a/packages/core/calicopath_core/execution/stages.py
+++ b/packages/core/calicopath_core/execution/stages.py
@@ -51,7 +51,7 @@
                 service = budget.stage.service
                 await note_crash(self.context, run, slot, service, error, answered=False)
                 check_time_left(self.context, budget)
-                if run.single_shot(budget.stage) or not self.context.budget.take():
+                if run.single_shot(budget.stage) or not self.context.budget.try_spend():
                     break
             else:
                 self.context.crashes.on_survived(run.content, budget.stage.service)
--- a/packages/core/calicopath_core/execution/tests/answers_tests.py
+++ b/packages/core/calicopath_core/execution/tests/answers_tests.py
@@ -341,15 +341,15 @@
         async def scenario() -> None:
             fleet = new_fleet()
             box = FakeBox(fleet=fleet, state=StoreState()).configure(fleet)
-            box.lag.note(100.0)
+            box.lag.add_sample(100.0)
             self.assertIsInstance(await box.send('answer'), Answered)
             for _ in range(5):
-                box.lag.note(0.3)
+                box.lag.add_sample(0.3)
             outcome = await box.send('answer')
             assert isinstance(outcome, Refused)
             self.assertIs(RefusalReason.OVERLOADED, outcome.reason)
             for _ in range(10):
-                box.lag.note(0.0)
+                box.lag.add_sample(0.0)
             self.assertIsInstance(await box.send('answer'), Answered)
 
         self.run_virtual(scenario())
--- a/packages/core/calicopath_core/fleet/tests/gate_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/gate_tests.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from calicopath_core.crashes.fate import ReplicaFate
-from calicopath_core.exchanges.messages import ReplicaReach
+from calicopath_core.exchanges.messages import ReplicaProber
 from calicopath_core.fleet.backoffs import KEEP_S, MAX_BACKOFF_S, SPREAD_S, TRIAL_S
 from calicopath_core.fleet.leaving import KEEP_S as WORD_KEEP_S
 from calicopath_core.fleet.leaving import MAX_WORDS
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from calicopath_core.backends.base import Reach
+    from calicopath_core.backends.base import ProbeResult
     from calicopath_core.fleet.gate import CallGate
 
 FIRST = Replica('i', 'desk', 'a:1', 'north', 6, False, born=100.0)
@@ -167,8 +167,8 @@
         self.play(work)
 
     def test_the_end_of_one_that_said_it_leaves_is_no_crash(self) -> None:
-        class Silent(ReplicaReach):
-            async def reach(self, replica: Replica, watch_s: float) -> Reach:
+        class Silent(ReplicaProber):
+            async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
                 raise AssertionError
 
         async def work(gate: CallGate) -> None:
--- a/packages/core/calicopath_core/fleet/tests/lives_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/lives_tests.py
@@ -40,7 +40,7 @@
     def believe(self) -> None:
         """Come to believe all sorts of things of the replica."""
         for _ in range(5):
-            self.balancer.of(FIRST).on_failure(1.0)
+            self.balancer.stats_of(FIRST).on_failure(1.0)
         item = job('j', prompt=PROMPT)
         choice = self.board.choose(item, 1.0)
         assert choice is not None
@@ -50,7 +50,7 @@
 
     def check_new(self, *, new: bool) -> None:
         """Check whether the replica is believed anything of."""
-        self.assertEqual(new, self.balancer.of(FIRST).ejected_until == 0.0)
+        self.assertEqual(new, self.balancer.stats_of(FIRST).ejected_until == 0.0)
         self.assertEqual(new, self.board.engines['i'].failures == 0)
         self.assertEqual(new, not self.queue.replicas['i'].bookings)
 
--- a/packages/core/calicopath_core/fleet/tests/suspension_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/suspension_tests.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from calicopath_core.clock import LOOK_S, SUSPENDED_S, SuspensionClock
+from calicopath_core.clock import CHECK_INTERVAL_S, MIN_SUSPENSION_S, SuspensionClock
 from calicopath_core.fleet.contact import UNKNOWN
 from calicopath_core.scheduling.election import SILENT_S, BoxAddress, Election
 from calicopath_core.scheduling.messages import Pong
@@ -22,8 +22,8 @@
             for suspended_s in (0.3, 2.0, 20.0):
                 before = clock.monotonic()
                 lead[0] += suspended_s
-                await asyncio.sleep(LOOK_S)
-                self.assertAlmostEqual(before + suspended_s + LOOK_S, clock.monotonic())
+                await asyncio.sleep(CHECK_INTERVAL_S)
+                self.assertAlmostEqual(before + suspended_s + CHECK_INTERVAL_S, clock.monotonic())
 
         self.run_virtual(scenario())
 
@@ -31,13 +31,13 @@
         async def scenario() -> None:
             lead = [5.0]
             clock = SuspensionClock(lead_s=lambda: lead[0])
-            for noise_s in (SUSPENDED_S / 2, -SUSPENDED_S, 0.0, 0.01):
+            for noise_s in (MIN_SUSPENSION_S / 2, -MIN_SUSPENSION_S, 0.0, 0.01):
                 lead[0] = 5.0 + noise_s
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(CHECK_INTERVAL_S)
                 clock.monotonic()
                 self.assertEqual(0.0, clock.suspended_s)
             for lead[0] in (6.0, 5.0):
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(CHECK_INTERVAL_S)
                 clock.monotonic()
                 self.assertEqual(1.0, clock.suspended_s)
 
@@ -52,7 +52,7 @@
             election.on_pong(pong(), clock.monotonic())
             self.assertEqual(OTHER, election.scheduler(clock.monotonic()))
             lead[0] += 3 * SILENT_S
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             self.assertFalse(election.hears('other:7', clock.monotonic()))
             election.on_pong(pong(), clock.monotonic())
             self.assertTrue(election.hears('other:7', clock.monotonic()))
@@ -62,7 +62,7 @@
     def test_the_machines_own_clocks_show_no_suspension_now(self) -> None:
         async def scenario() -> None:
             clock = SuspensionClock()
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             clock.monotonic()
             self.assertEqual(0.0, clock.suspended_s)
 
--- a/packages/core/calicopath_core/limits/arrivals.py
+++ b/packages/core/calicopath_core/limits/arrivals.py
@@ -20,7 +20,7 @@
         self.counts: dict[int, float] = {}
         self.updated_at = 0.0
 
-    def note(self, priority: int) -> None:
+    def count(self, priority: int) -> None:
         """Count an arrival."""
         self.decay()
         self.counts[priority] = self.counts.get(priority, 0.0) + 1.0
@@ -33,7 +33,7 @@
         for priority in self.counts:
             self.counts[priority] *= factor
 
-    def above(self, priority: int) -> float:
+    def rate_above(self, priority: int) -> float:
         """Return the arrivals a second of all higher priorities."""
         self.decay()
         return sum(count for level, count in self.counts.items() if level > priority) / WINDOW_S
--- a/packages/core/calicopath_core/limits/concurrency.py
+++ b/packages/core/calicopath_core/limits/concurrency.py
@@ -50,25 +50,25 @@
     endpoint. It never exceeds the endpoint's concurrency.
     """
 
-    TOLERANCE = 1.5
+    LATENCY_TOLERANCE = 1.5
     """Responses up to this many times the baseline count as unloaded."""
 
-    JITTER_S = 0.01
+    ALLOWED_JITTER_S = 0.01
     """Responses late by no more than this count as unloaded: network and scheduler do as much."""
 
     GROWTH = 0.5
-    SHRINK = 0.9
-    OVERLOAD_SHRINK = 0.7
+    SHRINK_FACTOR = 0.9
+    OVERLOAD_SHRINK_FACTOR = 0.7
     BASELINE_DRIFT = 0.01
     """Share by which the baseline follows slower samples, so that it can rise again."""
 
-    START_SHARES = 2.0
+    START_FACTOR = 2.0
     """A box starts with this many times its even share: too few places at the start make it refuse
     requests for which there is room."""
 
     def __init__(self, *, concurrency: int, boxes: int) -> None:
         self.ceiling = max(1, concurrency)
-        start = self.START_SHARES * concurrency / max(1, boxes)
+        start = self.START_FACTOR * concurrency / max(1, boxes)
         self.limit = min(max(MIN_LIMIT, start), float(self.ceiling))
         self.baseline_s: float | None = None
 
@@ -80,8 +80,8 @@
     def on_answer(self, *, first_response_s: float, in_flight: int) -> None:
         """Grow when responses are fast and the limit is used; shrink when they are slow."""
         baseline = self.update_baseline(first_response_s)
-        if first_response_s > baseline * self.TOLERANCE + self.JITTER_S:
-            self.limit = max(MIN_LIMIT, self.limit * self.SHRINK)
+        if first_response_s > baseline * self.LATENCY_TOLERANCE + self.ALLOWED_JITTER_S:
+            self.limit = max(MIN_LIMIT, self.limit * self.SHRINK_FACTOR)
         elif in_flight + 1 >= self.value:
             self.limit = min(float(self.ceiling), self.limit + self.GROWTH / self.limit)
 
@@ -95,4 +95,4 @@
 
     def on_overload(self) -> None:
         """Shrink by a larger step."""
-        self.limit = max(MIN_LIMIT, self.limit * self.OVERLOAD_SHRINK)
+        self.limit = max(MIN_LIMIT, self.limit * self.OVERLOAD_SHRINK_FACTOR)
--- a/packages/core/calicopath_core/limits/lag.py
+++ b/packages/core/calicopath_core/limits/lag.py
@@ -8,8 +8,8 @@
 if TYPE_CHECKING:
     from calicopath_core.clock import Clock
 
-INTERVAL_S = 0.05
-WEIGHT = 0.2
+SAMPLE_INTERVAL_S = 0.05
+SAMPLE_WEIGHT = 0.2
 """Weight of one measurement in the average."""
 
 MAX_SAMPLE_S = 0.3
@@ -27,7 +27,7 @@
         self.value_s = 0.0
 
     @property
-    def too_high(self) -> bool:
+    def is_too_high(self) -> bool:
         """Tell whether the process has more to do than it can."""
         return self.value_s > MAX_LAG_S
 
@@ -38,10 +38,10 @@
 
     async def measure(self) -> None:
         """Measure once."""
-        due = self.clock.monotonic() + INTERVAL_S
-        await asyncio.sleep(INTERVAL_S)
-        self.note(max(0.0, self.clock.monotonic() - due))
+        due_at = self.clock.monotonic() + SAMPLE_INTERVAL_S
+        await asyncio.sleep(SAMPLE_INTERVAL_S)
+        self.add_sample(max(0.0, self.clock.monotonic() - due_at))
 
-    def note(self, lag_s: float) -> None:
+    def add_sample(self, lag_s: float) -> None:
         """Take one measurement in."""
-        self.value_s += (min(lag_s, MAX_SAMPLE_S) - self.value_s) * WEIGHT
+        self.value_s += (min(lag_s, MAX_SAMPLE_S) - self.value_s) * SAMPLE_WEIGHT
--- a/packages/core/calicopath_core/limits/queue.py
+++ b/packages/core/calicopath_core/limits/queue.py
@@ -28,7 +28,7 @@
         self.future = future
 
     @property
-    def live(self) -> bool:
+    def is_waiting(self) -> bool:
         """Tell whether somebody still waits."""
         return not self.future.done()
 
@@ -37,7 +37,7 @@
     """Order waiters of one workspace by deadline, then by arrival."""
 
     deadline: float
-    number: int
+    sequence: int
     waiter: Waiter
 
 
@@ -52,14 +52,14 @@
     def __init__(self) -> None:
         self.queues: dict[str, list[QueuedWaiter]] = {}
         self.virtual_times: dict[str, float] = {}
-        self.now = 0.0
+        self.virtual_now = 0.0
 
     def push(self, item: QueuedWaiter) -> None:
         """Queue a waiter behind its workspace's earlier deadlines."""
         workspace = item.waiter.workspace
         if workspace not in self.queues:
             self.queues[workspace] = []
-            self.virtual_times[workspace] = max(self.now, self.virtual_times.get(workspace, 0.0))
+            self.virtual_times[workspace] = max(self.virtual_now, self.virtual_times.get(workspace, 0.0))
         heapq.heappush(self.queues[workspace], item)
 
     def pop(self) -> Waiter | None:
@@ -70,8 +70,8 @@
             waiter = heapq.heappop(queue).waiter
             if not queue:
                 del self.queues[workspace]
-            if waiter.live:
-                self.now = self.virtual_times[workspace]
+            if waiter.is_waiting:
+                self.virtual_now = self.virtual_times[workspace]
                 self.virtual_times[workspace] += 1.0
                 self.forget_idle()
                 return waiter
@@ -80,14 +80,14 @@
     def forget_idle(self) -> None:
         """Drop idle workspaces whose virtual time has been passed."""
         for name in list(self.virtual_times):
-            if name not in self.queues and self.virtual_times[name] <= self.now:
+            if name not in self.queues and self.virtual_times[name] <= self.virtual_now:
                 del self.virtual_times[name]
 
     def waiters(self) -> Iterator[Waiter]:
         """Yield the live waiters in no particular order."""
         for queue in self.queues.values():
             for item in queue:
-                if item.waiter.live:
+                if item.waiter.is_waiting:
                     yield item.waiter
 
 
@@ -96,12 +96,12 @@
 
     def __init__(self) -> None:
         self.classes: dict[int, PriorityClass] = {}
-        self.numbers = itertools.count()
+        self.sequence_numbers = itertools.count()
 
     def push(self, waiter: Waiter) -> None:
         """Queue a waiter."""
         group = self.classes.setdefault(waiter.priority, PriorityClass())
-        group.push(QueuedWaiter(waiter.deadline, next(self.numbers), waiter))
+        group.push(QueuedWaiter(waiter.deadline, next(self.sequence_numbers), waiter))
 
     def pop(self) -> Waiter | None:
         """Return the next waiter still alive, or nothing."""
@@ -111,7 +111,7 @@
                 return waiter
         return None
 
-    def ahead_of(self, priority: int) -> int:
+    def count_ahead_of(self, priority: int) -> int:
         """Count the live waiters that a newcomer of `priority` would queue behind."""
         return sum(
             1 for level, group in self.classes.items() if level >= priority for _ in group.waiters()
@@ -124,4 +124,4 @@
 
     def __len__(self) -> int:
         """Count the live waiters."""
-        return self.ahead_of(-1)
+        return self.count_ahead_of(-1)
--- a/packages/core/calicopath_core/limits/retry.py
+++ b/packages/core/calicopath_core/limits/retry.py
@@ -15,7 +15,7 @@
         """Earn a part of a retry."""
         self.tokens = min(self.reserve, self.tokens + self.share)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Spend one retry if there is one."""
         if self.tokens < 1:
             return False
--- a/packages/core/calicopath_core/limits/tests/limits_tests.py
+++ b/packages/core/calicopath_core/limits/tests/limits_tests.py
@@ -120,13 +120,13 @@
         async def scenario() -> None:
             rates = ArrivalRates(clock=VirtualClock())
             for _ in range(200):
-                rates.note(8)
-                rates.note(3)
+                rates.count(8)
+                rates.count(3)
                 await asyncio.sleep(0.05)
-            self.assertAlmostEqual(20, rates.above(5), delta=1)
-            self.assertEqual(0.0, rates.above(8))
+            self.assertAlmostEqual(20, rates.rate_above(5), delta=1)
+            self.assertEqual(0.0, rates.rate_above(8))
             await asyncio.sleep(20)
-            self.assertLess(rates.above(5), 0.1)
+            self.assertLess(rates.rate_above(5), 0.1)
 
         self.run_virtual(scenario())
 
@@ -134,8 +134,8 @@
 class Retries(testtools.TestCase):
     def test_retries_are_a_share_of_successes_after_the_reserve(self) -> None:
         budget = RetryBudget(share=0.1, reserve=2)
-        taken = [budget.take() for _ in range(3)]
+        taken = [budget.try_spend() for _ in range(3)]
         for _ in range(25):
             budget.on_success()
-        taken += [budget.take() for _ in range(3)]
+        taken += [budget.try_spend() for _ in range(3)]
         self.assertEqual([True, True, False, True, True, False], taken)
--- a/packages/core/calicopath_core/routing/outliers.py
+++ b/packages/core/calicopath_core/routing/outliers.py
@@ -5,7 +5,7 @@
 FAILURES_TO_EJECT = 3
 BASE_EJECTION_S = 1.0
 MAX_EJECTION_S = 30.0
-MAX_EJECTED_SHARE = 0.5
+MAX_EJECTED_RATIO = 0.5
 
 
 class Health:
@@ -16,7 +16,7 @@
     """
 
     def __init__(self) -> None:
-        self.failures = 0
+        self.consecutive_failures = 0
         self.ejections = 0
         self.ejected_until: float | None = None
         self.probing = False
@@ -34,29 +34,29 @@
 
     def on_success(self) -> None:
         """Take the endpoint back."""
-        self.failures = 0
+        self.consecutive_failures = 0
         self.ejections = 0
         self.ejected_until = None
         self.probing = False
 
     def on_failure(self, now: float, *, may_eject: bool) -> bool:
         """Count a failure and return whether it ejects the endpoint."""
-        self.failures += 1
+        self.consecutive_failures += 1
         if self.ejected_until is not None and not self.probing:
             return False
-        if not self.probing and (self.failures < FAILURES_TO_EJECT or not may_eject):
+        if not self.probing and (self.consecutive_failures < FAILURES_TO_EJECT or not may_eject):
             return False
         self.probing = False
-        duration = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**self.ejections)
+        ejection_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**self.ejections)
         self.ejections += 1
-        self.ejected_until = now + duration
+        self.ejected_until = now + ejection_s
         return True
 
-    def on_neutral(self) -> None:
+    def on_inconclusive(self) -> None:
         """Note that a call ended without telling anything about the endpoint."""
         self.probing = False
 
 
 def may_eject(total: int, ejected: int) -> bool:
     """Tell whether one more of `total` endpoints may be ejected."""
-    return (ejected + 1) <= total * MAX_EJECTED_SHARE
+    return (ejected + 1) <= total * MAX_EJECTED_RATIO
--- a/packages/core/calicopath_core/routing/pools.py
+++ b/packages/core/calicopath_core/routing/pools.py
@@ -38,7 +38,7 @@
     """Report that a service has no active endpoint."""
 
 
-class NoRoom(PoolError):
+class NoFreeSlot(PoolError):
     """Report that no slot came free in time; `retry_after_s` says when one should."""
 
     def __init__(self, message: str, *, retry_after_s: float) -> None:
@@ -46,7 +46,7 @@
         self.retry_after_s = retry_after_s
 
 
-class Ticket(NamedTuple):
+class SlotRequest(NamedTuple):
     """Ask for a slot; times are on the monotonic clock, in seconds.
 
     `latest_start` is the time after which starting is no use. Endpoints in `exclude` are
@@ -84,7 +84,7 @@
         self.replica.on_answer(
             first_response_s=first_response_s, served_s=served_s, expected_s=self.expected_s
         )
-        self.pool.learn(served_s)
+        self.pool.record_served_time(served_s)
         self.pool.release(self.replica)
 
     def failed(self) -> None:
@@ -95,13 +95,13 @@
     def declined(self, backoff_s: float = 0.0) -> None:
         """Give the place back after the endpoint said that it is full, and for how long."""
         self.replica.on_declined(backoff_s, self.pool.clock.monotonic())
-        self.replica.health.on_neutral()
+        self.replica.health.on_inconclusive()
         self.pool.release(self.replica)
         self.pool.on_declined()
 
     def abandoned(self) -> None:
         """Give the place back when nothing was learnt about the endpoint."""
-        self.replica.health.on_neutral()
+        self.replica.health.on_inconclusive()
         self.pool.release(self.replica)
 
 
@@ -143,7 +143,7 @@
                 )
             else:
                 replica.endpoint = endpoint
-        self.pump()
+        self.serve_waiters()
 
     def remove(self, name: str) -> None:
         """Take an endpoint out; its slots still end as usual."""
@@ -158,99 +158,99 @@
             if replica.endpoint.state is EndpointState.ACTIVE
         ]
 
-    def callable(self) -> list[Replica]:
+    def not_backing_off(self) -> list[Replica]:
         """Return the active endpoints that have not asked for a pause: an order, not a choice."""
         now = self.clock.monotonic()
-        return [replica for replica in self.active() if replica.back_s(now) <= 0]
+        return [replica for replica in self.active() if replica.backoff_left_s(now) <= 0]
 
     def candidates(self) -> list[Replica]:
         """Return the endpoints to call that are healthy, or all that may be called if none is."""
         now = self.clock.monotonic()
-        allowed = self.callable()
+        allowed = self.not_backing_off()
         healthy = [replica for replica in allowed if not replica.health.is_ejected(now)]
         return healthy or allowed
 
-    def first_back_s(self) -> float:
+    def min_backoff_left_s(self) -> float:
         """Return when the first endpoint may be called, 0 if one may now."""
         now = self.clock.monotonic()
-        return min((replica.back_s(now) for replica in self.active()), default=0.0)
+        return min((replica.backoff_left_s(now) for replica in self.active()), default=0.0)
 
     def on_declined(self) -> None:
         """Look anew at what waits once an endpoint has asked for a pause."""
-        back_s = self.first_back_s()
-        if back_s <= 0:
+        backoff_left_s = self.min_backoff_left_s()
+        if backoff_left_s <= 0:
             return
-        back_at = self.clock.monotonic() + back_s
+        backoff_ends_at = self.clock.monotonic() + backoff_left_s
         for waiter in list(self.queue.waiters()):
             assert isinstance(waiter, QueuedCall)
-            if back_at > waiter.ticket.latest_start:
-                waiter.future.set_exception(self.no_room(waiter.priority))
-        self.pump_in(back_s)
+            if backoff_ends_at > waiter.request.latest_start:
+                waiter.future.set_exception(self.no_free_slot(waiter.priority))
+        self.serve_waiters_in(backoff_left_s)
 
-    def pump_in(self, wait_s: float) -> None:
+    def serve_waiters_in(self, wait_s: float) -> None:
         """Serve whoever waits when the first pause is over."""
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = asyncio.get_running_loop().call_later(wait_s + TIMER_SLACK_S, self.pump)
+        self.timer = asyncio.get_running_loop().call_later(wait_s + TIMER_SLACK_S, self.serve_waiters)
 
-    async def acquire(self, ticket: Ticket) -> Slot:
+    async def acquire(self, request: SlotRequest) -> Slot:
         """Return a slot; raise `NoEndpoint` or `NoRoom` at once when there will be none."""
-        asked = self.clock.monotonic()
+        requested_at = self.clock.monotonic()
         if not self.active():
             raise NoEndpoint(f'service {self.service!r} has no active endpoint')
-        back_s = self.first_back_s()
-        if asked + back_s > ticket.latest_start:
-            raise self.no_room(ticket.priority)
-        if not self.queue.ahead_of(ticket.priority):
-            replica = self.choose(ticket)
+        backoff_left_s = self.min_backoff_left_s()
+        if requested_at + backoff_left_s > request.latest_start:
+            raise self.no_free_slot(request.priority)
+        if not self.queue.count_ahead_of(request.priority):
+            replica = self.choose(request)
             if replica is not None:
-                return self.take(replica, ticket, queued_s=0.0)
-        replica = await self.wait_in_queue(ticket)
+                return self.take_slot(replica, request, queued_s=0.0)
+        replica = await self.wait_in_queue(request)
         return Slot(
             pool=self,
             replica=replica,
-            expected_s=ticket.expected_s,
-            queued_s=self.clock.monotonic() - asked,
+            expected_s=request.expected_s,
+            queued_s=self.clock.monotonic() - requested_at,
         )
 
-    async def wait_in_queue(self, ticket: Ticket) -> Replica:
+    async def wait_in_queue(self, request: SlotRequest) -> Replica:
         """Wait until `pump` gives us an endpoint."""
         if len(self.queue) >= MAX_QUEUED:
-            raise self.no_room(ticket.priority)
+            raise self.no_free_slot(request.priority)
         future: asyncio.Future[Replica] = asyncio.get_running_loop().create_future()
-        self.queue.push(QueuedCall(ticket=ticket, future=future))
-        self.pump()
-        if back_s := self.first_back_s():
-            self.pump_in(back_s)
+        self.queue.push(QueuedCall(request=request, future=future))
+        self.serve_waiters()
+        if backoff_left_s := self.min_backoff_left_s():
+            self.serve_waiters_in(backoff_left_s)
         try:
-            async with asyncio.timeout_at(ticket.latest_start):
+            async with asyncio.timeout_at(request.latest_start):
                 return await future
         except TimeoutError:
-            self.give_back(future)
-            raise self.no_room(ticket.priority) from None
+            self.release_unclaimed(future)
+            raise self.no_free_slot(request.priority) from None
         except asyncio.CancelledError:
-            self.give_back(future)
+            self.release_unclaimed(future)
             raise
 
-    def give_back(self, future: asyncio.Future[Replica]) -> None:
+    def release_unclaimed(self, future: asyncio.Future[Replica]) -> None:
         """Release a place that was handed out just as its waiter gave up."""
         if future.done() and not future.cancelled() and future.exception() is None:
             replica = future.result()
-            replica.health.on_neutral()
+            replica.health.on_inconclusive()
             self.release(replica)
 
-    def choose(self, ticket: Ticket) -> Replica | None:
+    def choose(self, request: SlotRequest) -> Replica | None:
         """Return the endpoint for a call, or nothing if none has room."""
-        with_room = [replica for replica in self.candidates() if replica.has_room()]
-        preferred = [replica for replica in with_room if replica.name not in ticket.exclude]
+        with_room = [replica for replica in self.candidates() if replica.has_free_slot()]
+        preferred = [replica for replica in with_room if replica.name not in request.exclude]
         if not with_room:
             return None
-        return self.selector.choose(preferred or with_room, ticket.affinity)
+        return self.selector.choose(preferred or with_room, request.affinity)
 
-    def take(self, replica: Replica, ticket: Ticket, queued_s: float) -> Slot:
+    def take_slot(self, replica: Replica, request: SlotRequest, queued_s: float) -> Slot:
         """Occupy a place."""
         self.occupy(replica)
-        return Slot(pool=self, replica=replica, expected_s=ticket.expected_s, queued_s=queued_s)
+        return Slot(pool=self, replica=replica, expected_s=request.expected_s, queued_s=queued_s)
 
     def occupy(self, replica: Replica) -> None:
         """Count a call in flight."""
@@ -260,19 +260,19 @@
     def release(self, replica: Replica) -> None:
         """Count a call out and serve whoever waits."""
         replica.in_flight -= 1
-        self.pump()
+        self.serve_waiters()
 
-    def pump(self) -> None:
+    def serve_waiters(self) -> None:
         """Hand free places to the waiters, in the queue's order."""
         if not self.active():
             self.fail_waiters()
             return
-        while any(replica.has_room() for replica in self.candidates()):
+        while any(replica.has_free_slot() for replica in self.candidates()):
             waiter = self.queue.pop()
             if waiter is None:
                 return
             assert isinstance(waiter, QueuedCall)
-            replica = self.choose(waiter.ticket)
+            replica = self.choose(waiter.request)
             assert replica is not None
             self.occupy(replica)
             waiter.future.set_result(replica)
@@ -293,13 +293,13 @@
         if replica.health.on_failure(now, may_eject=allowed):
             self.ejections += 1
 
-    def learn(self, served_s: float) -> None:
+    def record_served_time(self, served_s: float) -> None:
         """Keep the average time that a call takes."""
         if self.served_s is None:
             self.served_s = served_s
         self.served_s += (served_s - self.served_s) * AVERAGE_WEIGHT
 
-    def learn_token_gap(self, gap_s: float) -> None:
+    def record_token_gap(self, gap_s: float) -> None:
         """Keep the average time between two tokens."""
         if self.token_gap_s is None:
             self.token_gap_s = gap_s
@@ -310,57 +310,57 @@
         values = sorted(replica.slowness.value for replica in self.candidates())
         return values[len(values) // 2] if values else 1.0
 
-    def rate(self) -> float:
+    def answers_per_s(self) -> float:
         """Estimate the calls a second that this box gets answered (Little's law)."""
-        places = sum(replica.limit.value for replica in self.candidates())
+        slots = sum(replica.limit.value for replica in self.candidates())
         if not self.served_s:
             return float('inf')
-        return places / self.served_s
+        return slots / self.served_s
 
-    def free_places(self) -> int:
+    def free_slots(self) -> int:
         """Count the places free now."""
         return sum(max(0, replica.limit.value - replica.in_flight) for replica in self.candidates())
 
-    def expect(self, priority: int) -> None:
+    def add_pending(self, priority: int) -> None:
         """Count an admitted request that will ask for a slot."""
         self.pending[priority] += 1
-        self.arrivals.note(priority)
+        self.arrivals.count(priority)
 
-    def unexpect(self, priority: int) -> None:
+    def remove_pending(self, priority: int) -> None:
         """Count off a request that got its slot, or never will."""
         self.pending[priority] -= 1
 
-    def wait_estimate(self, priority: int) -> float:
+    def estimated_wait_s(self, priority: int) -> float:
         """Estimate the seconds that a new request of `priority` will wait for a slot.
 
         Requests of higher priority that come meanwhile go first, so only what they leave of the
         rate counts.
         """
         ahead = sum(count for level, count in self.pending.items() if level >= priority)
-        waiting = ahead + 1 - self.free_places()
+        waiting = ahead + 1 - self.free_slots()
         if waiting <= 0:
             return 0.0
-        if not self.callable():
-            return self.first_back_s()
-        left = self.rate() - self.arrivals.above(priority)
-        return waiting / left if left > 0 else MAX_WAIT_S
+        if not self.not_backing_off():
+            return self.min_backoff_left_s()
+        available_per_s = self.answers_per_s() - self.arrivals.rate_above(priority)
+        return waiting / available_per_s if available_per_s > 0 else MAX_WAIT_S
 
-    def no_room(self, priority: int) -> NoRoom:
+    def no_free_slot(self, priority: int) -> NoFreeSlot:
         """Return the error for a call that cannot start in time."""
-        return NoRoom(
+        return NoFreeSlot(
             f'no endpoint of service {self.service!r} comes free in time',
-            retry_after_s=max(MIN_RETRY_AFTER_S, self.wait_estimate(priority)),
+            retry_after_s=max(MIN_RETRY_AFTER_S, self.estimated_wait_s(priority)),
         )
 
 
 class QueuedCall(Waiter):
     """Wait for an endpoint with everything that the choice needs."""
 
-    def __init__(self, *, ticket: Ticket, future: asyncio.Future[Replica]) -> None:
+    def __init__(self, *, request: SlotRequest, future: asyncio.Future[Replica]) -> None:
         super().__init__(
-            workspace=ticket.workspace,
-            priority=ticket.priority,
-            deadline=ticket.deadline,
+            workspace=request.workspace,
+            priority=request.priority,
+            deadline=request.deadline,
             future=future,
         )
-        self.ticket = ticket
+        self.request = request
--- a/packages/core/calicopath_core/routing/registry.py
+++ b/packages/core/calicopath_core/routing/registry.py
@@ -29,7 +29,7 @@
         self.subset = subset
         self.new_pool = new_pool
         self.pools: dict[str, ServicePool] = {}
-        self.by_service: dict[str, dict[str, Endpoint]] = {}
+        self.endpoints_by_service: dict[str, dict[str, Endpoint]] = {}
         self.service_of: dict[str, str] = {}
         view.listeners.append(self.on_updates)
 
@@ -41,24 +41,24 @@
 
     def on_updates(self, updates: list[ViewUpdate]) -> None:
         """Give the pools of the services concerned their endpoints at once."""
-        concerned: set[str] = set()
+        changed: set[str] = set()
         for update in updates:
             if update.key.startswith(ENDPOINT_PREFIX):
-                concerned |= self.move(update.key)
-        for service in sorted(concerned):
-            endpoints = self.by_service.get(service, {}).values()
+                changed |= self.reassign(update.key)
+        for service in sorted(changed):
+            endpoints = self.endpoints_by_service.get(service, {}).values()
             self.pool(service).update(self.subset.choose(endpoints))
 
-    def move(self, key: str) -> set[str]:
+    def reassign(self, key: str) -> set[str]:
         """Put an endpoint under its service and return the services that changed."""
-        concerned: set[str] = set()
+        changed: set[str] = set()
         before = self.service_of.pop(key, None)
         if before is not None:
-            del self.by_service[before][key]
-            concerned.add(before)
+            del self.endpoints_by_service[before][key]
+            changed.add(before)
         endpoint = self.view.endpoints.get(key)
         if endpoint is not None:
-            self.by_service.setdefault(endpoint.service, {})[key] = endpoint
+            self.endpoints_by_service.setdefault(endpoint.service, {})[key] = endpoint
             self.service_of[key] = endpoint.service
-            concerned.add(endpoint.service)
-        return concerned
+            changed.add(endpoint.service)
+        return changed
--- a/packages/core/calicopath_core/routing/replicas.py
+++ b/packages/core/calicopath_core/routing/replicas.py
@@ -16,35 +16,35 @@
 FAILURE_PENALTY = 1.5
 """Factor by which a failed call makes an endpoint look slower; each answer takes it back."""
 
-MEMORY_S = 10.0
+DECAY_TIME_S = 10.0
 """Time in which what was learnt fades when no call tells more, so that a replica is tried again."""
 
 MAX_BACKOFF_S = 60.0
 """The longest pause that is kept to; an endpoint that asks for more is called again after this, and
 operators who want it left alone drain it."""
 
-LATENCY_WEIGHT = 0.2
+SLOWNESS_WEIGHT = 0.2
 """Weight of a new sample in the moving average."""
 
 
-class Fading:
+class DecayingFactor:
     """Hold a factor that fades to one when nothing tells more."""
 
     def __init__(self, *, clock: Clock) -> None:
         self.clock = clock
-        self.learned = 1.0
-        self.learned_at = clock.monotonic()
+        self.initial = 1.0
+        self.set_at = clock.monotonic()
 
     @property
     def value(self) -> float:
         """Return the factor as it is now."""
-        age_s = self.clock.monotonic() - self.learned_at
-        return 1.0 + (self.learned - 1.0) * math.exp(-age_s / MEMORY_S)
+        age_s = self.clock.monotonic() - self.set_at
+        return 1.0 + (self.initial - 1.0) * math.exp(-age_s / DECAY_TIME_S)
 
-    def learn(self, value: float) -> None:
+    def set(self, value: float) -> None:
         """Hold a new factor from now on."""
-        self.learned = value
-        self.learned_at = self.clock.monotonic()
+        self.initial = value
+        self.set_at = self.clock.monotonic()
 
 
 class Replica:
@@ -61,8 +61,8 @@
         self.health = Health()
         self.in_flight = 0
         self.backoff_until = -math.inf
-        self.slowness = Fading(clock=clock)
-        self.penalty = Fading(clock=clock)
+        self.slowness = DecayingFactor(clock=clock)
+        self.penalty = DecayingFactor(clock=clock)
 
     @property
     def name(self) -> str:
@@ -72,23 +72,23 @@
     def on_answer(self, *, first_response_s: float, served_s: float, expected_s: float) -> None:
         """Learn from an answered call that should have taken `expected_s` unloaded."""
         slowness = self.slowness.value
-        self.slowness.learn(slowness + (served_s / expected_s - slowness) * LATENCY_WEIGHT)
-        self.penalty.learn(max(1.0, self.penalty.value / FAILURE_PENALTY))
+        self.slowness.set(slowness + (served_s / expected_s - slowness) * SLOWNESS_WEIGHT)
+        self.penalty.set(max(1.0, self.penalty.value / FAILURE_PENALTY))
         self.limit.on_answer(first_response_s=first_response_s, in_flight=self.in_flight)
 
     def on_failure(self) -> None:
         """Learn from a failed call, which has no service time of its own."""
-        self.penalty.learn(min(MAX_PENALTY, self.penalty.value * FAILURE_PENALTY))
+        self.penalty.set(min(MAX_PENALTY, self.penalty.value * FAILURE_PENALTY))
 
     def on_declined(self, backoff_s: float, now: float) -> None:
         """Learn from a call that the endpoint would not take; it may ask for a pause."""
         self.limit.on_overload()
         self.backoff_until = max(self.backoff_until, now + min(backoff_s, MAX_BACKOFF_S))
 
-    def back_s(self, now: float) -> float:
+    def backoff_left_s(self, now: float) -> float:
         """Return for how long the endpoint wants nothing yet."""
         return max(0.0, self.backoff_until - now)
 
-    def has_room(self) -> bool:
+    def has_free_slot(self) -> bool:
         """Tell whether the limit allows one more call."""
         return self.in_flight < self.limit.value
--- a/packages/core/calicopath_core/routing/selectors.py
+++ b/packages/core/calicopath_core/routing/selectors.py
@@ -45,8 +45,8 @@
         if affinity is None:
             return best
         home = rendezvous(candidates, affinity)
-        bound = expected_completion(best) * self.AFFINITY_TOLERANCE
-        return home if expected_completion(home) <= bound else best
+        limit = expected_completion(best) * self.AFFINITY_TOLERANCE
+        return home if expected_completion(home) <= limit else best
 
 
 def expected_completion(replica: Replica) -> float:
--- a/packages/core/calicopath_core/routing/subset.py
+++ b/packages/core/calicopath_core/routing/subset.py
@@ -13,7 +13,7 @@
     from calicopath_core.structure.endpoints import Endpoint
 
 SUBSET_SIZE = 24
-FAR_SHARE = 0.25
+REMOTE_RATIO = 0.25
 """Share taken from other failure domains, which carries on when the own one is gone."""
 
 
@@ -36,14 +36,14 @@
         active = [item for item in endpoints if item.state is EndpointState.ACTIVE]
         if len(active) <= self.size:
             return active
-        near: list[Endpoint] = []
-        far: list[Endpoint] = []
+        local: list[Endpoint] = []
+        remote: list[Endpoint] = []
         for item in active:
-            (near if item.failure_domain == self.failure_domain else far).append(item)
-        near.sort(key=self.weight, reverse=True)
-        far.sort(key=self.weight, reverse=True)
-        far_count = min(len(far), max(int(self.size * FAR_SHARE), self.size - len(near)))
-        return near[: self.size - far_count] + far[:far_count]
+            (local if item.failure_domain == self.failure_domain else remote).append(item)
+        local.sort(key=self.weight, reverse=True)
+        remote.sort(key=self.weight, reverse=True)
+        remote_count = min(len(remote), max(int(self.size * REMOTE_RATIO), self.size - len(local)))
+        return local[: self.size - remote_count] + remote[:remote_count]
 
     def weight(self, endpoint: Endpoint) -> int:
         """Return an endpoint's weight for this box."""
--- a/packages/core/calicopath_core/routing/tests/pools_tests.py
+++ b/packages/core/calicopath_core/routing/tests/pools_tests.py
@@ -9,7 +9,7 @@
 from calicopath_core.clock import Clock
 from calicopath_core.limits.concurrency import FixedLimit
 from calicopath_core.routing.outliers import FAILURES_TO_EJECT, Health
-from calicopath_core.routing.pools import MAX_WAIT_S, NoEndpoint, NoRoom, ServicePool, Slot, Ticket
+from calicopath_core.routing.pools import MAX_WAIT_S, NoEndpoint, NoFreeSlot, ServicePool, Slot, SlotRequest
 from calicopath_core.routing.replicas import Replica
 from calicopath_core.routing.selectors import ExpectedCompletionSelector, rendezvous
 from calicopath_core.structure.endpoints import Endpoint, EndpointState
@@ -47,9 +47,9 @@
     return pool
 
 
-def ticket(**changes: Any) -> Ticket:
+def slot_request(**changes: Any) -> SlotRequest:
     """Return a ticket with a second to start."""
-    plain = Ticket(workspace='w', priority=5, deadline=2.0, latest_start=1.0, expected_s=0.1)
+    plain = SlotRequest(workspace='w', priority=5, deadline=2.0, latest_start=1.0, expected_s=0.1)
     return plain._replace(**changes)
 
 
@@ -57,9 +57,9 @@
     def test_a_full_pool_queues_and_a_freed_place_goes_to_the_next_in_order(self) -> None:
         async def scenario() -> None:
             pool = new_pool('a')
-            first = await pool.acquire(ticket())
-            low = asyncio.create_task(pool.acquire(ticket(priority=1)))
-            high = asyncio.create_task(pool.acquire(ticket(priority=9)))
+            first = await pool.acquire(slot_request())
+            low = asyncio.create_task(pool.acquire(slot_request(priority=1)))
+            high = asyncio.create_task(pool.acquire(slot_request(priority=9)))
             await asyncio.sleep(0.2)
             first.answered(first_response_s=0.1, served_s=0.1)
             slot = await high
@@ -73,9 +73,9 @@
     def test_a_call_that_cannot_start_in_time_is_told_at_once_when_its_time_is_over(self) -> None:
         async def scenario() -> None:
             pool = new_pool('a')
-            await pool.acquire(ticket())
-            with self.assertRaises(NoRoom) as raised:
-                await pool.acquire(ticket())
+            await pool.acquire(slot_request())
+            with self.assertRaises(NoFreeSlot) as raised:
+                await pool.acquire(slot_request())
             self.assertEqual(1.0, asyncio.get_running_loop().time())
             assert raised.exception is not None
             self.assertGreater(raised.exception.retry_after_s, 0)
@@ -85,24 +85,24 @@
     def test_a_waiter_cancelled_just_as_it_is_served_gives_the_place_back(self) -> None:
         async def scenario() -> None:
             pool = new_pool('a')
-            slot = await pool.acquire(ticket())
-            waiting = asyncio.create_task(pool.acquire(ticket()))
+            slot = await pool.acquire(slot_request())
+            waiting = asyncio.create_task(pool.acquire(slot_request()))
             await asyncio.sleep(0.1)
             slot.answered(first_response_s=0.1, served_s=0.1)
             waiting.cancel()
             await asyncio.gather(waiting, return_exceptions=True)
             self.assertEqual(0, pool.replicas['a'].in_flight)
-            await pool.acquire(ticket())
+            await pool.acquire(slot_request())
 
         self.run_virtual(scenario())
 
     def test_a_draining_endpoint_gets_nothing_new_and_ends_what_it_has(self) -> None:
         async def scenario() -> None:
             pool = new_pool('ab', concurrency=2)
-            held = [await pool.acquire(ticket()) for _ in range(4)]
+            held = [await pool.acquire(slot_request()) for _ in range(4)]
             drained = endpoint('a', 2)._replace(state=EndpointState.DRAINING)
             pool.update([drained, endpoint('b', 2)])
-            waiting = [asyncio.create_task(pool.acquire(ticket())) for _ in range(2)]
+            waiting = [asyncio.create_task(pool.acquire(slot_request())) for _ in range(2)]
             for slot in held:
                 slot.answered(first_response_s=0.1, served_s=0.1)
             slots = await asyncio.gather(*waiting)
@@ -114,8 +114,8 @@
     def test_waiters_of_a_pool_that_loses_its_last_endpoint_are_told_at_once(self) -> None:
         async def scenario() -> None:
             pool = new_pool('a')
-            await pool.acquire(ticket())
-            waiting = asyncio.create_task(pool.acquire(ticket()))
+            await pool.acquire(slot_request())
+            waiting = asyncio.create_task(pool.acquire(slot_request()))
             await asyncio.sleep(0.1)
             pool.update([])
             with self.assertRaises(NoEndpoint):
@@ -127,7 +127,7 @@
         async def scenario() -> None:
             pool = new_pool('ab', concurrency=2)
             names = [
-                (await pool.acquire(ticket(exclude=frozenset('a')))).endpoint.name for _ in range(3)
+                (await pool.acquire(slot_request(exclude=frozenset('a')))).endpoint.name for _ in range(3)
             ]
             self.assertEqual(['b', 'b', 'a'], names)
 
@@ -136,13 +136,13 @@
     def test_the_wait_estimate_grows_with_the_requests_expected(self) -> None:
         async def scenario() -> None:
             pool = new_pool('a')
-            slot = await pool.acquire(ticket())
+            slot = await pool.acquire(slot_request())
             slot.answered(first_response_s=0.1, served_s=0.1)
-            self.assertEqual(0.0, pool.wait_estimate(5))
+            self.assertEqual(0.0, pool.estimated_wait_s(5))
             for _ in range(10):
-                pool.expect(5)
-            self.assertAlmostEqual(1.0, pool.wait_estimate(5))
-            self.assertEqual(0.0, pool.wait_estimate(9))
+                pool.add_pending(5)
+            self.assertAlmostEqual(1.0, pool.estimated_wait_s(5))
+            self.assertEqual(0.0, pool.estimated_wait_s(9))
 
         self.run_virtual(scenario())
 
@@ -151,15 +151,15 @@
     def test_a_low_priority_is_told_to_wait_while_higher_ones_take_all_there_is(self) -> None:
         async def scenario() -> None:
             pool = new_pool('a')
-            slot = await pool.acquire(ticket())
+            slot = await pool.acquire(slot_request())
             slot.answered(first_response_s=0.1, served_s=0.1)
-            await pool.acquire(ticket())
+            await pool.acquire(slot_request())
             for _ in range(60):
-                pool.expect(9)
-                pool.unexpect(9)
+                pool.add_pending(9)
+                pool.remove_pending(9)
                 await asyncio.sleep(0.05)
-            self.assertEqual(MAX_WAIT_S, pool.wait_estimate(5))
-            self.assertLess(pool.wait_estimate(9), 1.0)
+            self.assertEqual(MAX_WAIT_S, pool.estimated_wait_s(5))
+            self.assertLess(pool.estimated_wait_s(9), 1.0)
 
         self.run_virtual(scenario())
 
@@ -216,7 +216,7 @@
 
     def test_a_slow_replica_gets_far_fewer_calls(self) -> None:
         replicas = self.replicas(6)
-        replicas[0].slowness.learn(5.0)
+        replicas[0].slowness.set(5.0)
         selector = ExpectedCompletionSelector(rng=random.Random(2))
 
         def take(replica: Replica) -> Replica:
@@ -230,11 +230,11 @@
     def test_slowness_fades_so_that_a_replica_that_has_recovered_is_used_again(self) -> None:
         async def scenario() -> None:
             pool = new_pool('ab', concurrency=8)
-            pool.replicas['a'].penalty.learn(20.0)
+            pool.replicas['a'].penalty.set(20.0)
             pool.occupy(pool.replicas['b'])
             names = []
             for _ in range(60):
-                slot = await pool.acquire(ticket(deadline=1e9, latest_start=1e9))
+                slot = await pool.acquire(slot_request(deadline=1e9, latest_start=1e9))
                 names.append(slot.endpoint.name)
                 slot.answered(first_response_s=0.1, served_s=0.1)
                 await asyncio.sleep(1.5)
--- a/packages/core/calicopath_core/scheduling/interfaces.py
+++ b/packages/core/calicopath_core/scheduling/interfaces.py
@@ -5,7 +5,7 @@
 from abc import ABC, abstractmethod
 from typing import TYPE_CHECKING, NamedTuple
 
-from calicopath_core.exchanges.messages import ReplicaReach
+from calicopath_core.exchanges.messages import ReplicaProber
 
 if TYPE_CHECKING:
     from calicopath_core.backends.base import BackendError
@@ -43,7 +43,7 @@
     idle: bool
 
 
-class StageCaller(ReplicaReach):
+class StageCaller(ReplicaProber):
     """Call the replicas of stages."""
 
     @abstractmethod
--- a/packages/core/calicopath_core/scheduling/tests/groups_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/groups_tests.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from calicopath_core.limits.lag import INTERVAL_S, MAX_SAMPLE_S
+from calicopath_core.limits.lag import SAMPLE_INTERVAL_S, MAX_SAMPLE_S
 from calicopath_core.scheduling.election import LEAD_PING_S, BoxAddress, Election
 from calicopath_core.scheduling.groups import (
     EASY_FOR_S,
@@ -22,7 +22,7 @@
 
 FAILURE_DOMAINS = [f'zone-{number}' for number in range(6)]
 NOTES_A_STEP = 4
-STEP_S = NOTES_A_STEP * INTERVAL_S
+STEP_S = NOTES_A_STEP * SAMPLE_INTERVAL_S
 
 
 class Rule(testtools.TestCase):
@@ -38,7 +38,7 @@
         while self.now < until:
             self.now += STEP_S
             for _ in range(NOTES_A_STEP):
-                self.rule.lag.note(lag_s)
+                self.rule.lag.add_sample(lag_s)
             self.count = self.rule.next_count(self.count, leads=leads, now=self.now)
         return self.count.groups
 
--- a/packages/daemon/calicopathd/box/box.py
+++ b/packages/daemon/calicopathd/box/box.py
@@ -86,7 +86,7 @@
             engine=HttpEngine(session=session),
             pool=HttpStagePool(session=session),
             service=HttpPlainService(session=session),
-            reach=HttpReach(),
+            prober=HttpReach(),
         )
         self.local_claims = self.new_local_claims()
         peers = PeerClaims(gossip=self.gossip, local=self.local_claims, clock=self.clock)
--- a/packages/daemon/calicopathd/gateway/box.py
+++ b/packages/daemon/calicopathd/gateway/box.py
@@ -16,7 +16,7 @@
 from calicopath_core.crashes.ledger import CrashLedger
 from calicopath_core.crashes.sharing import CrashSharing
 from calicopath_core.exchanges.balancer import Balancer
-from calicopath_core.exchanges.budget import Budgets
+from calicopath_core.exchanges.budget import RetryBudgets
 from calicopath_core.exchanges.context import ExchangeContext
 from calicopath_core.exchanges.executor import ExchangeExecutor
 from calicopath_core.fleet.deployment import DEFAULT_LIMITS, Deployment, DeploymentView
@@ -36,7 +36,7 @@
 if TYPE_CHECKING:
     import msgspec
 
-    from calicopath_core.exchanges.messages import ReplicaCaller
+    from calicopath_core.exchanges.messages import ReplicaClient
     from calicopath_core.fleet.contact import StoreContact
     from calicopath_core.fleet.deployment import ClientLimits, EngineSpec
     from calicopath_core.fleet.replicas import Replica
@@ -73,7 +73,7 @@
         settings: GatewaySettings,
         store: FleetStore,
         transport: PeerTransport,
-        exchanges: ReplicaCaller,
+        exchanges: ReplicaClient,
         stages: StageCaller,
         observer: GatewayObserver,
         seed: int | None = None,
@@ -100,7 +100,7 @@
             on_backoff=self.on_replica_backoff,
         )
         self.replicas, self.gate = self.notices.replicas, self.notices.gate
-        exchanges.listener = stages.listener = self.gate
+        exchanges.interceptor = stages.interceptor = self.gate
         self.own = BoxAddress(
             settings.box,
             str(settings.peer_listen),
@@ -187,7 +187,7 @@
         self.sharing.listeners = self.unaware_boxes
         self.executor = ExchangeExecutor(context=self.new_context(exchanges))
 
-    def new_context(self, exchanges: ReplicaCaller) -> ExchangeContext:
+    def new_context(self, exchanges: ReplicaClient) -> ExchangeContext:
         """Return what this box's exchanges share."""
         return ExchangeContext(
             clock=self.clock,
@@ -201,13 +201,13 @@
                 rng=self.rng,
                 cold_rate_of=self.cold_rate_of,
             ),
-            budgets=Budgets(terms=self.settings.retry_budget),
+            retry_budgets=RetryBudgets(terms=self.settings.retry_budget),
             election=self.election,
             scheduler=self.client,
-            caller=exchanges,
+            replica_client=exchanges,
             observer=self.observer,
             crashes=self.crashes,
-            new_job=self.new_job,
+            new_job_id=self.new_job,
             may_serve=self.serves,
             failure_domain=self.settings.failure_domain,
         )
--- a/packages/daemon/calicopathd/gateway/observer.py
+++ b/packages/daemon/calicopathd/gateway/observer.py
@@ -6,7 +6,7 @@
 
 import structlog
 
-from calicopath_core.exchanges.context import ExchangeObserver, failure_of
+from calicopath_core.exchanges.context import ExchangeObserver, failure_kind
 from calicopath_core.fleet.feed import FeedObserver
 from calicopath_core.fleet.leaving import OWN
 from calicopath_core.fleet.notices import NoticeObserver
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from calicopath_core.backends.base import BackendError
-    from calicopath_core.exchanges.context import RefusedExchange, Ticket
+    from calicopath_core.exchanges.context import RefusedExchange, ExchangeState
     from calicopath_core.exchanges.messages import Exchange
     from calicopath_core.fleet.evacuations import Evacuation, HeldEvacuation
     from calicopath_core.fleet.notices import Bar
@@ -39,23 +39,23 @@
         super().__init__(counters=metrics)
         self.metrics = metrics
 
-    def on_ended(self, ticket: Ticket, took_s: float) -> None:
+    def on_ended(self, state: ExchangeState, took_s: float) -> None:
         """Note how an exchange ended."""
-        received_at = ticket.exchange.received_at
-        first_s = ticket.first_byte_at - received_at if ticket.first_byte_at is not None else None
-        self.metrics.on_exchange(ticket.route.kind, ticket.outcome, took_s, first_s)
+        received_at = state.exchange.received_at
+        first_s = state.first_byte_at - received_at if state.first_byte_at is not None else None
+        self.metrics.on_exchange(state.route.kind, state.outcome, took_s, first_s)
         events.emit(
             log,
             events.EXCHANGE_ENDED,
-            request=ticket.exchange.call_id,
-            content=ticket.content,
-            route=ticket.route.name,
-            tenant=ticket.workspace,
-            config=ticket.deployment.version,
-            outcome=ticket.outcome,
-            status=ticket.status,
-            detail=ticket.detail,
-            replicas=ticket.replicas,
+            request=state.exchange.call_id,
+            content=state.content,
+            route=state.route.name,
+            tenant=state.workspace,
+            config=state.deployment.version,
+            outcome=state.outcome,
+            status=state.status,
+            detail=state.detail,
+            replicas=state.tried_replicas,
             first_ms=None if first_s is None else round(first_s * 1000),
             took_ms=round(took_s * 1000),
         )
@@ -74,21 +74,21 @@
         )
 
     def on_attempt_failed(
-        self, ticket: Ticket, replica: str, error: Exception, left_s: float
+        self, state: ExchangeState, replica: str, error: Exception, left_s: float
     ) -> None:
         """Note an attempt that gave no whole answer."""
-        failure = failure_of(error)
-        self.metrics.attempts_failed.inc({'service': ticket.service, 'failure': failure})
+        failure = failure_kind(error)
+        self.metrics.attempts_failed.inc({'service': state.service, 'failure': failure})
         events.emit(
             log,
             events.ATTEMPT_FAILED,
-            request=ticket.exchange.call_id,
-            content=ticket.content,
+            request=state.exchange.call_id,
+            content=state.content,
             replica=replica,
             failure=failure,
-            begun=ticket.first_byte_at is not None,
-            may_have_run=ticket.may_have_run,
-            sends=ticket.sends,
+            begun=state.first_byte_at is not None,
+            may_have_run=state.may_have_run,
+            sends=state.sends,
             left_ms=round(left_s * 1000),
             error=str(error),
         )
@@ -97,23 +97,23 @@
         """Count what became of a permit."""
         self.metrics.permits.inc({'service': service, 'outcome': outcome})
 
-    def on_permit_awaited(
-        self, ticket: Ticket, replica: str, waited_s: float, opens_in_s: float
+    def on_permit_wait_ended(
+        self, state: ExchangeState, replica: str, waited_s: float, opens_in_s: float
     ) -> None:
         """Note a request that only limited replicas could serve."""
         events.emit(
             log,
             events.PERMIT_AWAITED,
-            request=ticket.exchange.call_id,
-            service=ticket.service,
+            request=state.exchange.call_id,
+            service=state.service,
             replica=replica or None,
             waited_ms=round(waited_s * 1000),
             opens_in_ms=round(opens_in_s * 1000),
         )
 
-    def on_blocked_refused(self, ticket: Ticket) -> None:
+    def on_blocked_refused(self, state: ExchangeState) -> None:
         """Count a request that is not sent since replicas end under what it asks."""
-        self.metrics.blocked_refused.inc({'service': ticket.service})
+        self.metrics.blocked_refused.inc({'service': state.service})
 
     def on_leaving(self, replica: str, source: str) -> None:
         """Note that a replica says that it leaves."""
@@ -177,13 +177,13 @@
         """Count a call that was chosen and not sent."""
         self.metrics.held_back.inc({'service': replica.service, 'bar': bar.value})
 
-    def on_passed_over(self, ticket: Ticket, replica: str, bar: Bar) -> None:
+    def on_replica_skipped(self, state: ExchangeState, replica: str, bar: Bar) -> None:
         """Note a replica that was chosen for a request and must not get it."""
-        self.metrics.passed_over.inc({'service': ticket.service, 'bar': bar.value})
+        self.metrics.passed_over.inc({'service': state.service, 'bar': bar.value})
         events.emit(
             log,
             events.REPLICA_PASSED_OVER,
-            request=ticket.exchange.call_id,
+            request=state.exchange.call_id,
             replica=replica,
             bar=bar.value,
         )
--- a/packages/daemon/calicopathd/gateway/run.py
+++ b/packages/daemon/calicopathd/gateway/run.py
@@ -123,7 +123,7 @@
         if settings is None:
             return
         self.box.settings = settings
-        self.box.executor.context.budgets.set_terms(settings.retry_budget)
+        self.box.executor.context.retry_budgets.set_terms(settings.retry_budget)
         state = self.settings_file.state
         events.emit(log, events.GATEWAY_RELOADED, box=settings.box, digest=state.digest)
 
--- a/packages/daemon/calicopathd/gateway/settings.py
+++ b/packages/daemon/calicopathd/gateway/settings.py
@@ -8,7 +8,7 @@
 from calicopath_core.scheduling.starts import NO_ALLOWANCE, WarmupTerms
 
 if TYPE_CHECKING:
-    from calicopath_core.exchanges.budget import BudgetTerms
+    from calicopath_core.exchanges.budget import RetryBudgetTerms
 
 
 CALLERS_SHARE = 0.6
@@ -57,7 +57,7 @@
     store: HostPort
     drain_s: float
     stop_grace_s: float
-    retry_budget: BudgetTerms
+    retry_budget: RetryBudgetTerms
     cpu_cores: float
     link_mbps: float
     max_descriptors: int
--- a/packages/daemon/calicopathd/gateway/tests/exchanges_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/exchanges_tests.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from calicopath_core.exchanges.budget import CAUTION
+from calicopath_core.exchanges.budget import USABLE_BUDGET_RATIO
 from testkit.cases import VirtualCase
 from testkit.gateway import GatewayFleet
 from testkit.gateway_replicas import ANY, FakeSink
@@ -122,7 +122,7 @@
                 fleet.serve('box-0', exchange(number, 'read', now()))
             await fleet.settle()
             repeats = len(fleet.replicas.sent) - 100
-            allowed = CAUTION * (TERMS.ratio * 100 + TERMS.slack)
+            allowed = USABLE_BUDGET_RATIO * (TERMS.ratio * 100 + TERMS.slack)
             self.assertEqual(int(allowed), repeats)
 
         self.play_work(work)
--- a/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
@@ -136,7 +136,7 @@
             await fleet.settle()
             reached = [item.replica for item in fleet.notices.arrivals]
             self.assertEqual((200, [engines[0].id]), (sink.status, reached))
-            self.assertEqual(0, len(box.executor.context.budgets.of('engine').repeats))
+            self.assertEqual(0, len(box.executor.context.retry_budgets.for_service('engine').retries))
 
         self.play(work)
 
--- a/testkit/crashing.py
+++ b/testkit/crashing.py
@@ -6,12 +6,12 @@
 import itertools
 from typing import TYPE_CHECKING
 
-from calicopath_core.backends.base import ConnectionBroken, NotStarted, Reach
+from calicopath_core.backends.base import ConnectionBroken, NotStarted, ProbeResult
 from calicopath_core.fleet.store import RecordKind
 from testkit.gateway_replicas import FakeBody, FakeReplicas, FakeStages, FakeStream
 
 if TYPE_CHECKING:
-    from calicopath_core.exchanges.messages import AnswerHead, Exchange, Outbound, ReplicaAnswer
+    from calicopath_core.exchanges.messages import AnswerHead, Exchange, OutboundRequest, ReplicaAnswer
     from calicopath_core.fleet.replicas import Replica
     from calicopath_core.scheduling.interfaces import PieceCall, PieceResult
     from testkit.gateway_store import FakeStore
@@ -57,7 +57,7 @@
     """Give events until the replica ends."""
 
     def __init__(
-        self, *, engine: FakeReplicas, outbound: Outbound, ended: asyncio.Event, gap_s: float
+        self, *, engine: FakeReplicas, outbound: OutboundRequest, ended: asyncio.Event, gap_s: float
     ) -> None:
         super().__init__(engine=engine, outbound=outbound, status=200, break_after=None)
         self.ended = ended
@@ -104,7 +104,7 @@
         """Return what tells that a replica has ended."""
         return self.ended.setdefault(replica.id, asyncio.Event())
 
-    async def send(self, outbound: Outbound) -> ReplicaAnswer:
+    async def send(self, outbound: OutboundRequest) -> ReplicaAnswer:
         """Run a request; it may end its replica a moment later."""
         replica, exchange = outbound.replica, outbound.exchange
         ended = self.ended_of(replica)
@@ -129,17 +129,17 @@
         await asyncio.sleep(2 * CRASH_AFTER_S if exchange.target in self.crashing else 0)
         return BreakingAnswer(head=answer.head, body=exchange.call_id.encode(), ended=ended)
 
-    async def reach(self, replica: Replica, watch_s: float) -> Reach:
+    async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
         """Return what an attempt to connect shows, at the end of the watch."""
         await asyncio.sleep(HEAD_S)
         if replica.id in self.dark:
             await asyncio.sleep(REACH_S)
-            return Reach.SILENT
+            return ProbeResult.SILENT
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + watch_s
         while not self.is_refused(replica) and loop.time() < ends_at:
             await asyncio.sleep(HEAD_S)
-        return Reach.REFUSED if self.is_refused(replica) else Reach.OPEN
+        return ProbeResult.REFUSED if self.is_refused(replica) else ProbeResult.OPEN
 
     def is_refused(self, replica: Replica) -> bool:
         """Tell whether a replica's port is closed: it closes after the connections have."""
@@ -190,9 +190,9 @@
         self.replicas = replicas
         self.crashing: set[str] = set()
 
-    async def reach(self, replica: Replica, watch_s: float) -> Reach:
+    async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
         """Return what an attempt to connect shows."""
-        return await self.replicas.reach(replica, watch_s)
+        return await self.replicas.probe(replica, watch_s)
 
     async def run(self, replica: Replica, calls: list[PieceCall]) -> list[PieceResult]:
         """Make one call; break with the replica."""
--- a/testkit/fake_endpoints.py
+++ b/testkit/fake_endpoints.py
@@ -14,12 +14,12 @@
     Backends,
     ConnectionBroken,
     Declined,
-    EndpointReach,
+    EndpointProber,
     Engine,
     MayHaveRun,
     NotStarted,
     PlainService,
-    Reach,
+    ProbeResult,
     StagePool,
     WrongAnswer,
 )
@@ -210,7 +210,7 @@
         """Return one box's adapters to this fleet."""
         calls = FakeCalls(fleet=self, gate=gate or Gate())
         reach = FakeReach(fleet=self)
-        return Backends(engine=FakeEngine(fleet=self), pool=calls, service=calls, reach=reach)
+        return Backends(engine=FakeEngine(fleet=self), pool=calls, service=calls, prober=reach)
 
     def ran(self) -> Counter[str]:
         """Count what ran over all endpoints, by idempotency key or call."""
@@ -220,15 +220,15 @@
         return total
 
 
-class FakeReach(EndpointReach):
+class FakeReach(EndpointProber):
     """Look whether fake endpoints are there."""
 
     def __init__(self, *, fleet: FakeFleet) -> None:
         self.fleet = fleet
 
-    async def reach(self, endpoint: Endpoint, watch_s: float) -> Reach:
+    async def probe(self, endpoint: Endpoint, watch_s: float) -> ProbeResult:
         """Return whether an endpoint is down."""
-        return Reach.REFUSED if self.fleet[endpoint.name].down else Reach.OPEN
+        return ProbeResult.REFUSED if self.fleet[endpoint.name].down else ProbeResult.OPEN
 
 
 class FakeCalls(StagePool, PlainService):
--- a/testkit/gateway_callers.py
+++ b/testkit/gateway_callers.py
@@ -6,14 +6,14 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from calicopath_core.backends.base import NotStarted
-from calicopath_core.exchanges.messages import AnswerHead, ReplicaCaller
+from calicopath_core.exchanges.messages import AnswerHead, ReplicaClient
 from calicopath_core.fleet.notices import NOTHING_TOLD, Notice
 from calicopath_core.scheduling.interfaces import StageCaller
 from testkit.gateway_replicas import FakeBody
 
 if TYPE_CHECKING:
-    from calicopath_core.backends.base import Reach
-    from calicopath_core.exchanges.messages import Outbound, ReplicaAnswer
+    from calicopath_core.backends.base import ProbeResult
+    from calicopath_core.exchanges.messages import OutboundRequest, ReplicaAnswer
     from calicopath_core.fleet.replicas import Replica
     from calicopath_core.scheduling.interfaces import PieceCall, PieceResult, StageReport
     from testkit.gateway_replicas import FakeReplicas, FakeStages
@@ -107,7 +107,7 @@
         }
 
 
-class BoxReplicas(ReplicaCaller):
+class BoxReplicas(ReplicaClient):
     """Give one box the engines and plain services; one that wants a pause declines."""
 
     def __init__(self, *, replicas: FakeReplicas, notices: Notices, box: str) -> None:
@@ -115,28 +115,28 @@
         self.notices = notices
         self.box = box
 
-    async def send(self, outbound: Outbound) -> ReplicaAnswer:
+    async def send(self, outbound: OutboundRequest) -> ReplicaAnswer:
         """Send a request, and tell the listener what the answer's head tells."""
         replica = outbound.replica
-        self.listener.check_call(replica, new_work=True)
+        self.interceptor.check_call(replica, new_work=True)
         notice = self.notices.arrive(self.box, replica, outbound.exchange.received_at)
         if notice.backoff_s:
             self.replicas.sent.append(outbound)
             await asyncio.sleep(DECLINE_S)
-            self.listener.on_notice(replica, notice)
+            self.interceptor.on_notice(replica, notice)
             head = AnswerHead(STATUS_UNAVAILABLE, (), True, None)
             return FakeBody(head=head, body=b'')
         if notice.is_other:
             await asyncio.sleep(DECLINE_S)
-            self.listener.on_notice(replica, notice)
+            self.interceptor.on_notice(replica, notice)
             return FakeBody(head=AnswerHead(STATUS_MISDIRECTED, (), True, None), body=b'')
         answer = await self.replicas.send(outbound)
-        self.listener.on_notice(replica, notice)
+        self.interceptor.on_notice(replica, notice)
         return answer
 
-    async def reach(self, replica: Replica, watch_s: float) -> Reach:
+    async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
         """Return what an attempt to connect shows."""
-        return await self.replicas.reach(replica, watch_s)
+        return await self.replicas.probe(replica, watch_s)
 
 
 class BoxStages(StageCaller):
@@ -149,34 +149,34 @@
 
     async def run(self, replica: Replica, calls: list[PieceCall]) -> list[PieceResult]:
         """Make one call; its head comes when it is done."""
-        self.listener.check_call(replica, new_work=True)
+        self.interceptor.check_call(replica, new_work=True)
         now = asyncio.get_running_loop().time()
         notice = self.notices.arrive(self.box, replica, now)
         if notice.backoff_s:
             await asyncio.sleep(DECLINE_S)
-            self.listener.on_notice(replica, notice)
+            self.interceptor.on_notice(replica, notice)
             raise NotStarted(f'{replica.id} declined with {STATUS_UNAVAILABLE}')
         if notice.is_other:
             await asyncio.sleep(DECLINE_S)
-            self.listener.on_notice(replica, notice)
+            self.interceptor.on_notice(replica, notice)
             raise NotStarted(f'{replica.id} declined with {STATUS_MISDIRECTED}')
         results = await self.stages.run(replica, calls)
-        self.listener.on_notice(replica, notice)
+        self.interceptor.on_notice(replica, notice)
         return results
 
     async def report(self, replica: Replica) -> StageReport:
         """Return what a replica tells of itself."""
-        self.listener.check_call(replica, new_work=False)
+        self.interceptor.check_call(replica, new_work=False)
         report = await self.stages.report(replica)
-        self.listener.on_notice(replica, self.notices.said.get(replica.id, NOTHING_TOLD))
+        self.interceptor.on_notice(replica, self.notices.said.get(replica.id, NOTHING_TOLD))
         return report
 
     async def free(self, replica: Replica, handles: list[str]) -> None:
         """Give results up."""
-        self.listener.check_call(replica, new_work=False)
+        self.interceptor.check_call(replica, new_work=False)
         await self.stages.free(replica, handles)
-        self.listener.on_notice(replica, self.notices.said.get(replica.id, NOTHING_TOLD))
+        self.interceptor.on_notice(replica, self.notices.said.get(replica.id, NOTHING_TOLD))
 
-    async def reach(self, replica: Replica, watch_s: float) -> Reach:
+    async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
         """Return what an attempt to connect shows."""
-        return await self.stages.reach(replica, watch_s)
+        return await self.stages.probe(replica, watch_s)
--- a/testkit/gateway_replicas.py
+++ b/testkit/gateway_replicas.py
@@ -6,17 +6,17 @@
 import itertools
 from typing import TYPE_CHECKING
 
-from calicopath_core.backends.base import MayHaveRun, NotStarted, Reach
+from calicopath_core.backends.base import MayHaveRun, NotStarted, ProbeResult
 from calicopath_core.exchanges.messages import (
     AnswerHead,
     ReplicaAnswer,
-    ReplicaCaller,
+    ReplicaClient,
     ReplySink,
 )
 from calicopath_core.scheduling.interfaces import PieceCall, PieceResult, StageCaller, StageReport
 
 if TYPE_CHECKING:
-    from calicopath_core.exchanges.messages import Headers, Outbound
+    from calicopath_core.exchanges.messages import Headers, OutboundRequest
     from calicopath_core.fleet.replicas import Replica
 from testkit.gateway_world import EVENT_GAP_S, EVENTS, RESULT_BYTES, STAGE
 
@@ -63,9 +63,9 @@
             for lost in gone
         ]
 
-    async def reach(self, replica: Replica, watch_s: float) -> Reach:
+    async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
         """Tell that replicas live: what breaks here is the connection."""
-        return Reach.OPEN
+        return ProbeResult.OPEN
 
     def missing(self, call: PieceCall) -> bool:
         """Tell whether an input is gone; none at all where some are due is a fault."""
@@ -101,7 +101,7 @@
     """Give events, and break after `break_after` of them."""
 
     def __init__(
-        self, *, engine: FakeReplicas, outbound: Outbound, status: int, break_after: int | None
+        self, *, engine: FakeReplicas, outbound: OutboundRequest, status: int, break_after: int | None
     ) -> None:
         self.engine = engine
         self.outbound = outbound
@@ -158,16 +158,16 @@
         """Do nothing: there is no connection."""
 
 
-class FakeReplicas(ReplicaCaller):
+class FakeReplicas(ReplicaClient):
     """Stand for engines and plain services; `faults` holds what a replica does, call by call."""
 
     def __init__(self) -> None:
-        self.sent: list[Outbound] = []
+        self.sent: list[OutboundRequest] = []
         self.faults: dict[str, list[str]] = {}
         self.runs: dict[str, int] = {}
         self.running: set[str] = set()
 
-    async def send(self, outbound: Outbound) -> ReplicaAnswer:
+    async def send(self, outbound: OutboundRequest) -> ReplicaAnswer:
         """Answer as the replica's next fault says."""
         self.sent.append(outbound)
         await asyncio.sleep(0.01)
@@ -193,10 +193,10 @@
             return FakeStream(engine=self, outbound=outbound, status=200, break_after=after)
         return FakeBody(head=AnswerHead(200, (), False, None), body=call_id.encode())
 
-    async def reach(self, replica: Replica, watch_s: float) -> Reach:
+    async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
         """Tell that replicas live: what breaks here is the connection."""
         await asyncio.sleep(0.001)
-        return Reach.OPEN
+        return ProbeResult.OPEN
 
 
 class FakeSink(ReplySink):
@@ -225,7 +225,7 @@
         """Note the end."""
         self.state = 'whole'
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Note a cut."""
         if self.state == 'open':
             self.state = 'cut'
--- a/testkit/replay/stages.py
+++ b/testkit/replay/stages.py
@@ -6,7 +6,7 @@
 import itertools
 from typing import TYPE_CHECKING, NamedTuple
 
-from calicopath_core.backends.base import MayHaveRun, NotStarted, Reach
+from calicopath_core.backends.base import MayHaveRun, NotStarted, ProbeResult
 from calicopath_core.scheduling.interfaces import PieceCall, PieceResult, StageCaller, StageReport
 
 if TYPE_CHECKING:
@@ -143,9 +143,9 @@
             item.size for item in self.kept.values() if item.maker == replica.id
         )
 
-    async def reach(self, replica: Replica, watch_s: float) -> Reach:
+    async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
         """Tell whether a maker is dead."""
-        return Reach.REFUSED if self.maker(replica.id).dead else Reach.OPEN
+        return ProbeResult.REFUSED if self.maker(replica.id).dead else ProbeResult.OPEN
 
     async def free(self, replica: Replica, handles: list[str]) -> None:
         """Give results up."""
--- a/tools/mutants/catalogue.py
+++ b/tools/mutants/catalogue.py
@@ -242,14 +242,14 @@
     Mutant(
         'the door asks',
         f'{CORE}/exchanges/executor.py',
-        '            check_sendable(self.context, ticket)',
+        '            check_not_blocked(self.context, state)',
         '            pass',
         f'{BLOCKED}::Answered',
     ),
     Mutant(
         'each send asks',
         f'{CORE}/exchanges/streams.py',
-        '            check_sendable(self.context, self.ticket)',
+        '            check_not_blocked(self.context, self.state)',
         '            pass',
         f'{CRASHING}::Crashing',
     ),
--- a/tools/mutants/notices.py
+++ b/tools/mutants/notices.py
@@ -128,7 +128,7 @@
     Mutant(
         'every answer is read',
         'platform/calicopath_platform/replicas.py',
-        'self.listener.on_notice(replica, decode_notice(call.head))',
+        'self.interceptor.on_notice(replica, decode_notice(call.head))',
         'pass',
         f'{WIRE}::Answers',
     ),
