--- a/packages/core/calicopath_core/claims/executors.py
+++ b/packages/core/calicopath_core/claims/executors.py
@@ -96,7 +96,8 @@
         """Return the group that holds the claim of a key."""
         digest = hashlib.blake2b(str(key).encode(), digest_size=8).digest()
         return GroupId(
-            int.from_bytes(digest, 'big') % self.grouping.shards, key.time_ms // self.grouping.slot_ms
+            int.from_bytes(digest, 'big') % self.grouping.shards,
+            key.time_ms // self.grouping.slot_ms,
         )
 
     def writer(self, group: GroupId) -> GroupWriter:
--- a/packages/core/calicopath_core/claims/tests/forwarding_tests.py
+++ b/packages/core/calicopath_core/claims/tests/forwarding_tests.py
@@ -6,11 +6,11 @@
 from typing import TYPE_CHECKING
 
 from calicopath_core.claims.executors import (
-    ShardOwners,
     ForwardingExecutor,
     GroupId,
     GroupingConfig,
     LocalExecutor,
+    ShardOwners,
 )
 from calicopath_core.claims.registry import ClaimRegistry, Granted, Taken
 from calicopath_core.claims.tests.claim_case import group_value, key, new_registry
--- a/packages/core/calicopath_core/crashes/fate.py
+++ b/packages/core/calicopath_core/crashes/fate.py
@@ -6,11 +6,11 @@
 from abc import ABC, abstractmethod
 from typing import TYPE_CHECKING
 
-from calicopath_core.backends.base import Reach
+from calicopath_core.backends.base import ProbeResult
 
 if TYPE_CHECKING:
-    from calicopath_core.backends.base import EndpointReach
-    from calicopath_core.exchanges.messages import ReplicaReach
+    from calicopath_core.backends.base import EndpointProber
+    from calicopath_core.exchanges.messages import ReplicaProber
     from calicopath_core.fleet.replicas import Replica, ReplicaTable
     from calicopath_core.structure.endpoints import Endpoint
 
@@ -42,7 +42,7 @@
 class ReplicaCrashProbe(CrashProbe):
     """Check a replica that registers itself in the store."""
 
-    def __init__(self, *, reach: ReplicaReach, replicas: ReplicaTable, replica: Replica) -> None:
+    def __init__(self, *, reach: ReplicaProber, replicas: ReplicaTable, replica: Replica) -> None:
         self.reach = reach
         self.replicas = replicas
         self.replica = replica
@@ -50,13 +50,13 @@
 
     async def has_crashed(self) -> bool:
         """Return whether its port refuses connections."""
-        return await self.reach.reach(self.replica, 0.0) is Reach.REFUSED
+        return await self.reach.probe(self.replica, 0.0) is ProbeResult.REFUSED
 
     async def confirm_crash(self) -> bool:
         """Return whether its port refuses connections, or its entry expires if it is silent."""
-        found = await self.reach.reach(self.replica, PORT_WATCH_S)
-        if found is not Reach.SILENT:
-            return found is Reach.REFUSED
+        found = await self.reach.probe(self.replica, PORT_WATCH_S)
+        if found is not ProbeResult.SILENT:
+            return found is ProbeResult.REFUSED
         return await self.entry_expires()
 
     async def entry_expires(self) -> bool:
@@ -65,9 +65,9 @@
         ends_at = loop.time() + ENTRY_WATCH_S
         while loop.time() < ends_at:
             known = self.replicas.replicas.get(self.replica.id)
-            if self.replicas.leaves(known or self.replica):
+            if self.replicas.is_leaving(known or self.replica):
                 return False
-            if known is None or self.replicas.has_ended(known):
+            if known is None or self.replicas.is_replaced(known):
                 return True
             await asyncio.sleep(ENTRY_POLL_S)
         return False
@@ -76,15 +76,15 @@
 class EndpointCrashProbe(CrashProbe):
     """Check an endpoint that operators have added; a silent one does not count as crashed."""
 
-    def __init__(self, *, reach: EndpointReach, endpoint: Endpoint) -> None:
+    def __init__(self, *, reach: EndpointProber, endpoint: Endpoint) -> None:
         self.reach = reach
         self.endpoint = endpoint
         self.name = endpoint.name
 
     async def has_crashed(self) -> bool:
         """Return whether its port refuses connections."""
-        return await self.reach.reach(self.endpoint, 0.0) is Reach.REFUSED
+        return await self.reach.probe(self.endpoint, 0.0) is ProbeResult.REFUSED
 
     async def confirm_crash(self) -> bool:
         """Return whether its port refuses connections within `PORT_WATCH_S`."""
-        return await self.reach.reach(self.endpoint, PORT_WATCH_S) is Reach.REFUSED
+        return await self.reach.probe(self.endpoint, PORT_WATCH_S) is ProbeResult.REFUSED
--- a/packages/core/calicopath_core/crashes/ledger.py
+++ b/packages/core/calicopath_core/crashes/ledger.py
@@ -117,7 +117,9 @@
             for name, (age_s, run_s) in item.crash_ages_s.items()
             if suspect.add_crash(name, Crash(now - age_s, now - run_s))
         ]
-        survived = item.survival_age_s is not None and suspect.add_survival(now - item.survival_age_s)
+        survived = item.survival_age_s is not None and suspect.add_survival(
+            now - item.survival_age_s
+        )
         if new_crashes:
             self.observer.on_evidence(key, new_crashes, source)
         if new_crashes or survived:
@@ -176,13 +178,18 @@
         return Evidence(
             content=key.content,
             service=key.service,
-            crash_ages_s={name: (now - crash.at, now - crash.run_started_at) for name, crash in suspect.crashes.items()},
+            crash_ages_s={
+                name: (now - crash.at, now - crash.run_started_at)
+                for name, crash in suspect.crashes.items()
+            },
             survival_age_s=now - suspect.survived_at if survived else None,
         )
 
     def shared_keys(self) -> list[SuspectKey]:
         """Return the sorted keys of the requests whose evidence goes to every box."""
-        return sorted(key for key, item in self.suspects.items() if len(item.crashes) >= MIN_SHARED_CRASHES)
+        return sorted(
+            key for key, item in self.suspects.items() if len(item.crashes) >= MIN_SHARED_CRASHES
+        )
 
     def shared(self) -> tuple[Evidence, ...]:
         """Return the evidence that goes to every box."""
--- a/packages/core/calicopath_core/fleet/evacuations.py
+++ b/packages/core/calicopath_core/fleet/evacuations.py
@@ -1,7 +1,7 @@
-"""Keep which zones operators have taken out: no new work goes to the replicas there.
+"""Keep which failure domains operators have taken out: no new work goes to the replicas there.
 
-Answers a zone that is about to be worked on, or that is suspect: what is at work there ends, and
-nothing more is sent until the zone is given back.
+Answers a failure domain that is about to be worked on, or that is suspect: what is at work there
+ends, and nothing more is sent until the failure domain is given back.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 
 class Evacuation(NamedTuple):
-    """Say that a zone is taken out; `revision` is the store's at which the record was written."""
+    """Say that a failure domain is taken out; `revision` is the store's when it was written."""
 
-    zone: str
+    failure_domain: str
     revision: int
 
 
-class HeldEvacuation(NamedTuple):
+class ActiveEvacuation(NamedTuple):
     """Hold an evacuation and since when this box knows of it, in seconds since 1970."""
 
     evacuation: Evacuation
@@ -27,55 +27,57 @@
 
 
 class Evacuations:
-    """Hold the zones that are taken out, as far as this box knows.
+    """Hold the failure domains that are taken out, as far as this box knows.
 
-    `on_taken_out` and `on_given_back` learn of each change once; a name that is no zone's is held
-    like any other and stops nothing.
+    `on_taken_out` and `on_given_back` learn of each change once; a name that is no failure domain's
+    is held like any other and stops nothing.
     """
 
     def __init__(
         self,
         *,
-        wall: Callable[[], float],
-        on_taken_out: Callable[[Evacuation], None],
-        on_given_back: Callable[[HeldEvacuation], None],
+        wall_clock: Callable[[], float],
+        on_evacuation_started: Callable[[Evacuation], None],
+        on_evacuation_ended: Callable[[ActiveEvacuation], None],
         on_changed: Callable[[frozenset[str]], None],
     ) -> None:
-        self.wall = wall
-        self.on_taken_out = on_taken_out
-        self.on_given_back = on_given_back
+        self.wall_clock = wall_clock
+        self.on_evacuation_started = on_evacuation_started
+        self.on_evacuation_ended = on_evacuation_ended
         self.on_changed = on_changed
-        self.held: dict[str, HeldEvacuation] = {}
+        self.active: dict[str, ActiveEvacuation] = {}
 
-    def replace(self, evacuations: Iterable[Evacuation]) -> None:
+    def replace_all(self, evacuations: Iterable[Evacuation]) -> None:
         """Take in every evacuation there is."""
-        listed = {item.zone: item for item in evacuations}
-        changes = [(zone, None) for zone in self.held if zone not in listed]
-        self.change([*changes, *listed.items()])
-
-    def change(self, changes: Iterable[tuple[str, Evacuation | None]]) -> None:
-        """Take in the newest state of some zones: taken out, or nothing if given back."""
-        before = frozenset(self.held)
-        for zone, evacuation in changes:
+        listed = {item.failure_domain: item for item in evacuations}
+        changes = [
+            (failure_domain, None) for failure_domain in self.active if failure_domain not in listed
+        ]
+        self.apply_changes([*changes, *listed.items()])
+
+    def apply_changes(self, changes: Iterable[tuple[str, Evacuation | None]]) -> None:
+        """Take in the newest state of some failure domains: taken out, or nothing if given back."""
+        before = frozenset(self.active)
+        for failure_domain, evacuation in changes:
             if evacuation is None:
-                self.give_back(zone)
+                self.end_evacuation(failure_domain)
             else:
-                self.take_out(evacuation)
-        after = frozenset(self.held)
+                self.start_evacuation(evacuation)
+        after = frozenset(self.active)
         if after != before:
             self.on_changed(after)
 
-    def take_out(self, evacuation: Evacuation) -> None:
-        """Hold a zone for taken out; one written anew keeps the time since which it is."""
-        known = self.held.get(evacuation.zone)
+    def start_evacuation(self, evacuation: Evacuation) -> None:
+        """Hold a failure domain for taken out; one written anew keeps its time."""
+        known = self.active.get(evacuation.failure_domain)
         if known is not None:
-            self.held[evacuation.zone] = known._replace(evacuation=evacuation)
+            self.active[evacuation.failure_domain] = known._replace(evacuation=evacuation)
             return
-        self.held[evacuation.zone] = HeldEvacuation(evacuation, self.wall())
-        self.on_taken_out(evacuation)
+        self.active[evacuation.failure_domain] = ActiveEvacuation(evacuation, self.wall_clock())
+        self.on_evacuation_started(evacuation)
 
-    def give_back(self, zone: str) -> None:
-        """Hold a zone for given back."""
-        known = self.held.pop(zone, None)
+    def end_evacuation(self, failure_domain: str) -> None:
+        """Hold a failure domain for given back."""
+        known = self.active.pop(failure_domain, None)
         if known is not None:
-            self.on_given_back(known)
+            self.on_evacuation_ended(known)
--- a/packages/core/calicopath_core/fleet/relay_messages.py
+++ b/packages/core/calicopath_core/fleet/relay_messages.py
@@ -13,7 +13,7 @@
 
 # msgspec reads these annotations when the program runs.
 from calicopath_core.fleet.contact import StoreContact
-from calicopath_core.fleet.deployment import ClientLimits, Deployment, Route, ServiceSpec, Tenant
+from calicopath_core.fleet.deployment import ClientLimits, Deployment, Route, ServiceSpec, Workspace
 from calicopath_core.fleet.evacuations import Evacuation
 from calicopath_core.fleet.positions import Position
 from calicopath_core.fleet.replicas import Replica
@@ -28,7 +28,7 @@
     positions: dict[RecordKind, Position]
 
 
-class RelayBeat(msgspec.Struct, frozen=True, tag='rb'):
+class RelayStatus(msgspec.Struct, frozen=True, tag='rb'):
     """Answer a subscription: how the store answers the relay, and what the relay holds.
 
     `direct` says that the sender follows the store itself, `leaving` that it stops.
@@ -54,7 +54,7 @@
     body: bytes
 
 
-RELAY_MESSAGES = (Subscribe, RelayBeat, RelayUpdate)
+RELAY_MESSAGES = (Subscribe, RelayStatus, RelayUpdate)
 
 
 class DeploymentFields(NamedTuple):
@@ -63,7 +63,7 @@
     version: int
     routes: tuple[Route, ...]
     services: tuple[ServiceSpec, ...]
-    tenants: tuple[Tenant, ...]
+    workspaces: tuple[Workspace, ...]
     limits: ClientLimits
 
 
@@ -85,7 +85,7 @@
     if isinstance(record, Deployment):
         services = tuple(record.services.values())
         return DeploymentFields(
-            record.version, record.routes, services, record.tenants, record.limits
+            record.version, record.routes, services, record.workspaces, record.limits
         )
     return record
 
--- a/packages/core/calicopath_core/membership/gossip.py
+++ b/packages/core/calicopath_core/membership/gossip.py
@@ -167,7 +167,9 @@
         """Push new objects to a few random boxes."""
         if not self.unsent_updates:
             return
-        entries = [Entry(item.key, item.version, item.spec) for item in self.unsent_updates.values()]
+        entries = [
+            Entry(item.key, item.version, item.spec) for item in self.unsent_updates.values()
+        ]
         self.unsent_updates.clear()
         now = self.clock.monotonic()
         for member in self.members.sample(PUSH_FANOUT, now, self.rng):
@@ -181,7 +183,9 @@
 
     def send_heartbeats(self, now: float) -> None:
         """Send a heartbeat to a few random boxes."""
-        own = msgspec.structs.replace(self.members.own, heartbeat_number=self.members.own.heartbeat_number + 1)
+        own = msgspec.structs.replace(
+            self.members.own, heartbeat_number=self.members.own.heartbeat_number + 1
+        )
         self.members.own = own
         chosen = self.members.sample(HEARTBEAT_FANOUT, now, self.rng)
         heartbeat = Heartbeat(
--- a/packages/core/calicopath_core/membership/roles.py
+++ b/packages/core/calicopath_core/membership/roles.py
@@ -119,7 +119,9 @@
                     self.gossip.members.on_listed(member_infos(records), self.clock.monotonic())
                     size = len(records) * BOX_ENTRY_BYTES
                     interval_s = max(BOX_LIST_INTERVAL_S, size / MAX_LIST_BYTES_PER_S)
-            await asyncio.sleep(ALONE_LIST_INTERVAL_S if alone else interval_s * self.rng.uniform(0.5, 1.0))
+            await asyncio.sleep(
+                ALONE_LIST_INTERVAL_S if alone else interval_s * self.rng.uniform(0.5, 1.0)
+            )
 
     async def run_direct_reads(self) -> None:
         """Read the platform directly while no recent contact of any relay is known."""
--- a/packages/daemon/calicopathd/gateway/tests/crashing_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/crashing_tests.py
@@ -19,7 +19,7 @@
 
 from calicopath_core.crashes.messages import Evidence
 from calicopath_core.crashes.suspects import keys_of
-from calicopath_core.scheduling.election import PING_S
+from calicopath_core.scheduling.election import PING_INTERVAL_S
 from calicopath_core.scheduling.messages import Prompt, PromptPart, Rejected
 from testkit.crashing_fleet import CONTACT_S, MOST_LATE, POISON, CrashingCase, CrashingFleet
 
@@ -148,7 +148,8 @@
             content = next(iter(box.scheduler.jobs.values())).place.content
             ages = {f'gone-{number}@1': (1.0 + number, 9.0) for number in range(3)}
             box.ledger.merge(
-                [Evidence(keys_of(content, 'engine').exact.content, 'engine', ages, None)], 'another'
+                [Evidence(keys_of(content, 'engine').exact.content, 'engine', ages, None)],
+                'another',
             )
             await asyncio.sleep(0.06)
             self.assertEqual({'crashes-replicas'}, {sink.reason for sink in sinks})
@@ -161,13 +162,14 @@
         async def work(fleet: CrashingFleet) -> None:
             box, scheduler = fleet.boxes['box-2'].box, fleet.boxes['box-0'].box
             self.assertEqual({scheduler.own.address}, fleet.schedulers())
-            await asyncio.sleep(PING_S / 4)
+            await asyncio.sleep(PING_INTERVAL_S / 4)
             sink = fleet.ask('box-2', POISON)
             await asyncio.sleep(0.0)
-            content = next(iter(box.client.asked.values())).place.content
+            content = next(iter(box.client.pending.values())).place.content
             ages = {f'gone-{number}@1': (1.0 + number, 9.0) for number in range(3)}
             scheduler.ledger.merge(
-                [Evidence(keys_of(content, 'engine').exact.content, 'engine', ages, None)], 'another'
+                [Evidence(keys_of(content, 'engine').exact.content, 'engine', ages, None)],
+                'another',
             )
             known: list[float | None] = []
             take_in = box.client.on_rejected
@@ -189,10 +191,11 @@
             box = fleet.boxes['box-2'].box
             sink = fleet.ask('box-2', POISON)
             await asyncio.sleep(0.0)
-            content = next(iter(box.client.asked.values())).place.content
+            content = next(iter(box.client.pending.values())).place.content
             ages = {f'gone-{number}@1': (1.0 + number, 9.0) for number in range(3)}
             box.ledger.merge(
-                [Evidence(keys_of(content, 'engine').exact.content, 'engine', ages, None)], 'another'
+                [Evidence(keys_of(content, 'engine').exact.content, 'engine', ages, None)],
+                'another',
             )
             await fleet.settle()
             self.assertEqual((503, 'crashes-replicas'), (sink.status, sink.reason))
--- a/tools/mutants/limits.py
+++ b/tools/mutants/limits.py
@@ -20,22 +20,22 @@
     Mutant(
         'no call without a permit',
         f'{CORE}/fleet/gate.py',
-        'return permitted or not self.limits.binds(replica)',
+        'return permitted or not self.limits.requires_permit(replica)',
         'return True',
         GATE,
     ),
     Mutant(
         'calls without new work count',
         f'{CORE}/fleet/gate.py',
-        'return self.limits.take_support(replica)',
+        'return self.limits.take_control_call(replica)',
         'return True',
         GATE,
     ),
     Mutant(
         'each box the whole limit',
         f'{CORE}/permits/client.py',
-        '        self.send(self.holder(), ask)\n        try:',
-        '        self.send(self.own_address, ask)\n        try:',
+        '        self.send(self.issuer_address(), request)\n        try:',
+        '        self.send(self.own_address, request)\n        try:',
         f'{FLEET}::Kept',
     ),
     Mutant(
@@ -48,7 +48,7 @@
     Mutant(
         'one that takes up begins empty',
         f'{CORE}/permits/holder.py',
-        'bucket.drain(per_s, now)',
+        'bucket.empty(per_s, now)',
         'pass',
         f'{HOLDER}::Limits',
     ),
@@ -76,21 +76,21 @@
     Mutant(
         'engines that limit',
         f'{CORE}/scheduling/engines.py',
-        'return self.permits.opens_in_s(engine.replica) <= 0',
+        'return self.permits.available_in_s(engine.replica) <= 0',
         'return True',
         f'{FLEET}::Kept',
     ),
     Mutant(
         'stages that limit',
         f'{CORE}/scheduling/stages.py',
-        '            and self.permits.opens_in_s(item.replica) <= 0\n',
+        '            and self.permits.available_in_s(item.replica) <= 0\n',
         '',
         f'{CORE}/scheduling/tests/limited_stages_tests.py::LimitedStages',
     ),
     Mutant(
         'what exceeds limits is refused at once',
         f'{CORE}/scheduling/rejections.py',
-        "        self.reject(job, 'limited', self.admission.return_s(job, wait_s, now))\n"
+        "        self.reject(job, 'limited', self.admission.retry_after_s(job, wait_s, now))\n"
         '        return False',
         '        return True',
         f'{FLEET}::Served',
@@ -105,29 +105,29 @@
     Mutant(
         'a run placed without a permit asks for one',
         f'{CORE}/exchanges/streams.py',
-        'elif self.context.gate.limits.binds(replica):',
+        'elif self.context.gate.limits.requires_permit(replica):',
         'elif False:',
         f'{FLEET}::Views',
     ),
     Mutant(
         'the end of a limit counts in a tie',
         f'{CORE}/permits/limits.py',
-        'return heard_at > known.heard_at - TIE_S',
-        'return heard_at > known.heard_at + TIE_S',
+        'return heard_at > known.heard_at - TIE_WINDOW_S',
+        'return heard_at > known.heard_at + TIE_WINDOW_S',
         f'{LIMITS}::OtherBoxes',
     ),
     Mutant(
         'an overtaken answer ends no limit',
         f'{CORE}/permits/limits.py',
-        'or now - known.heard_at < OVERTAKEN_S',
+        'or now - known.heard_at < REORDER_WINDOW_S',
         '',
         f'{LIMITS}::Answers',
     ),
     Mutant(
         'calls come back gradually',
         f'{CORE}/permits/limits.py',
-        'return self.heard.ended and now >= self.heard_at + RETURN_S',
-        'return self.heard.ended',
+        'return self.state.ended and now >= self.heard_at + RAMP_UP_S',
+        'return self.state.ended',
         f'{LIMITS}::Answers',
     ),
 )
