--- a/packages/core/calicopath_core/crashes/tests/ledger_tests.py
+++ b/packages/core/calicopath_core/crashes/tests/ledger_tests.py
@@ -67,7 +67,8 @@
             crash_id = next(iter(ledger.suspects[KEY].crashes))
             for number in range(5):
                 ledger.merge(
-                    [Evidence('c.b', 'engine', {crash_id: (number / 1000, 1.0)}, None)], f'b{number}'
+                    [Evidence('c.b', 'engine', {crash_id: (number / 1000, 1.0)}, None)],
+                    f'b{number}',
                 )
             self.assertIsNone(ledger.blocked_s('c.b', ['engine']))
 
