--- a/packages/core/calicopath_core/scheduling/admission.py
+++ b/packages/core/calicopath_core/scheduling/admission.py
@@ -1,4 +1,4 @@
-"""Decide at the door whether a job can be made in time, and when it should come back."""
+"""Admit or refuse jobs by their expected duration, and say when a refused caller should retry."""
 
 from __future__ import annotations
 
@@ -14,27 +14,28 @@
     from calicopath_core.scheduling.stages import StageQueue
 
 FIRST_TOKEN_LATENCY_S = 0.1
-"""What an engine takes from the end of the prompt to the first event, and the way there."""
+"""Time from the end of an engine's prompt processing to the arrival of the first event."""
 
 MIN_RETRY_AFTER_S = 0.4
 MAX_RETRY_SHARE = 0.3
-"""When a refused caller should come back: after what is missing, within this share of its time
-left; the users' clients wait at most a third of it."""
+"""Maximum retry delay of a refused caller, as a share of its time left; the users' clients wait at
+most a third of it."""
 
 RETRY_JITTER_SHARE = 0.5
-"""By how much of the wait returns are spread."""
+"""Jitter added to the retry delay, as a share of it."""
 
 CRC32_RANGE = 2**32
 MIN_PIECES_PER_S = 0.1
-"""Pieces a second that a stage is taken to make at least, where all its replicas are gone."""
+"""Minimum rate assumed for a stage whose replicas are all gone."""
 
 BIAS_SMOOTHING = 0.05
 MIN_BIAS, MAX_BIAS = 0.6, 2.0
-"""How the estimate follows what is measured, and how far."""
+"""Weight of the newest observation in the estimate's correction factor, and the bounds of the
+factor."""
 
 
 class AdmissionDecision(NamedTuple):
-    """Hold whether a job is let in, what it is expected to take, and when to come back."""
+    """Hold whether a job is admitted, its expected duration, and the retry delay if refused."""
 
     admitted: bool
     expected_s: float
@@ -42,7 +43,10 @@
 
 
 class Admission:
-    """Estimate what jobs take from the work that goes before them."""
+    """Estimate how long jobs take from the work queued ahead of them.
+
+    `bias` is the factor that corrects the estimated duration of the stages.
+    """
 
     def __init__(self) -> None:
         self.bias = 1.0
@@ -55,11 +59,11 @@
         engine_s: float,
         now: float,
     ) -> AdmissionDecision:
-        """Say whether a job is let in: if it can be made before its deadline, late or not.
+        """Admit a job if it can finish before its deadline, even if it misses its objective.
 
-        Those that will be late give way to those in time, so that they cost these little. To turn
-        away what is expected to be late by a quarter loses 0.02 to 0.03 of the mean worth of days
-        with faults where stages are scarce, since most of those who come back are late.
+        Jobs that will miss their objective give way to those that will meet it, so they cost these
+        little. Refusing jobs expected to be late by a quarter loses 0.02 to 0.03 of the mean worth
+        of days with faults where stages are scarce, since most of the callers that retry are late.
         """
         stages_duration_s = self.stages_duration_s(job, others, queues, now)
         expected_s = stages_duration_s * self.bias + engine_s + FIRST_TOKEN_LATENCY_S
@@ -72,16 +76,16 @@
     def backlog_wait_s(
         self, job: Job, others: Iterable[Job], queues: Mapping[str, StageQueue], now: float
     ) -> float:
-        """Return in how many seconds what waits before a job will have been made."""
+        """Return the seconds until the work queued ahead of a job will be done."""
         ahead = backlog(job, others, now)
         services = {phase.service for phase in job.place.phases} & queues.keys() & ahead.keys()
         waits = [ahead[name] / max(MIN_PIECES_PER_S, queues[name].rate()) for name in services]
         return max(waits, default=0.0)
 
     def retry_after_s(self, job: Job, wait_s: float, now: float) -> float:
-        """Return when a refused caller should come back: when there is room, each a little apart.
+        """Return the retry delay of a refused caller: the wait for capacity plus jitter.
 
-        Callers that were refused together would come back as one burst, and be refused again.
+        Callers refused together would otherwise return as one burst and be refused again.
         """
         max_wait_s = max(MIN_RETRY_AFTER_S, MAX_RETRY_SHARE * (job.deadline_at - now))
         jitter = zlib.crc32(job.id.encode()) / CRC32_RANGE
@@ -90,7 +94,7 @@
     def stages_duration_s(
         self, job: Job, others: Iterable[Job], queues: Mapping[str, StageQueue], now: float
     ) -> float:
-        """Return what a job's stages take: the longest chain, behind the slowest backlog."""
+        """Return how long a job's stages take: the longest chain behind the slowest backlog."""
         ahead = backlog(job, others, now)
         waits = [0.0]
         done_at: dict[int, float] = {}
@@ -110,21 +114,21 @@
         return max(done_at.values(), default=0.0) + max(waits)
 
     def learn(self, job: Job, took_s: float) -> None:
-        """Correct the estimate by what a job's stages have taken."""
+        """Correct the bias by the time that a job's stages took."""
         if job.expected_s > 0:
             self.bias += BIAS_SMOOTHING * (took_s / job.expected_s - self.bias)
             self.set_bias(self.bias)
 
     def set_bias(self, bias: float) -> None:
-        """Go by a correction within its bounds."""
+        """Set the bias within its bounds."""
         self.bias = min(MAX_BIAS, max(MIN_BIAS, bias))
 
 
 def backlog(job: Job, others: Iterable[Job], now: float) -> dict[str, int]:
-    """Return the pieces by service that go before a job's and are in no call yet.
+    """Return the pieces by service that go before a job's and are not in a call yet.
 
-    Jobs that are late give way to those in time. Were they counted, new jobs would be turned away
-    for the sake of late ones, and a backlog would keep itself alive long after its cause.
+    Late jobs give way to those in time. If they counted, new jobs would be refused because of late
+    ones, and a backlog would sustain itself long after its cause.
     """
     pieces_by_service: dict[str, int] = {}
     for other in others:
@@ -140,7 +144,7 @@
 
 
 def outranks(job: Job, other: Job) -> bool:
-    """Tell whether a new job's pieces go before those of another."""
+    """Tell whether a new job's pieces go before those of another job."""
     if other.resumed or job.beyond:
         return not other.resumed and other.beyond and job.urgency < other.urgency
     return other.beyond or job.urgency < other.urgency
--- a/packages/core/calicopath_core/scheduling/baseline.py
+++ b/packages/core/calicopath_core/scheduling/baseline.py
@@ -1,4 +1,4 @@
-"""Decide as the naive baseline does: every box for itself, any engine that has a slot."""
+"""Implement the naive baseline: every box schedules for itself on any engine with a free slot."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class StandaloneElection(Election):
-    """Take no other box for the scheduler."""
+    """Elect this box, without regard to other boxes."""
 
     def candidates_to_ping(self, now: float) -> list[Candidate]:
-        """Return nobody."""
+        """Return no candidates."""
         return []
 
     def scheduler(
@@ -31,13 +31,13 @@
 
 
 class RandomEnginePool(EnginePool):
-    """Choose any engine that has a slot, whatever it has to do."""
+    """Choose a random engine with a free slot, whatever its load."""
 
     def __init__(self, *, slots: int, kv_tokens: int, rng: random.Random) -> None:
         super().__init__(slots=slots, kv_tokens=kv_tokens)
         self.rng = rng
 
     def choose(self, job: Job, now: float) -> EngineChoice | None:
-        """Return one by chance."""
+        """Return a random engine with a free slot, `None` if there is none."""
         usable = [item for item in self.engines.values() if len(item.runs) < self.slots]
         return EngineChoice(self.rng.choice(usable), 0.0) if usable else None
--- a/packages/core/calicopath_core/scheduling/election.py
+++ b/packages/core/calicopath_core/scheduling/election.py
@@ -1,9 +1,10 @@
-"""Agree on which box schedules, by rank and by who is heard.
+"""Elect the box that schedules, by rank among the boxes that are alive.
 
-No box is set aside: of the boxes that are heard, the one whose record in the platform's store is
-oldest schedules. A box that restarts writes a new record and so ranks last; a hash of the names
-would give it the work back at once, and each hand-over costs the stage work that is under way. Two
-boxes that both think that they schedule only cost efficiency, since a piece may be made again.
+Of the boxes that are heard, the one with the oldest record in the platform's store schedules; no
+box is reserved for it. A box that restarts writes a new record and so ranks last. Ranking by a hash
+of the names would return the work to it at once, and each handover costs the stage calls in
+progress. Two boxes that both schedule for a moment only cost efficiency, since a piece may be
+computed twice.
 """
 
 from __future__ import annotations
@@ -23,46 +24,48 @@
     from calicopath_core.scheduling.messages import Ping, Pong, Presence
 
 CANDIDATE_COUNT = 3
-"""Boxes, first by rank, that every box pings: enough that one of them lives through two losses."""
+"""Number of boxes, first by rank, that every box pings; one of them survives the loss of two."""
 
 MAX_COMPARED_CONTACTS = 8
-"""Boxes, first by rank, whose contact with the store is compared: more than are ever pinged."""
+"""Number of boxes, first by rank, whose contact with the store is compared: more than are ever
+pinged."""
 
 PING_INTERVAL_S = 0.2
 SILENCE_TIMEOUT_S = 0.7
-"""A candidate not heard for this long is passed over: three pings lost, and some delay. Shorter
-takes pauses for deaths, longer holds requests up behind a dead scheduler."""
+"""A candidate not heard for this long is skipped: three lost pings and some delay. A shorter
+timeout mistakes pauses for crashes; a longer one delays requests behind a dead scheduler."""
 
 STANDBY_PING_INTERVAL_S = 0.6
-"""How often candidates are pinged that come after the one that schedules: three pings each 0.2 s
-from 195 boxes would be 5,850 messages a second with their answers, two thirds of them with boxes
-that do nothing for others."""
+"""How often candidates that rank behind the scheduler are pinged. With 195 boxes, three pings each
+every 0.2 s would be 5,850 messages per second including answers, two thirds of them exchanged with
+standby boxes."""
 
 PING_SLACK_S = 0.05
-"""How much earlier than due a ping goes out, so that it does not wait for the round after."""
+"""How much earlier than due a ping may be sent, so that it does not wait for the next round."""
 
 RECONNECT_AFTER_S = 0.5
-"""After this time without an answer to pings the connection to a box is made anew, and the box is
-asked to do the same: two pings more may be answered before it is passed over."""
+"""After this time of unanswered pings the connection to a box is reopened, and the box is asked to
+do the same; two more pings may then be answered before the box is skipped."""
 
 NEW_BOX_GRACE_S = 1.5
-"""How long a candidate never heard is waited for after it was listed: a box that has restarted is
-reached again only when its peers have connected anew, and must not schedule beside them."""
+"""How long a newly listed candidate counts as alive before it is first heard. A restarted box is
+reachable only once its peers have reconnected, and must not schedule in parallel with them."""
 
 
 LEADER_PING_INTERVAL_S = 1.0
-"""How often boxes of other groups than the first hear how many groups there are: from the box that
-ranks first of all."""
+"""How often boxes outside the first group ping the box that ranks first in the whole fleet, to
+learn the current group count."""
 
 PROBATION_S = 2.0
-"""How long a candidate that had fallen silent must be heard again before it may schedule."""
+"""How long a candidate that was silent must be heard again before it may schedule."""
 
 
 class BoxAddress(NamedTuple):
-    """Name a box and the address on which its peers reach it.
+    """Identify a box and the address at which its peers reach it.
 
-    `life` is new with each start; `order` is the store's revision at which the record was written.
-    A `small` box has little processor or link: it works for others only if no other box can.
+    `incarnation` is new with each start; `order` is the store's revision at which the record was
+    written. A `small` box has little processor or network capacity: it schedules only if no other
+    box can.
     """
 
     name: str
@@ -74,7 +77,11 @@
 
 
 class Candidate:
-    """Hold what was heard of one box; times are monotonic seconds."""
+    """Hold what was heard of one box; times are monotonic seconds.
+
+    `unanswered_since` is the time of the first ping after the last answer, `None` if there is none.
+    A `standby` candidate is pinged less often; `frequent_since` is when that last ended.
+    """
 
     def __init__(self, *, box: BoxAddress, listed_at: float) -> None:
         self.box = box
@@ -91,18 +98,18 @@
         self.contact = UNKNOWN
 
     def is_alive(self, now: float) -> bool:
-        """Tell whether the box was heard lately, or is too new to tell."""
+        """Tell whether the box was heard recently, or is within its grace period."""
         if self.last_heard_at is None:
             return now - self.listed_at < NEW_BOX_GRACE_S
         return now - self.last_heard_at < self.silence_timeout_s(now)
 
     def silence_timeout_s(self, now: float) -> float:
-        """Return how long the box may be unheard: longer while it is pinged seldom."""
+        """Return how long the box may be silent; longer while it is pinged rarely."""
         pinged_rarely = self.standby or now - self.frequent_since < SILENCE_TIMEOUT_S
         return SILENCE_TIMEOUT_S + (STANDBY_PING_INTERVAL_S if pinged_rarely else 0.0)
 
     def mark_ping_if_due(self, now: float, *, standby: bool) -> bool:
-        """Tell whether the box is to be pinged now, and note that it is."""
+        """Tell whether the box must be pinged now, and record the ping if so."""
         if self.standby and not standby:
             self.frequent_since = now
         self.standby = standby
@@ -114,7 +121,7 @@
         return True
 
     def on_heard(self, message: Presence, now: float) -> None:
-        """Note a sign of life; after a silence, trust has to grow again."""
+        """Record a message of the box; after a silence its probation starts."""
         if self.last_heard_at is not None and now - self.last_heard_at >= self.silence_timeout_s(now):
             self.probation_until = now + PROBATION_S
         self.last_heard_at = now
@@ -124,11 +131,11 @@
         self.contact = message.contact
 
     def may_still_answer(self, now: float) -> bool:
-        """Tell whether the box still has the time to answer."""
+        """Tell whether no ping is pending, or the time for its answer is not over."""
         return self.unanswered_since is None or now - self.unanswered_since < SILENCE_TIMEOUT_S
 
     def mark_reconnect_if_due(self, now: float) -> bool:
-        """Tell whether the connection to the box should be made anew, and note that it is."""
+        """Tell whether the connection to the box must be reopened, and record it if so."""
         waiting_since = max(self.reconnected_at, self.unanswered_since if self.unanswered_since is not None else now)
         if self.last_heard_at is None or now - waiting_since < RECONNECT_AFTER_S:
             return False
@@ -136,14 +143,15 @@
         return True
 
     def is_eligible(self, now: float) -> bool:
-        """Tell whether the box may be given work."""
+        """Tell whether the box may schedule."""
         return self.is_alive(now) and not self.leaving and now >= self.probation_until
 
 
 class Election:
-    """Hold the boxes listed and choose the scheduler of this box's group among those heard.
+    """Hold the listed boxes and choose the scheduler of this box's group among those alive.
 
-    `ranked` are the boxes of the group in rank order, this one included.
+    `group_ranking` and `fleet_ranking` are the names of the group's and of all boxes in rank order,
+    this one included.
     """
 
     def __init__(self, *, own: BoxAddress) -> None:
@@ -160,7 +168,7 @@
         self.leaving = False
 
     def on_listed(self, boxes: Iterable[BoxAddress], now: float) -> None:
-        """Take in the boxes of the platform's list; a new address is a new incarnation."""
+        """Set the platform's list of boxes; a changed record starts a new candidate."""
         listed = {box.name: box for box in boxes if box.name != self.own.name}
         own_records = [box for box in boxes if box.name == self.own.name and box.incarnation == self.own.incarnation]
         self.own_order = own_records[0].order if own_records else None
@@ -174,7 +182,7 @@
         self.regroup()
 
     def regroup(self) -> None:
-        """Work the groups out from the boxes listed and the count in force."""
+        """Recompute the groups from the listed boxes and the current group count."""
         boxes = [self.own, *(item.box for item in self.candidates.values())]
         zones = (box.zone for box in boxes)
         self.zone_groups = ZoneGroups(zones=zones, groups=self.group_count.groups)
@@ -185,22 +193,22 @@
 
     @property
     def groups(self) -> int:
-        """Return into how many groups the fleet is split."""
+        """Return the number of groups that the fleet is split into."""
         return self.group_count.groups
 
     def on_group_count(self, count: GroupCount) -> None:
-        """Take in how many groups there are, as another box or this one says."""
+        """Take over a group count of this box or of another one, if it is newer."""
         newest = self.group_count.newer(count)
         if newest != self.group_count:
             self.group_count = newest
             self.regroup()
 
     def is_leader(self, now: float) -> bool:
-        """Tell whether this box is the first of all that may schedule."""
+        """Tell whether this box is the first one of the whole fleet that may schedule."""
         return next(self.eligible_among(self.fleet_ranking, now), None) == self.own.name
 
     def rank(self, name: str) -> tuple[bool, float, str]:
-        """Return by what boxes are ordered; the least schedules, a box not listed yet last."""
+        """Return the sort key of a box: the least schedules, an unlisted box comes last."""
         if name != self.own.name:
             box = self.candidates[name].box
             return (box.small, box.order, name)
@@ -208,15 +216,15 @@
         return (self.own.small, order, name)
 
     def on_ping(self, ping: Ping, now: float) -> None:
-        """Note a box that sees this one as a candidate."""
+        """Record a ping of a box to which this one is a candidate."""
         self.on_presence(ping, now)
 
     def on_pong(self, pong: Pong, now: float) -> None:
-        """Note a candidate's answer."""
+        """Record a candidate's answer to a ping."""
         self.on_presence(pong, now)
 
     def on_presence(self, message: Presence, now: float) -> Candidate | None:
-        """Note a sign of life."""
+        """Record a message of a box; return its candidate, `None` if it is not listed."""
         self.on_group_count(message.groups)
         candidate = self.candidates.get(message.box)
         if candidate is None:
@@ -225,24 +233,24 @@
         return candidate
 
     def candidates_to_ping(self, now: float) -> list[Candidate]:
-        """Return the candidates to ping: enough from the front that some may schedule.
+        """Return the candidates to ping now, so many that some of them are fit to schedule.
 
-        Those that still have the time to answer count as good: when all boxes start at once nobody
-        was heard yet, and each would ping every other.
+        Candidates that still have time to answer count as fit: when all boxes start at once, none
+        has been heard yet, and each box would ping every other.
         """
-        found = self.due_candidates(self.group_ranking, CANDIDATE_COUNT, now)
+        due = self.due_candidates(self.group_ranking, CANDIDATE_COUNT, now)
         if self.groups > 1 and now - self.leader_pinged_at >= LEADER_PING_INTERVAL_S:
             self.leader_pinged_at = now
             leaders = self.due_candidates(self.fleet_ranking, 1, now)
-            found.extend(item for item in leaders if item not in found)
-        return found
+            due.extend(item for item in leaders if item not in due)
+        return due
 
     def due_candidates(self, names: Iterable[str], needed: int, now: float) -> list[Candidate]:
-        """Return the candidates to ping now: from the front until so many of them are good.
+        """Return the candidates with a ping due, in rank order until `needed` of them are fit.
 
-        Those behind the one that schedules are pinged less often.
+        Those that rank behind the scheduler are pinged less often.
         """
-        found: list[Candidate] = []
+        due: list[Candidate] = []
         good_count = 0
         standby = False
         for name in names:
@@ -251,23 +259,23 @@
                 continue
             candidate = self.candidates[name]
             if candidate.mark_ping_if_due(now, standby=standby):
-                found.append(candidate)
+                due.append(candidate)
             heard = candidate.last_heard_at is not None
             is_good = candidate.is_eligible(now) if heard else candidate.may_still_answer(now)
             good_count += is_good
             standby = standby or (heard and is_good)
             if good_count >= needed:
                 break
-        return found
+        return due
 
     def scheduler(
         self, now: float, own_contact: StoreContact = STEADY, *, has_configuration: bool = True
     ) -> BoxAddress:
-        """Return the box that schedules, as far as this box can tell; itself if it hears nobody.
+        """Return the box that schedules as this box sees it; itself if no box is heard.
 
-        `own` is this box's contact with the store, `knows` tells whether it has a configuration:
-        one that has none yet would refuse what others could serve. Boxes that are behind another
-        go last.
+        `own_contact` is this box's contact with the store. `has_configuration` tells whether this
+        box has a configuration; one without would refuse requests that others can serve. Boxes
+        whose contact with the store is behind that of another box come last.
         """
         configured = (name for name in self.eligible(now) if self.has_configuration(name, own=has_configuration))
         eligible = list(itertools.islice(configured, MAX_COMPARED_CONTACTS))
@@ -278,25 +286,25 @@
         return self.own if chosen == self.own.name else self.candidates[chosen].box
 
     def has_configuration(self, name: str, *, own: bool) -> bool:
-        """Tell whether a box has a configuration, as far as it has told."""
+        """Tell whether a box has reported a configuration; `own` is the answer for this box."""
         return own if name == self.own.name else self.candidates[name].has_configuration
 
     def eligible(self, now: float) -> Iterator[str]:
-        """Yield the boxes that are there to schedule, in rank order."""
+        """Yield the boxes of the group that may schedule, in rank order."""
         return self.eligible_among(self.group_ranking, now)
 
     def eligible_among(self, names: Iterable[str], now: float) -> Iterator[str]:
-        """Yield those of some boxes that are there to schedule."""
+        """Yield those of some boxes that may schedule."""
         return (name for name in names if self.is_eligible(name, now))
 
     def is_eligible(self, name: str, now: float) -> bool:
-        """Tell whether a box is there to schedule."""
+        """Tell whether a box may schedule."""
         if name == self.own.name:
             return not self.leaving
         return self.candidates[name].is_eligible(now)
 
     def candidate_addresses(self, now: float) -> list[str]:
-        """Return the addresses of the boxes that others ping: they hear first of what is news."""
+        """Return the addresses of the boxes that others ping; they receive notices first."""
         names = list(itertools.islice(self.eligible(now), CANDIDATE_COUNT))
         if self.groups > 1:
             names.extend(itertools.islice(self.eligible_among(self.fleet_ranking, now), 1))
@@ -306,7 +314,7 @@
         ]
 
     def store_contact_of(self, name: str, own_contact: StoreContact, now: float) -> StoreContact:
-        """Return how the store answers a box, as far as this box was told."""
+        """Return a box's contact with the store, aged by the time since its last message."""
         if name == self.own.name:
             return own_contact
         candidate = self.candidates[name]
@@ -314,7 +322,7 @@
         return candidate.contact.later(now - heard_at)
 
     def is_alive(self, address: str, now: float) -> bool:
-        """Tell whether the box at an address, leaving or not, was heard lately."""
+        """Tell whether the box at an address, leaving or not, was heard recently."""
         if address == self.own.address:
             return True
         return any(
@@ -322,12 +330,12 @@
         )
 
     def box_count(self) -> int:
-        """Return among how many boxes the fleet's budgets are split: all those listed.
+        """Return the number of boxes that share the fleet's budgets: all that are listed.
 
-        Boxes that are listed and dead make each share smaller, never the whole larger.
+        A listed box that is dead makes each share smaller, never the total larger.
         """
         return len(self.candidates) + 1
 
     def share_of(self, replicas: list[Replica]) -> list[Replica]:
-        """Return those of a service's replicas that this box's group calls; all if it has none."""
+        """Return the replicas that this box's group calls; all of them if the group has too few."""
         return self.zone_groups.share_of(replicas, self.group)
--- a/packages/core/calicopath_core/scheduling/engine_pools.py
+++ b/packages/core/calicopath_core/scheduling/engine_pools.py
@@ -1,4 +1,4 @@
-"""Hold the engines of every service, and what is done alike for all of them."""
+"""Hold the engine pools of all services, and apply to each what concerns them all."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class EnginePools(dict[str, EnginePool]):
-    """Hold a board for each service of engines, by its name."""
+    """Map the name of each service of engines to its pool."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self.pool_factory = pool_factory or self.create_pool
 
     def create_pool(self, spec: EngineSpec) -> EnginePool:
-        """Return the board of a service's engines."""
+        """Return a new pool for a service's engines."""
         return EnginePool(
             slots=spec.slots,
             kv_tokens=spec.kv_tokens,
@@ -46,7 +46,7 @@
         )
 
     def set_spec(self, service: ServiceSpec) -> None:
-        """Take in what a service's engines can do, if it has engines."""
+        """Create a service's pool, if it has engines, and set the start limit of its engines."""
         if service.engine is None:
             return
         if service.name not in self:
@@ -57,23 +57,23 @@
     def set_replicas(
         self, replicas: ReplicaTable, share_of: Callable[[list[Replica]], list[Replica]]
     ) -> None:
-        """Take in which engines there are, and which of them may be chosen."""
+        """Set which engines exist, and which of them `share_of` lets this box choose."""
         for name, pool in self.items():
             pool.set_replicas(share_of(replicas.usable(name)), replicas.replicas)
 
     def on_activated(self, now: float) -> None:
-        """Note that another box may place runs a moment longer."""
+        """Record that another box may place runs a moment longer."""
         for pool in self.values():
             pool.on_activated(now)
 
     def expire(self, now: float) -> None:
-        """Drop runs whose end was never told."""
+        """Drop runs whose end was never reported, and expired backoffs."""
         for pool in self.values():
             pool.expire_lost_runs(now)
         self.backoffs.expire(now)
 
     def loads(self) -> dict[str, float]:
-        """Return the work that waits at each engine, in seconds."""
+        """Return the work that waits at each engine, in seconds by replica."""
         return {name: load_s for pool in self.values() for name, load_s in pool.loads().items()}
 
     def on_foreign_loads(self, sender: str, loads: dict[str, float], now: float) -> None:
--- a/packages/core/calicopath_core/scheduling/engine_queue.py
+++ b/packages/core/calicopath_core/scheduling/engine_queue.py
@@ -1,8 +1,8 @@
-"""Hold the jobs whose stages are done and that wait for a place at an engine.
+"""Queue the jobs whose stages are done until an engine accepts them.
 
-Answers a burst, and a zone of engines that is lost or comes back cold: for a moment every engine is
-at its bound. What the stages have made is not thrown away for that; the first place that comes goes
-to the job that can make most of it.
+During a burst, or when a failure domain with engines is lost or returns cold, every engine is at
+its limit for a moment. The queue keeps the results of the stages, and gives the first free place to
+the job that profits most from it.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class EngineQueue:
-    """Hold waiting jobs; `engine_s` tells what an engine takes to a job's first event."""
+    """Hold waiting jobs; `first_event_s` estimates the seconds until a job's first event."""
 
     def __init__(self, *, first_event_s: Callable[[Job], float]) -> None:
         self.first_event_s = first_event_s
@@ -28,23 +28,23 @@
         return len(self.jobs)
 
     def add(self, job: Job) -> None:
-        """Let a job wait."""
+        """Add a job to the queue."""
         self.jobs[job.id] = job
 
     def drop(self, job: Job) -> None:
-        """Let a job wait no more."""
+        """Remove a job from the queue, if it is there."""
         self.jobs.pop(job.id, None)
 
     def ordered(self, now: float) -> list[Job]:
-        """Return the jobs in the order in which they get places."""
+        """Return the jobs in the order in which they are placed."""
         return sorted(self.jobs.values(), key=lambda job: self.rank(job, now))
 
     def rank(self, job: Job, now: float) -> Rank:
-        """Return by what a job is served, least first: as pieces are that wait for calls."""
+        """Return a job's sort key, least first: the one by which pieces wait for calls."""
         return rank_job(job, job.objective_at - now - self.first_event_s(job))
 
     def infeasible(self, now: float) -> Iterator[Job]:
-        """Yield the jobs that no engine can begin to answer before their deadline any more."""
+        """Yield the jobs that no engine can start to answer before their deadline any more."""
         for job in list(self.jobs.values()):
             if now + self.first_event_s(job) > job.deadline_at:
                 yield job
--- a/packages/core/calicopath_core/scheduling/engines.py
+++ b/packages/core/calicopath_core/scheduling/engines.py
@@ -1,4 +1,4 @@
-"""Choose an engine for each job, by the work that this scheduler has sent there."""
+"""Choose an engine for each job by the work that this scheduler has placed on the engines."""
 
 from __future__ import annotations
 
@@ -19,51 +19,55 @@
     from calicopath_core.scheduling.starts import StartLimit
 
 PREFILL_S_PER_TOKEN = 1 / 32_400
-"""What reading a prompt token takes: engines that read 32 to 38 tokens a ms are known."""
+"""Time to read one prompt token; engines read 32 to 38 tokens per ms."""
 
 DECODE_S_PER_TOKEN = 0.00005
-"""What one generated token costs those beside it: a step grows by 4 us for each run and by 9 us for
-each thousand tokens that the run holds. Counted as a share of the whole step, 0.3 ms, engines with
-many streams seemed to have no time: the mean worth of days with faults was 0.03 lower."""
+"""Delay that one generated token adds to the other runs on the engine. A decoding step grows by 4
+us per run and by 9 us per thousand tokens that the run holds. Charging each token its share of the
+whole step, 0.3 ms, makes engines with many streams look saturated: the mean worth of days with
+faults is 0.03 lower."""
 
 TRANSFER_COST_S_PER_BYTE = 0.1 / 1_000_000
-"""What moving a result between zones counts as: 100 ms a megabyte. Mean worth is the same to within
-0.01 from 40 to 150 ms."""
+"""Cost of moving a result between failure domains: 100 ms per megabyte. From 40 to 150 ms the mean
+worth stays the same to within 0.01."""
 
 RECOMPUTE_COST_S_PER_TOKEN = 0.15 / 1000
-"""What reading a shared prompt part again counts as that another engine keeps: the users price a
-thousand tokens like 3.6 MB between zones. It leads the choice only while there is time for it."""
+"""Cost of reading again a shared prompt part that another engine has cached; the users price a
+thousand tokens like 3.6 MB moved between failure domains. It counts in full only while the latency
+budget allows."""
 
 PREFIX_CACHE_TTL_S = 9.0
-"""How long after its last use an engine is believed to keep a part; the users price what is read
+"""How long after its last use a prompt part is expected to be cached; the users price what is read
 again within 9.1 to 9.6 s."""
 
 LATENCY_BUDGET_SHARE = 0.3
-"""The part of the time left that an engine may need for prices to decide; beyond it, time does."""
+"""Share of the time left until the objective within which transfer and recompute costs count in
+full; beyond it, the time to the first event decides."""
 
 OVER_BUDGET_COST_WEIGHT = 0.3
-"""The part of its price that counts for an engine when there is no time to wait for a cheap one."""
+"""Weight of transfer and recompute costs for an engine that exceeds the latency budget."""
 
 OVER_BUDGET_PENALTY_S = 10.0
-"""Sorts engines that need more time than that behind those that don't."""
+"""Penalty that sorts engines over the latency budget behind those within it."""
 
 BASE_EJECTION_S = 2.0
 MAX_EJECTION_S = 10.0
-"""How long an engine that failed a run is left alone; doubled with each failure in a row."""
+"""How long an engine that failed a run is ejected; the base time doubles with each failure in a
+row."""
 
 LOST_RUN_TIMEOUT_S = 30.0
-"""A run not heard of for this long is forgotten; longer than any deadline of the users."""
+"""A run without any report for this long is dropped; longer than any deadline of the users."""
 
 
 MIN_FOREIGN_LOAD_TTL_S = 1.0
-"""How long the work that a leaving scheduler has placed is counted at least: prompts are read by
-then, or told of no more."""
+"""Minimum time for which work placed by a scheduler that stepped down is counted: by then its
+prompts are read, or no further report about them will come."""
 
 
 class Run(NamedTuple):
-    """Hold what a run weighs on its engine; `prefill_s` counts until the first event.
+    """Hold the load that a run puts on its engine; `prefill_s` counts until the first event.
 
-    It is forgotten at `until`, in monotonic seconds, if its end is never told.
+    The run is dropped at `expires_at`, in monotonic seconds, if its end is never reported.
     """
 
     prefill_s: float
@@ -72,34 +76,34 @@
 
 
 class CachedPart(NamedTuple):
-    """Hold a prompt part that an engine keeps; `used_at` is in monotonic seconds."""
+    """Hold a prompt part that an engine has cached; `last_used_at` is in monotonic seconds."""
 
     tokens: int
     last_used_at: float
 
 
 class PromptKeys(NamedTuple):
-    """Hold by what a prompt's parts are known, with their lengths in tokens, and its length."""
+    """Hold the cache keys of a prompt's parts with their lengths, and its length, in tokens."""
 
     keys: tuple[tuple[str, int], ...]
     tokens_in: int
 
     @property
     def shared_keys(self) -> tuple[tuple[str, int], ...]:
-        """Return the parts that other requests may have too: all but the request's own."""
+        """Return the keys of the parts that other requests may share: all but the last one."""
         return self.keys[:-1]
 
 
 def prompt_keys(prompt: Prompt) -> PromptKeys:
-    """Return by what a prompt's parts are known: a part is kept for one model."""
+    """Return the cache keys of a prompt's parts; a part is cached per model."""
     keys = tuple((f'{prompt.model}/{part.id}', part.tokens) for part in prompt.parts)
     return PromptKeys(keys, prompt.tokens_in)
 
 
 class Engine:
-    """Hold one engine's runs and the prompt parts that were sent there.
+    """Track one engine's runs and the prompt parts that were sent there.
 
-    `draw` orders engines that cost the same.
+    `tie_breaker` orders engines of equal cost; `load_s` is the work that waits here, in seconds.
     """
 
     def __init__(self, *, replica: Replica, draw: int = 0) -> None:
@@ -114,28 +118,28 @@
         self.recent_starts = RecentStarts()
 
     def add_run(self, job_id: str, run: Run) -> None:
-        """Count a run in place of one of that name; `load_s` is the work that waits here."""
+        """Add a run and its load, in place of a run with the same identifier."""
         self.remove_run(job_id)
         self.runs[job_id] = run
         self.load_s += run.prefill_s + run.decode_s
 
     def remove_run(self, job_id: str) -> None:
-        """Count a run no more."""
+        """Remove a run and its load, if the run is known."""
         run = self.runs.pop(job_id, None)
         if run is not None:
             self.load_s -= run.prefill_s + run.decode_s
         if not self.runs:
-            # What sums of fractions leave over must not add up over days.
+            # Reset rounding errors, which would accumulate over days.
             self.load_s = 0.0
 
     def can_start_run(self, limit: StartLimit | None, now: float) -> bool:
-        """Tell whether one more run may begin here now."""
+        """Tell whether one more run may start here now; `limit` is `None` where none applies."""
         if limit is None:
             return True
         return self.recent_starts.count(now) < (limit.cold if self.replica.cold else limit.warm)
 
     def uncached_tokens(self, prompt: PromptKeys) -> int:
-        """Return the prompt tokens that would have to be read."""
+        """Return how many prompt tokens the engine would have to read after the cached prefix."""
         cached_tokens = 0
         for key, tokens in prompt.keys:
             if key not in self.cached_parts:
@@ -144,7 +148,10 @@
         return max(0, prompt.tokens_in - cached_tokens)
 
     def record_cached(self, prompt: PromptKeys, capacity: int, now: float) -> None:
-        """Note the parts that the engine holds once it has read a prompt."""
+        """Record a prompt's parts as cached and evict the least recently used ones.
+
+        `capacity` is the size of the engine's cache, in tokens.
+        """
         for key, tokens in prompt.keys:
             if key not in self.cached_parts:
                 self.cached_tokens += tokens
@@ -154,23 +161,23 @@
             self.cached_tokens -= self.cached_parts.popitem(last=False)[1].tokens
 
     def has_cached(self, key: str, now: float) -> bool:
-        """Tell whether the engine is believed to keep a part that was used lately."""
+        """Tell whether the engine is expected to have a part cached."""
         part = self.cached_parts.get(key)
         return part is not None and now - part.last_used_at < PREFIX_CACHE_TTL_S
 
 
 class EngineChoice(NamedTuple):
-    """Hold the engine chosen and the cost that decided, in seconds."""
+    """Hold the chosen engine and the expected time to the job's first event, in seconds."""
 
     engine: Engine
     cost_s: float
 
 
 class EnginePool:
-    """Hold the engines of one service.
+    """Hold the engines of one service and choose among them.
 
-    `salt` orders engines that cost the same: boxes that schedule without knowing of each other
-    would all choose the first one listed.
+    `salt` varies the order of engines of equal cost from box to box: boxes that schedule without
+    knowing of each other would all choose the first engine listed.
     """
 
     def __init__(
@@ -193,10 +200,11 @@
         self.known_engines: dict[str, Engine] = {}
 
     def set_replicas(self, usable: Iterable[Replica], alive: Container[str] = ()) -> None:
-        """Take in which engines may be chosen; of those that are only `alive` what is known stays.
+        """Set which engines may be chosen; keep the state of those that are only `alive`.
 
-        An engine of a zone that is taken out still runs streams and keeps prompts: when the zone is
-        given back both count, or its first jobs would go where most is at work.
+        An engine in a failure domain that is taken out still runs streams and has prompts cached.
+        Both count when the domain is restored; without them its first jobs would go to the busiest
+        engines.
         """
         listed = {replica.id: replica for replica in usable}
         self.known_engines = {name: item for name, item in self.known_engines.items() if name in alive}
@@ -208,25 +216,29 @@
         self.engines = {name: self.known_engines[name] for name in order}
 
     def create_engine(self, replica: Replica) -> Engine:
-        """Return an engine of which nothing is known."""
+        """Return an engine without any runs or cached parts."""
         return Engine(replica=replica, draw=zlib.crc32(f'{self.salt}/{replica.id}'.encode()))
 
     def on_activated(self, now: float) -> None:
-        """Note that another box may have placed runs until now, and may do so a moment longer."""
+        """Record that another box may have placed runs until now, and may do so a moment longer."""
         self.exclusive_from = now + START_WINDOW_S
 
     def current_start_limit(self, now: float) -> StartLimit | None:
-        """Return how many runs this scheduler may let begin at an engine."""
+        """Return how many runs this scheduler may start per engine, `None` without a limit."""
         if self.start_limit is None or now >= self.exclusive_from:
             return self.start_limit
         return self.start_limit.per_scheduler()
 
     def has_engine_for(self, job: Job) -> bool:
-        """Tell whether there is an engine at all that a job may run on."""
+        """Tell whether any engine may run a job, even if all are busy now."""
         return any(name not in job.place.exclude for name in self.engines)
 
     def choose(self, job: Job, now: float) -> EngineChoice | None:
-        """Return the engine that costs least, all its work and all transfers counted."""
+        """Return the engine of least cost for a job, `None` if no engine accepts it now.
+
+        The cost is the time to the first event plus the cost of transfers and of recomputation.
+        Engines that failed or turned runs away recently are used only if there is no other.
+        """
         inputs = job.final_results()
         start_limit = self.current_start_limit(now)
         usable = [
@@ -255,7 +267,10 @@
         return EngineChoice(engine, first_event_s)
 
     def accepts_run(self, engine: Engine, job: Job, now: float) -> bool:
-        """Tell whether an engine takes a run from a job's box now."""
+        """Tell whether an engine accepts a run from a job's box now.
+
+        It does not while the box backs off, while a trial run is pending, or without a permit.
+        """
         replica = engine.replica.id
         backing_off = self.backoffs.is_backing_off(job.place.reply_to, replica, now)
         if backing_off or self.backoffs.in_trial(replica, now):
@@ -263,23 +278,23 @@
         return self.permits.opens_in_s(engine.replica) <= 0
 
     def is_healthy(self, engine: Engine, now: float) -> bool:
-        """Tell whether an engine has neither failed nor turned away runs of late."""
+        """Tell whether an engine has neither failed nor turned away runs recently."""
         avoided = self.backoffs.is_avoided(engine.replica.id, now)
         return engine.ejected_until <= now and not avoided
 
     def min_backoff_s(self, job: Job, now: float) -> float:
-        """Return when the first engine takes a run from a job's box, 0 for now."""
+        """Return the seconds until the first engine accepts a run from a job's box, 0 for now."""
         replica_ids = (name for name in self.engines if name not in job.place.exclude)
         return self.backoffs.min_remaining_s(job.place.reply_to, replica_ids, now)
 
     def permit_wait_s(self, job: Job, ahead: int) -> float:
-        """Return when the first engine may be called for a job, behind so many others."""
+        """Return the seconds until an engine may be called for a job behind `ahead` others."""
         exclude = job.place.exclude
         usable = [item.replica for name, item in self.engines.items() if name not in exclude]
         return self.permits.wait_s(usable, ahead)
 
     def min_first_event_s(self, job: Job, now: float) -> float:
-        """Return when the first event of a job would come from the best engine of the moment."""
+        """Return the least time to a job's first event over all healthy engines, in seconds."""
         prompt = prompt_keys(job.place.prompt)
         healthy = [item for item in self.engines.values() if item.ejected_until <= now]
         box = job.place.reply_to
@@ -296,7 +311,7 @@
     def transfer_cost_s(
         self, engine: Engine, prompt: PromptKeys, inputs: list[Result], cached_keys: set[str], now: float
     ) -> float:
-        """Return what else a job costs on an engine: results moved and parts read again."""
+        """Return the cost of moving a job's results and of recomputing cached parts, in seconds."""
         zone = engine.replica.zone
         moved_bytes = sum(item.size for item in inputs if item.zone != zone)
         recomputed_tokens = sum(
@@ -305,12 +320,12 @@
         return moved_bytes * TRANSFER_COST_S_PER_BYTE + recomputed_tokens * RECOMPUTE_COST_S_PER_TOKEN
 
     def cached_shared_keys(self, prompt: PromptKeys, now: float) -> set[str]:
-        """Return the shared parts of a prompt that any engine keeps."""
+        """Return the shared parts of a prompt that at least one engine has cached."""
         engines = self.engines.values()
         return {key for key, _ in prompt.shared_keys if any(item.has_cached(key, now) for item in engines)}
 
     def start_run(self, choice: EngineChoice, job: Job, now: float) -> None:
-        """Count a run on its engine."""
+        """Record a job's run on the chosen engine."""
         engine, prompt = choice.engine, prompt_keys(job.place.prompt)
         prefill_s = engine.uncached_tokens(prompt) * PREFILL_S_PER_TOKEN
         decode_s = job.place.prompt.tokens_out * DECODE_S_PER_TOKEN
@@ -320,7 +335,7 @@
         engine.record_cached(prompt, self.kv_tokens, now)
 
     def on_run_started(self, replica_id: str, job_id: str, placed_at: float, now: float) -> None:
-        """Note that an engine has read a prompt, and so works well."""
+        """Record that an engine has read a run's prompt, which shows that the engine is healthy."""
         self.backoffs.on_started(replica_id, placed_at, now)
         engine = self.known_engines.get(replica_id)
         run = engine.runs.get(job_id) if engine else None
@@ -330,12 +345,12 @@
         engine.add_run(job_id, run._replace(prefill_s=0.0))
 
     def on_run_turned_away(self, replica_id: str, job_id: str, now: float) -> None:
-        """Take a run off the engine that would not take it."""
+        """Remove a run that its engine turned away, and avoid the engine for a while."""
         self.backoffs.on_turned_away(replica_id, now)
         self.on_run_ended(replica_id, job_id, failed=False, now=now)
 
     def on_run_ended(self, replica_id: str, job_id: str, *, failed: bool, now: float) -> None:
-        """Take a run off its engine; a failure leaves the engine alone for a while."""
+        """Remove a run from its engine; a failure ejects the engine and clears its cached parts."""
         engine = self.known_engines.get(replica_id)
         if engine is None:
             return
@@ -348,7 +363,7 @@
             engine.cached_tokens = 0
 
     def loads(self) -> dict[str, float]:
-        """Return the work that waits at each engine, in seconds."""
+        """Return the work that waits at each engine with runs, in seconds by replica."""
         return {name: engine.load_s for name, engine in self.engines.items() if engine.runs}
 
     def on_foreign_load(self, sender: str, replica_id: str, load_s: float, now: float) -> None:
@@ -358,7 +373,7 @@
             engine.add_run(f'of {sender}', Run(load_s, 0.0, now + max(MIN_FOREIGN_LOAD_TTL_S, load_s)))
 
     def expire_lost_runs(self, now: float) -> None:
-        """Drop runs whose end was never told."""
+        """Drop runs whose end was never reported."""
         for engine in self.known_engines.values():
             for job_id, run in list(engine.runs.items()):
                 if run.expires_at <= now:
--- a/packages/core/calicopath_core/scheduling/groups.py
+++ b/packages/core/calicopath_core/scheduling/groups.py
@@ -1,13 +1,13 @@
-"""Split boxes and replicas into groups, each with a scheduler of its own, when one can't bear all.
-
-One view of the fleet is worth much: with two groups of 98 boxes, each seeing half of 11 to 21 stage
-replicas in six zones, twice as many bytes moved between zones and days with faults earned 0.09
-less. So there is one group until the box that schedules finds its own event loop late for seconds,
-and one more each time that happens again. How many there are is told with every sign of life: the
-newest count is in force. Groups are made of whole zones, so that what a job reads stays near; a
-group that has too little of a service calls replicas of the others too. Every box works the groups
-out by itself from the same lists; where two disagree for a moment two schedulers call the same
-replica, which costs efficiency only.
+"""Split boxes and replicas into groups, one scheduler each, when a single scheduler is overloaded.
+
+One view of the whole fleet schedules best: with two groups of 98 boxes, each seeing half of 11 to
+21 stage replicas in six failure domains, twice as many bytes moved between domains and days with
+faults earned 0.09 less. The fleet therefore is one group until the scheduler finds its own event
+loop late for seconds, and gets one more group each time that happens again. Every heartbeat carries
+the group count, and the newest count is in force. Groups consist of whole failure domains, so that
+a job's inputs stay near; a group with too few replicas of a service calls those of other groups
+too. Every box computes the groups by itself from the same lists. Where two boxes disagree for a
+moment, two schedulers call the same replica, which only costs efficiency.
 """
 
 from __future__ import annotations
@@ -27,40 +27,41 @@
     from calicopath_core.fleet.replicas import Replica
 
 OVERLOAD_LAG_S = 0.05
-"""How late a scheduler's event loop is on average when it has too much to do: a job goes through
-some ten decisions, so half a second of its objective is lost."""
+"""Average event loop lag of an overloaded scheduler. A job takes about ten decisions, so it loses
+half a second of its objective."""
 
 OVERLOAD_DURATION_S = 5.0
-"""How long it must have been so: a start of all boxes or a burst of returning callers is over by
-then, and each change of groups hands work over."""
+"""How long the lag must last before a split. A start of all boxes or a burst of returning callers
+is over by then, and each change of groups hands work over."""
 
 IDLE_LAG_S = 0.005
 IDLE_DURATION_S = 60.0
-"""How late at most, and for how long, before two groups are joined again; doubled each time that a
-fleet had to be split again."""
+"""Two groups are merged once the lag has stayed below `IDLE_LAG_S` for this long; the duration
+doubles each time that the fleet had to be split again."""
 
 MAX_GROUPS = 32
-"""More than failure domains at the size designed for (26): beyond that groups lack replicas."""
+"""More than the failure domains at the design size (26); with more groups each lacks replicas."""
 
 MIN_REPLICA_SHARE = 0.5
-"""A group with less than this part of its even share of a service's replicas calls all of them."""
+"""A group with less than this fraction of its even share of a service's replicas calls all of
+them."""
 
 HASH_CACHE_SIZE = 65536
 
 
 class GroupCount(msgspec.Struct, frozen=True, array_like=True):
-    """Say into how many groups the fleet is split; a higher `epoch` is newer."""
+    """Hold the number of groups that the fleet is split into; a higher `epoch` is newer."""
 
     epoch: int = 0
     groups: int = 1
 
     def newer(self, other: GroupCount) -> GroupCount:
-        """Return the newer of two counts, the larger one of the same epoch."""
+        """Return the newer of two counts, the larger one if their epochs are equal."""
         return max(self, other, key=lambda item: (item.epoch, item.groups))
 
 
 class GroupPolicy:
-    """Decide from what a scheduler measures of itself when the fleet is split or joined."""
+    """Decide from the scheduler's own event loop lag when the fleet is split or merged."""
 
     def __init__(self, *, clock: Clock) -> None:
         self.lag = LoopLag(clock=clock)
@@ -69,7 +70,7 @@
         self.merge_count = 0
 
     def next_count(self, count: GroupCount, *, is_leader: bool, now: float) -> GroupCount:
-        """Return what count should be in force; only the scheduler that `leads` joins groups."""
+        """Return the count that should be in force; only the leader merges groups."""
         self.overloaded_since = since(self.overloaded_since, self.lag.value_s > OVERLOAD_LAG_S, now)
         self.idle_since = since(self.idle_since, self.lag.value_s < IDLE_LAG_S, now)
         if has_lasted(self.overloaded_since, OVERLOAD_DURATION_S, now) and count.groups < MAX_GROUPS:
@@ -83,27 +84,28 @@
         return count
 
     def reset(self) -> None:
-        """Forget what was measured: it belongs to another split, or to another's time."""
+        """Discard the measurements, which belong to another split or another scheduler's term."""
         self.overloaded_since = self.idle_since = None
         self.lag.value_s = 0.0
 
 
 def since(previous: float | None, holds: bool, now: float) -> float | None:
-    """Return from when on something holds, nothing if it does not."""
+    """Return when a condition began to hold, `None` if it does not hold now."""
     if not holds:
         return None
     return now if previous is None else previous
 
 
 def has_lasted(started_at: float | None, for_s: float, now: float) -> bool:
-    """Tell whether something holds for so long."""
+    """Tell whether a condition that began at `started_at` has held for `for_s` seconds."""
     return started_at is not None and now - started_at >= for_s
 
 
 class ZoneGroups:
-    """Say which group names in failure domains belong to.
+    """Assign boxes and replicas to groups by failure domain.
 
-    With fewer groups than zones each group has whole zones; with more, a zone has several groups.
+    With fewer groups than failure domains each group has whole domains; with more, a domain has
+    several groups.
     """
 
     def __init__(self, *, zones: Iterable[str], groups: int) -> None:
@@ -112,7 +114,7 @@
         self.numbers = {zone: number for number, zone in enumerate(self.zones)}
 
     def group_of(self, name: str, zone: str) -> int:
-        """Return a group; a zone that no box is in counts with the first."""
+        """Return the group of a name; a domain without boxes counts as the first one."""
         if self.groups == 1 or not self.zones:
             return 0
         number = self.numbers.get(zone, 0)
@@ -122,7 +124,7 @@
         return max(groups, key=functools.partial(rendezvous_hash, name))
 
     def share_of(self, replicas: Sequence[Replica], group: int) -> list[Replica]:
-        """Return those of a service's replicas that a group calls."""
+        """Return the replicas of a service that a group calls; all if its own are too few."""
         own = [item for item in replicas if self.group_of(item.id, item.zone) == group]
         min_count = MIN_REPLICA_SHARE * len(replicas) / self.groups
         return own if len(own) >= min_count and own else list(replicas)
@@ -130,5 +132,5 @@
 
 @functools.lru_cache(maxsize=HASH_CACHE_SIZE)
 def rendezvous_hash(name: str, group: int) -> bytes:
-    """Return by what a name orders groups, and groups order names."""
+    """Return the weight of a name and a group, by which names rank groups and groups rank names."""
     return hashlib.blake2b(f'{group}/{name}'.encode(), digest_size=8).digest()
--- a/packages/core/calicopath_core/scheduling/pacing.py
+++ b/packages/core/calicopath_core/scheduling/pacing.py
@@ -1,9 +1,9 @@
-"""Hold jobs back whose later stages have enough to do: results that wait only take room.
+"""Hold jobs back while their later stages have enough work, since waiting results only use memory.
 
-Answers more load than the stages can bear: half-done work would take the room of makers and the
-calls of others. But what is held back too much leaves calls half empty: a stage's pieces are on
-their way for as long as the phases before it take, so that much has to be begun ahead of it, and
-a little more to fill its calls, as far as the jobs have time to wait there.
+Under more load than the stages can bear, half-done work would take the makers' memory and the calls
+of other jobs. Holding back too much leaves calls partly empty: a stage's pieces take as long to
+arrive as the phases before it, so that much work must be started ahead of the stage. A little more
+fills its calls, as far as the jobs have time to wait there.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
     from calicopath_core.scheduling.stages import StageQueue
 
 SLACK_SHARE = 0.15
-"""The part of a job's time to spare for which more work may be begun ahead of a stage than is on
-its way there, up to one call. With 0.8 s of work for every stage, whatever comes before it, calls
-of a third stage were filled to 0.8 while jobs waited before the first one: in a burst of everybody
-(70 engines, replay) the least urgent kind earned 0.75 of its worth in place of 0.85. With a whole
-call for all, jobs that have 1 s to spare became late behind it: where half of a stage was gone all
-earned 0.825 in place of 0.841 (six boxes, replay)."""
+"""Share of a job's slack for which more work than is in transit may be started ahead of a stage, up
+to one call. With 0.8 s of work ahead of every stage, calls of a third stage were filled to 0.8
+while jobs waited before the first one: in a burst of all callers (70 engines, replay) the least
+urgent kind earned 0.75 of its worth instead of 0.85. With a whole call ahead for all, jobs with 1 s
+of slack became late behind it: with half of a stage lost all earned 0.825 instead of 0.841 (six
+boxes, replay)."""
 
 RECHECK_INTERVAL_S = 0.02
-"""How long a look at all jobs holds. At 74 boxes calls are decided on every 3 ms, and looking each
-time took two thirds of the scheduler's processor time."""
+"""How long the set of held jobs is reused. At 74 boxes calls are decided every 3 ms, and computing
+the set each time took two thirds of the scheduler's processor time."""
 
 
 class Pacing:
@@ -38,14 +38,14 @@
         self.checked_at = -RECHECK_INTERVAL_S
 
     def held_jobs(self, jobs: Iterable[Job], queues: Mapping[str, StageQueue], now: float) -> set[str]:
-        """Return the jobs that wait, as found a moment ago at most."""
+        """Return the identifiers of the jobs that must wait, at most `RECHECK_INTERVAL_S` old."""
         if now - self.checked_at >= RECHECK_INTERVAL_S:
             self.last_held = self.find_held(jobs, queues)
             self.checked_at = now
         return self.last_held
 
     def find_held(self, jobs: Iterable[Job], queues: Mapping[str, StageQueue]) -> set[str]:
-        """Return the jobs not begun that would wait at a later stage behind what is begun."""
+        """Return the unstarted jobs that would wait at a later stage behind started ones."""
         open_jobs = [job for job in jobs if job.placed_on is None and not job.ended]
         unstarted = [job for job in open_jobs if not job.begun and not job.resumed]
         if not unstarted:
@@ -63,7 +63,7 @@
     rates: Mapping[str, float],
     queues: Mapping[str, StageQueue],
 ) -> bool:
-    """Tell whether a later stage of a job has enough to do, by pieces begun ahead of it."""
+    """Tell whether the pieces started ahead of a job give one of its later stages enough work."""
     if not job.ahead_s:
         job.ahead_s = max_ahead_s(job, queues)
     return any(
@@ -74,7 +74,7 @@
 
 
 class Precedence(NamedTuple):
-    """Say by what a job goes before others in the long run, least first."""
+    """Hold the sort key that orders jobs over time, least first."""
 
     beyond: bool
     priority: int
@@ -86,42 +86,42 @@
 
 
 def max_ahead_s(job: Job, queues: Mapping[str, StageQueue]) -> dict[int, float]:
-    """Return for each phase how many seconds of full calls may be begun ahead of its stage."""
+    """Return for each phase how many seconds of full calls may be started ahead of its stage."""
     upstream_durations_s = upstream_duration_s(job, queues)
     total_s = max(job.tail_s.values(), default=0.0)
     slack_s = max(0.0, job.place.objective_s - total_s)
-    found = {}
+    ahead_s = {}
     for number, phase in enumerate(job.place.phases):
         queue = queues.get(phase.service)
         call_s = queue.expected_s(queue.spec.batch) if queue is not None else 0.0
-        found[number] = upstream_durations_s[number] + min(call_s, SLACK_SHARE * slack_s)
-    return found
+        ahead_s[number] = upstream_durations_s[number] + min(call_s, SLACK_SHARE * slack_s)
+    return ahead_s
 
 
 def upstream_duration_s(job: Job, queues: Mapping[str, StageQueue]) -> dict[int, float]:
-    """Return for each phase how long the phases before it usually take."""
-    found: dict[int, float] = {}
+    """Return for each phase how long the phases before it usually take, in seconds."""
+    start_s: dict[int, float] = {}
     for number, phase in enumerate(job.place.phases):
-        ends = (found[need] + usual_call_s(job, need, queues) for need in phase.needs)
-        found[number] = max(ends, default=0.0)
-    return found
+        ends = (start_s[need] + usual_call_s(job, need, queues) for need in phase.needs)
+        start_s[number] = max(ends, default=0.0)
+    return start_s
 
 
 def usual_call_s(job: Job, number: int, queues: Mapping[str, StageQueue]) -> float:
-    """Return what a phase's call usually takes; one without pieces takes nothing."""
+    """Return the usual duration of a phase's call, 0 for a phase without pieces."""
     phase = job.place.phases[number]
     queue = queues.get(phase.service)
     return queue.usual_s() if queue is not None and phase.pieces else 0.0
 
 
 def full_batch_rate(queue: StageQueue) -> float:
-    """Return the pieces a second that a stage's replicas make with full calls."""
+    """Return the pieces per second that a stage's replicas complete with full calls."""
     batch = queue.spec.batch
     return batch * queue.calls_per_s(queue.replicas.values(), batch)
 
 
 def waiting_pieces(begun: Iterable[Job], limit: Precedence) -> dict[str, int]:
-    """Return the pieces by service that go before a job of some precedence."""
+    """Return the uncalled pieces by service of the jobs up to a precedence."""
     pieces: dict[str, int] = defaultdict(int)
     for job in begun:
         if precedence(job) <= limit:
--- a/packages/core/calicopath_core/scheduling/succession.py
+++ b/packages/core/calicopath_core/scheduling/succession.py
@@ -1,4 +1,4 @@
-"""Hand jobs over between schedulers, with what is made of them and what was learned."""
+"""Hand jobs over between schedulers, with their results and the learned estimates."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 
 class Succession:
-    """Hold which scheduler comes after this one, if it gives way."""
+    """Hand jobs over to the `successor`, which is `None` while this box schedules."""
 
     def __init__(self, *, scheduler: Scheduler) -> None:
         self.scheduler = scheduler
         self.successor: str | None = None
 
     def activate(self) -> None:
-        """Schedule what comes."""
+        """Start scheduling."""
         self.successor = None
         self.scheduler.boards.on_activated(self.scheduler.clock.monotonic())
 
     def step_down(self, successor: str) -> None:
-        """Hand every job to another scheduler as soon as no call for it is under way.
+        """Hand every job to the successor as soon as no call for the job is in progress.
 
-        A job that was handed to this one stays: two boxes that each take the other for the
-        scheduler would send it to and fro.
+        A job that was handed to this scheduler stays: two boxes that each take the other for the
+        scheduler would send it back and forth.
         """
         self.successor = successor
         self.send_estimates(successor)
@@ -38,7 +38,7 @@
                 self.hand_over(job)
 
     def send_estimates(self, successor: str) -> None:
-        """Tell the next scheduler what waits at engines, and what this one has learned."""
+        """Send the successor the load at the engines and the learned estimates."""
         scheduler = self.scheduler
         loads = scheduler.boards.loads()
         if loads:
@@ -55,7 +55,7 @@
             scheduler.send(successor, learned)
 
     def hand_over(self, job: Job) -> None:
-        """Give a job with what is made of it to the next scheduler."""
+        """Hand a job with its results to the successor, unless calls for it are in progress."""
         scheduler, successor = self.scheduler, self.successor
         if job.open_calls or job.placed_on is not None or successor is None:
             return
@@ -77,7 +77,7 @@
         scheduler.forget(job)
 
     def on_adopt(self, message: Adopt) -> None:
-        """Go on with a job that another scheduler has begun."""
+        """Continue a job that another scheduler has started."""
         scheduler = self.scheduler
         if message.place.job in scheduler.jobs:
             return
@@ -95,7 +95,7 @@
         scheduler.advance(job)
 
     def restore_results(self, job: Job, message: Adopt, now: float) -> None:
-        """Take in what is made of a job, and count the room that it takes."""
+        """Record the results that a job already has, and reserve the memory that they occupy."""
         for item in message.results:
             made = Result(
                 handle=item.handle, maker=item.maker, zone=item.zone, size=item.size, made_at=now
@@ -108,12 +108,12 @@
                 queue.book(item.maker, item.handle, item.size, now)
 
     def on_engine_loads(self, message: EngineLoads) -> None:
-        """Take in what a leaving scheduler has placed."""
+        """Record the load that a scheduler which steps down has placed at the engines."""
         now = self.scheduler.clock.monotonic()
         self.scheduler.boards.on_foreign_loads(message.sender, message.loads, now)
 
     def on_learned(self, message: Learned) -> None:
-        """Take in what a leaving scheduler has learned, unless this one has seen enough itself."""
+        """Take over another scheduler's estimates, unless this one has enough of its own."""
         scheduler = self.scheduler
         now = scheduler.clock.monotonic()
         if not scheduler.allowances.restore(message.taken, now):
--- a/packages/core/calicopath_core/scheduling/tests/admission_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/admission_tests.py
@@ -1,4 +1,4 @@
-"""Test who is let in, who is told to come back when, and who waits before the first stage."""
+"""Test which jobs are admitted, when refused callers retry, and which jobs pacing holds back."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 LATER = GATHER_S + 0.01
 
 
-def crowd(count: int, **changes: Any) -> list[Any]:
+def waiting_jobs(count: int, **changes: Any) -> list[Any]:
     """Return jobs that wait for the same stage."""
     return [job(f'other-{number}', phase(count=4), **changes) for number in range(count)]
 
@@ -25,18 +25,17 @@
         self.queues = {'look': queue(replica('r'))}
         self.admission = Admission()
 
-    def judge(self, item: Any, others: list[Any]) -> Any:
-        """Return the verdict on a job."""
+    def decide(self, item: Any, others: list[Any]) -> Any:
         return self.admission.decide(item, others, self.queues, 0.1, 0.0)
 
     def test_a_job_that_can_be_made_in_time_is_let_in(self) -> None:
-        self.assertTrue(self.judge(job('one', phase()), []).admitted)
+        self.assertTrue(self.decide(job('one', phase()), []).admitted)
 
     def test_one_that_would_be_far_too_late_is_told_when_to_come_back(self) -> None:
-        verdict = self.judge(job('one', phase()), crowd(40))
-        self.assertFalse(verdict.admitted)
-        self.assertGreaterEqual(verdict.retry_after_s, MIN_RETRY_AFTER_S)
-        self.assertLessEqual(verdict.retry_after_s, MAX_RETRY_SHARE * 8.0)
+        decision = self.decide(job('one', phase()), waiting_jobs(40))
+        self.assertFalse(decision.admitted)
+        self.assertGreaterEqual(decision.retry_after_s, MIN_RETRY_AFTER_S)
+        self.assertLessEqual(decision.retry_after_s, MAX_RETRY_SHARE * 8.0)
 
     def test_callers_refused_together_come_back_apart(self) -> None:
         waits = {self.admission.retry_after_s(job(f'one-{n}', phase()), 1.0, 0.0) for n in range(20)}
@@ -46,38 +45,38 @@
 
     def test_room_is_expected_when_what_goes_before_is_made(self) -> None:
         item = job('one', phase())
-        waits = [self.admission.backlog_wait_s(item, crowd(n), self.queues, 0.0) for n in (0, 10, 20)]
+        waits = [self.admission.backlog_wait_s(item, waiting_jobs(n), self.queues, 0.0) for n in (0, 10, 20)]
         self.assertEqual(0.0, waits[0])
         self.assertAlmostEqual(40 / self.queues['look'].rate(), waits[1])
         self.assertAlmostEqual(2 * waits[1], waits[2])
 
     def test_work_of_lower_rank_is_not_in_its_way(self) -> None:
-        self.assertTrue(self.judge(job('one', phase(), priority=0), crowd(40, priority=5)).admitted)
+        self.assertTrue(self.decide(job('one', phase(), priority=0), waiting_jobs(40, priority=5)).admitted)
 
     def test_work_that_is_late_is_not_in_its_way(self) -> None:
-        late = crowd(40, objective_s=-0.1)
-        self.assertTrue(self.judge(job('one', phase()), late).admitted)
-        hopeless = crowd(40, objective_s=0.5)
-        for other in hopeless:
+        late = waiting_jobs(40, objective_s=-0.1)
+        self.assertTrue(self.decide(job('one', phase()), late).admitted)
+        expected_late = waiting_jobs(40, objective_s=0.5)
+        for other in expected_late:
             other.tail_s = {0: 0.6}
-        self.assertTrue(self.judge(job('two', phase()), hopeless).admitted)
+        self.assertTrue(self.decide(job('two', phase()), expected_late).admitted)
 
     def test_one_that_will_be_late_is_let_in_if_its_caller_waits_that_long(self) -> None:
         late = job('one', phase(), objective_s=0.1)
-        verdict = self.judge(late, crowd(12))
-        self.assertTrue(verdict.admitted)
-        self.assertGreater(verdict.expected_s, late.objective_at)
-        self.assertFalse(self.judge(job('two', phase(), deadline_s=2.0), crowd(12)).admitted)
+        decision = self.decide(late, waiting_jobs(12))
+        self.assertTrue(decision.admitted)
+        self.assertGreater(decision.expected_s, late.objective_at)
+        self.assertFalse(self.decide(job('two', phase(), deadline_s=2.0), waiting_jobs(12)).admitted)
 
     def test_one_that_an_earlier_scheduler_had_let_in_is_let_in(self) -> None:
-        self.assertTrue(self.judge(job('one', phase(), asked_before=True), crowd(12)).admitted)
+        self.assertTrue(self.decide(job('one', phase(), asked_before=True), waiting_jobs(12)).admitted)
 
     def test_nobody_is_let_in_who_cannot_be_made_before_the_deadline(self) -> None:
-        self.assertFalse(self.judge(job('one', phase(), asked_before=True), crowd(60)).admitted)
+        self.assertFalse(self.decide(job('one', phase(), asked_before=True), waiting_jobs(60)).admitted)
 
     def test_a_broken_stream_and_one_without_stages_are_always_let_in(self) -> None:
-        self.assertTrue(self.judge(job('one', phase(), resumed=True), crowd(60)).admitted)
-        self.assertTrue(self.judge(job('two'), crowd(60)).admitted)
+        self.assertTrue(self.decide(job('one', phase(), resumed=True), waiting_jobs(60)).admitted)
+        self.assertTrue(self.decide(job('two'), waiting_jobs(60)).admitted)
 
     def test_the_estimate_follows_what_jobs_take_within_bounds(self) -> None:
         item = job('one', phase())
@@ -89,7 +88,7 @@
 
 class Pace(testtools.TestCase):
     def held(self, begun: int) -> set[str]:
-        """Return what is held behind so many begun jobs."""
+        """Return the jobs held back behind some started jobs."""
         queues = {'look': queue(replica('r')), 'rank': queue(replica('s'))}
         chain = (phase('look'), phase('rank', (0,), count=4))
         jobs = [job(f'begun-{number}', *chain) for number in range(begun)]
--- a/packages/core/calicopath_core/scheduling/tests/estimates_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/estimates_tests.py
@@ -1,4 +1,4 @@
-"""Test that what is believed follows what is seen, slowly and within bounds."""
+"""Test that estimates follow observations slowly and within bounds."""
 
 from __future__ import annotations
 
--- a/packages/core/calicopath_core/scheduling/tests/fairness_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/fairness_tests.py
@@ -1,4 +1,4 @@
-"""Test what a workspace may ask beyond its usual, alone and in a replayed flood."""
+"""Test the allowances of workspaces, alone and in a replayed flood."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
         self.allowances = Allowances()
         self.now = 0.0
 
-    def ask(self, for_s: float, **rates: float) -> dict[str, float]:
-        """Let workspaces ask so often a second; return the share of each that is beyond."""
+    def charge_rates(self, for_s: float, **rates: float) -> dict[str, float]:
+        """Charge requests at some rates per second; return each workspace's share of excess."""
         asked = dict.fromkeys(rates, 0)
         beyond = dict.fromkeys(rates, 0)
         due = dict.fromkeys(rates, 0.0)
@@ -41,35 +41,35 @@
         return {name: beyond[name] / max(1, asked[name]) for name in rates}
 
     def test_a_flood_is_beyond_and_what_others_ask_is_not(self) -> None:
-        self.ask(20.0, large=10.0, small=2.0, other=5.0)
-        found = self.ask(10.0, large=10.0, small=15.0, other=5.0)
+        self.charge_rates(20.0, large=10.0, small=2.0, other=5.0)
+        found = self.charge_rates(10.0, large=10.0, small=15.0, other=5.0)
         self.assertGreater(found['small'], 0.5)
         self.assertEqual((0.0, 0.0), (found['large'], found['other']))
 
     def test_a_large_workspace_is_no_flood(self) -> None:
-        found = self.ask(30.0, large=40.0, small=1.0, other=2.0)
+        found = self.charge_rates(30.0, large=40.0, small=1.0, other=2.0)
         self.assertEqual(0.0, max(found.values()))
 
     def test_a_burst_of_everybody_floods_nobody(self) -> None:
-        self.ask(20.0, large=10.0, small=2.0, other=5.0)
-        found = self.ask(6.0, large=25.0, small=5.0, other=12.5)
+        self.charge_rates(20.0, large=10.0, small=2.0, other=5.0)
+        found = self.charge_rates(6.0, large=25.0, small=5.0, other=12.5)
         self.assertEqual(0.0, max(found.values()))
 
     def test_a_workspace_that_has_grown_for_good_is_served_like_others(self) -> None:
-        self.ask(20.0, grown=2.0, other=10.0)
-        self.ask(5 * USUAL_WINDOW_S, grown=8.0, other=10.0)
-        self.assertEqual(0.0, self.ask(10.0, grown=8.0, other=10.0)['grown'])
+        self.charge_rates(20.0, grown=2.0, other=10.0)
+        self.charge_rates(5 * USUAL_WINDOW_S, grown=8.0, other=10.0)
+        self.assertEqual(0.0, self.charge_rates(10.0, grown=8.0, other=10.0)['grown'])
 
     def test_nothing_is_beyond_while_the_past_is_not_known(self) -> None:
-        found = self.ask(LEARNING_PERIOD_S - 1, one=20.0, other=1.0)
+        found = self.charge_rates(LEARNING_PERIOD_S - 1, one=20.0, other=1.0)
         self.assertEqual(0.0, max(found.values()))
 
     def test_the_next_scheduler_goes_by_what_was_usual(self) -> None:
-        self.ask(20.0, small=2.0, other=10.0)
+        self.charge_rates(20.0, small=2.0, other=10.0)
         taken = self.allowances.usual_rates(self.now)
         self.allowances = Allowances()
         self.allowances.restore(taken, self.now)
-        found = self.ask(6.0, small=15.0, other=10.0)
+        found = self.charge_rates(6.0, small=15.0, other=10.0)
         self.assertGreater(found['small'], 0.5)
         self.assertEqual(0.0, found['other'])
 
--- a/packages/core/calicopath_core/scheduling/tests/groups_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/groups_tests.py
@@ -1,4 +1,4 @@
-"""Test when a fleet is split, how boxes and replicas are shared out, and how boxes agree on it."""
+"""Test when the fleet is split, how boxes and replicas are assigned, and that boxes agree on it."""
 
 from __future__ import annotations
 
@@ -28,43 +28,43 @@
 class Rule(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.rule = GroupPolicy(clock=VirtualClock())
+        self.policy = GroupPolicy(clock=VirtualClock())
         self.count = GroupCount()
         self.now = 0.0
 
-    def live(self, lag_s: float, for_s: float, *, leads: bool = True) -> int:
-        """Let a scheduler be so late for so long and return how many groups there are then."""
+    def run_with_lag(self, lag_s: float, for_s: float, *, is_leader: bool = True) -> int:
+        """Apply an event loop lag for some time; return the number of groups after it."""
         until = self.now + for_s
         while self.now < until:
             self.now += STEP_S
             for _ in range(NOTES_A_STEP):
-                self.rule.lag.note(lag_s)
-            self.count = self.rule.next_count(self.count, is_leader=leads, now=self.now)
+                self.policy.lag.note(lag_s)
+            self.count = self.policy.next_count(self.count, is_leader=is_leader, now=self.now)
         return self.count.groups
 
     def test_a_scheduler_that_is_late_for_seconds_has_the_fleet_split(self) -> None:
-        self.assertEqual(2, self.live(3 * OVERLOAD_LAG_S, OVERLOAD_DURATION_S + 1))
+        self.assertEqual(2, self.run_with_lag(3 * OVERLOAD_LAG_S, OVERLOAD_DURATION_S + 1))
 
     def test_one_that_still_is_has_it_split_again_and_not_without_end(self) -> None:
-        self.assertEqual(MAX_GROUPS, self.live(MAX_SAMPLE_S, 100 * OVERLOAD_DURATION_S))
+        self.assertEqual(MAX_GROUPS, self.run_with_lag(MAX_SAMPLE_S, 100 * OVERLOAD_DURATION_S))
 
     def test_a_pause_or_a_start_of_all_boxes_changes_nothing(self) -> None:
-        self.assertEqual(1, self.live(30.0, STEP_S))
-        self.live(0.0, 1.0)
-        self.assertEqual(1, self.live(0.3, OVERLOAD_DURATION_S - 1))
-        self.assertEqual(1, self.live(0.0, OVERLOAD_DURATION_S))
+        self.assertEqual(1, self.run_with_lag(30.0, STEP_S))
+        self.run_with_lag(0.0, 1.0)
+        self.assertEqual(1, self.run_with_lag(0.3, OVERLOAD_DURATION_S - 1))
+        self.assertEqual(1, self.run_with_lag(0.0, OVERLOAD_DURATION_S))
 
     def test_groups_are_joined_after_a_long_calm_by_the_first_of_all_boxes(self) -> None:
-        self.live(3 * OVERLOAD_LAG_S, OVERLOAD_DURATION_S + 1)
-        self.assertEqual(2, self.live(0.0, 2 * IDLE_DURATION_S, leads=False))
-        self.assertEqual(1, self.live(0.0, 2 * IDLE_DURATION_S))
+        self.run_with_lag(3 * OVERLOAD_LAG_S, OVERLOAD_DURATION_S + 1)
+        self.assertEqual(2, self.run_with_lag(0.0, 2 * IDLE_DURATION_S, is_leader=False))
+        self.assertEqual(1, self.run_with_lag(0.0, 2 * IDLE_DURATION_S))
 
     def test_a_fleet_that_had_to_be_split_again_is_joined_later(self) -> None:
         for _ in range(2):
-            self.live(3 * OVERLOAD_LAG_S, OVERLOAD_DURATION_S + 1)
-            self.live(0.0, IDLE_DURATION_S + 5)
+            self.run_with_lag(3 * OVERLOAD_LAG_S, OVERLOAD_DURATION_S + 1)
+            self.run_with_lag(0.0, IDLE_DURATION_S + 5)
         self.assertEqual(2, self.count.groups)
-        self.assertEqual(1, self.live(0.0, IDLE_DURATION_S + 5))
+        self.assertEqual(1, self.run_with_lag(0.0, IDLE_DURATION_S + 5))
 
     def test_the_newest_count_is_in_force(self) -> None:
         self.assertEqual(GroupCount(2, 1), GroupCount(2, 1).newer(GroupCount(1, 5)))
@@ -106,7 +106,7 @@
 
 class Members(testtools.TestCase):
     def elections(self, count: int, groups: int = 1) -> list[Election]:
-        """Return what each of some boxes has worked out."""
+        """Return the elections of some boxes that know of each other."""
         boxes = [
             BoxAddress(f'b{n}', f'b{n}:7', ZONES[n % 6], f'life-{n}', n)
             for n in range(1, count + 1)
@@ -145,9 +145,9 @@
 
     def test_boxes_of_other_groups_hear_of_the_count_from_the_first_of_all(self) -> None:
         elections = self.elections(60, groups=2)
-        lead = elections[0]
-        self.assertTrue(lead.is_leader(0.1))
-        other = next(item for item in elections if item.group != lead.group)
+        leader = elections[0]
+        self.assertTrue(leader.is_leader(0.1))
+        other = next(item for item in elections if item.group != leader.group)
         for now in (0.0, LEADER_PING_INTERVAL_S):
             self.assertIn('b1', [item.box.name for item in other.candidates_to_ping(now)])
         self.assertNotIn('b1', [item.box.name for item in other.candidates_to_ping(LEADER_PING_INTERVAL_S + 0.2)])
--- a/packages/core/calicopath_core/scheduling/tests/pacing_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/pacing_tests.py
@@ -1,4 +1,4 @@
-"""Test how much is begun ahead of the stages that come later."""
+"""Test how much work is started ahead of later stages."""
 
 from __future__ import annotations
 
--- a/packages/core/calicopath_core/scheduling/tests/starts_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/starts_tests.py
@@ -1,4 +1,4 @@
-"""Test how many runs begin at engines that may be cold, and what waits for a place."""
+"""Test how many runs start at engines that may be cold, and how jobs wait for an engine."""
 
 from __future__ import annotations
 
@@ -28,97 +28,98 @@
 
 WARMUP = WarmupSpec(per_s=6.7)
 TERMS = WarmupTerms(overage=1.5, slack=5.0)
-MOST_A_SECOND = 15
-BOUND = start_limit_of(WARMUP, TERMS)
+MAX_STARTS_PER_S = 15
+LIMIT = start_limit_of(WARMUP, TERMS)
 
 ZONE_ENGINES, OTHER_ENGINES = 18, 52
 RATE = 480.0
 LOAD_S = 2.0
 RUN_S = 0.3
-"""A burst on engines of which one zone is back: 27 runs a second for each engine of that."""
+"""A burst at engines of which one failure domain has just returned: 27 runs per second for each
+engine of that domain."""
 
 
 class Bound(testtools.TestCase):
     def test_it_is_what_a_cold_engine_bears(self) -> None:
-        self.assertEqual((6, MOST_A_SECOND), BOUND)
-        self.assertEqual((3, 7), BOUND.per_scheduler())
+        self.assertEqual((6, MAX_STARTS_PER_S), LIMIT)
+        self.assertEqual((3, 7), LIMIT.per_scheduler())
 
     def test_one_run_may_begin_in_any_case(self) -> None:
         self.assertEqual((1, 1), start_limit_of(WarmupSpec(per_s=0.2), NO_OVERAGE).per_scheduler())
 
     def test_an_engine_that_says_it_is_cold_gets_what_it_bears(self) -> None:
-        board = EnginePool(slots=100, kv_tokens=1000)
-        board.start_limit = BOUND
-        board.set_replicas([replica('e', service='engine')._replace(cold=True)])
-        self.assertEqual(BOUND.cold, placed_at_once(board, 40))
+        pool = EnginePool(slots=100, kv_tokens=1000)
+        pool.start_limit = LIMIT
+        pool.set_replicas([replica('e', service='engine')._replace(cold=True)])
+        self.assertEqual(LIMIT.cold, placed_at_once(pool, 40))
 
     def test_while_another_may_schedule_each_keeps_to_its_part(self) -> None:
-        boards = [EnginePool(slots=100, kv_tokens=1000) for _ in range(2)]
+        pools = [EnginePool(slots=100, kv_tokens=1000) for _ in range(2)]
         total = 0
-        for board in boards:
-            board.start_limit = BOUND
-            board.set_replicas([replica('e', service='engine')])
-            board.on_activated(0.0)
-            total += placed_at_once(board, 40, now=0.1)
-        self.assertLessEqual(total, MOST_A_SECOND)
-        self.assertGreater(placed_at_once(boards[0], 40, now=0.1 + START_WINDOW_S), total // 2)
+        for pool in pools:
+            pool.start_limit = LIMIT
+            pool.set_replicas([replica('e', service='engine')])
+            pool.on_activated(0.0)
+            total += placed_at_once(pool, 40, now=0.1)
+        self.assertLessEqual(total, MAX_STARTS_PER_S)
+        self.assertGreater(placed_at_once(pools[0], 40, now=0.1 + START_WINDOW_S), total // 2)
 
     def test_boxes_that_schedule_for_themselves_do_not_all_choose_the_same_engine(self) -> None:
         chosen = set()
         for number in range(30):
-            board = EnginePool(slots=4, kv_tokens=1000, salt=f'box-{number}:7')
-            board.set_replicas([replica(f'e{n}', service='engine') for n in range(70)])
-            choice = board.choose(job('one'), 0.0)
+            pool = EnginePool(slots=4, kv_tokens=1000, salt=f'box-{number}:7')
+            pool.set_replicas([replica(f'e{n}', service='engine') for n in range(70)])
+            choice = pool.choose(job('one'), 0.0)
             assert choice is not None
             chosen.add(choice.engine.replica.id)
         self.assertGreater(len(chosen), 15)
 
 
 class ZoneBackCold(testtools.TestCase):
-    def most_a_second(self, bound: StartLimit | None) -> int:
-        """Return the most runs that began within a second at an engine of the zone."""
-        board = EnginePool(slots=24, kv_tokens=100_000)
-        board.start_limit = bound
+    def max_starts_per_s(self, limit: StartLimit | None) -> int:
+        """Return the most runs that started within a second at one engine that returned."""
+        pool = EnginePool(slots=24, kv_tokens=100_000)
+        pool.start_limit = limit
         others = [replica(f'o{n}', 'b', 'engine') for n in range(OTHER_ENGINES)]
-        board.set_replicas(others)
+        pool.set_replicas(others)
         for number in range(OTHER_ENGINES * 8):
             work = job(f'old-{number}', prompt=prompt((f'x{number}', 3000), out=300))
-            choice = board.choose(work, 0.0)
+            choice = pool.choose(work, 0.0)
             if choice is not None:
-                board.start_run(choice, work, 0.0)
+                pool.start_run(choice, work, 0.0)
         back = [replica(f'z{n}', 'a', 'engine') for n in range(ZONE_ENGINES)]
-        board.set_replicas([*others, *back], {item.id for item in others})
+        pool.set_replicas([*others, *back], {item.id for item in others})
         times: dict[str, list[float]] = {}
         ends: list[tuple[float, str, str]] = []
         for number in range(int(RATE * LOAD_S)):
             now = 2.0 + number / RATE
             while ends and ends[0][0] <= now:
                 _, engine, name = ends.pop(0)
-                board.on_run_ended(engine, name, failed=False, now=now)
+                pool.on_run_ended(engine, name, failed=False, now=now)
             work = job(f'new-{number}', prompt=prompt((f'y{number}', 300)))
-            choice = board.choose(work, now)
+            choice = pool.choose(work, now)
             if choice is None:
                 continue
-            board.start_run(choice, work, now)
+            pool.start_run(choice, work, now)
             name = choice.engine.replica.id
             ends.append((now + RUN_S, name, work.id))
             times.setdefault(name, []).append(now)
         zone = [found for name, found in times.items() if name.startswith('z')]
         self.assertEqual(ZONE_ENGINES, len(zone))
-        return max(most_in_a_second(found) for found in zone)
+        return max(max_within_a_second(found) for found in zone)
 
     def test_no_engine_gets_more_than_it_bears_though_none_is_known_to_be_cold(self) -> None:
-        self.assertLessEqual(self.most_a_second(BOUND), MOST_A_SECOND)
+        self.assertLessEqual(self.max_starts_per_s(LIMIT), MAX_STARTS_PER_S)
 
     def test_without_the_bound_they_would(self) -> None:
-        self.assertGreater(self.most_a_second(None), MOST_A_SECOND)
+        self.assertGreater(self.max_starts_per_s(None), MAX_STARTS_PER_S)
 
 
 class Waiting(VirtualCase):
     def scheduler(
         self, sent: list[msgspec.Struct], *, engines: int = 1, slots: int = 2
     ) -> Scheduler:
-        """Return a scheduler before some engines."""
+        """Return a scheduler in front of some engines."""
         table = ReplicaTable()
         for number in range(engines):
             table.put(replica(f'e{number}', service='engine'))
@@ -173,11 +174,11 @@
         async def scenario() -> None:
             sent: list[msgspec.Struct] = []
             scheduler = self.scheduler(sent, slots=100)
-            scheduler.boards['engine'].start_limit = BOUND
+            scheduler.boards['engine'].start_limit = LIMIT
             running = asyncio.create_task(scheduler.run())
             for number in range(20):
                 scheduler.on_place(job(f'j{number}').place)
-            self.assertEqual(MOST_A_SECOND, len(names(sent, Placed)))
+            self.assertEqual(MAX_STARTS_PER_S, len(names(sent, Placed)))
             await asyncio.sleep(START_WINDOW_S + 0.1)
             self.assertEqual(20, len(names(sent, Placed)))
             running.cancel()
@@ -223,20 +224,20 @@
         self.run_virtual(scenario())
 
 
-def placed_at_once(board: EnginePool, count: int, now: float = 0.0) -> int:
-    """Return how many of some jobs get an engine at one moment."""
+def placed_at_once(pool: EnginePool, count: int, now: float = 0.0) -> int:
+    """Return how many of some jobs are placed at one moment."""
     placed = 0
     for number in range(count):
         work = job(f'{now}-{number}', prompt=prompt((f'p{number}', 1)))
-        choice = board.choose(work, now)
+        choice = pool.choose(work, now)
         if choice is not None:
-            board.start_run(choice, work, now)
+            pool.start_run(choice, work, now)
             placed += 1
     return placed
 
 
-def most_in_a_second(times: list[float]) -> int:
-    """Return the most of some moments, in order, that lie within one second."""
+def max_within_a_second(times: list[float]) -> int:
+    """Return the largest number of some sorted times that lie within one second."""
     return max(bisect.bisect_left(times, at + 1.0) - n for n, at in enumerate(times))
 
 
--- a/packages/core/calicopath_core/scheduling/tests/succession_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/succession_tests.py
@@ -1,4 +1,4 @@
-"""Test what the next scheduler is told by one that gives way."""
+"""Test which estimates a scheduler that steps down passes on, and when its successor uses them."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 class Succession(VirtualCase):
     def scheduler(self, sent: list[msgspec.Struct]) -> Scheduler:
-        """Return a scheduler before nothing."""
+        """Return a scheduler without replicas."""
         return Scheduler(
             clock=VirtualClock(),
             replicas=ReplicaTable(),
@@ -37,8 +37,8 @@
             crashes=new_guard(),
         )
 
-    def learned(self, scheduler: Scheduler) -> None:
-        """Let a scheduler learn something of everything."""
+    def add_estimates(self, scheduler: Scheduler) -> None:
+        """Give a scheduler estimates of every kind."""
         for _ in range(200):
             scheduler.engine_times.learn(SIZE, SEEN_S)
         scheduler.admission.set_bias(1.4)
@@ -48,11 +48,11 @@
         async def scenario() -> None:
             sent: list[msgspec.Struct] = []
             before, after = self.scheduler(sent), self.scheduler([])
-            self.learned(before)
+            self.add_estimates(before)
             await asyncio.sleep(20.0)
             before.succession.step_down('next:7')
-            (told,) = [message for message in sent if isinstance(message, Learned)]
-            after.succession.on_learned(told)
+            (learned,) = [message for message in sent if isinstance(message, Learned)]
+            after.succession.on_learned(learned)
             self.assertAlmostEqual(SEEN_S, after.engine_times.expected_s(SIZE), delta=0.01)
             self.assertEqual(1.4, after.admission.bias)
             self.assertIn('w', after.allowances.workspaces)
@@ -63,7 +63,7 @@
         async def scenario() -> None:
             sent: list[msgspec.Struct] = []
             before, after = self.scheduler(sent), self.scheduler([])
-            self.learned(before)
+            self.add_estimates(before)
             after.allowances.charge('w', 1.0, 0.0)
             await asyncio.sleep(20.0)
             before.succession.step_down('next:7')
