--- a/packages/core/calicopath_core/scheduling/admission.py
+++ b/packages/core/calicopath_core/scheduling/admission.py
@@ -61,9 +61,10 @@
     ) -> AdmissionDecision:
         """Admit a job if it can finish before its deadline, even if it misses its objective.
 
-        Jobs that will miss their objective give way to those that will meet it, so they cost these
-        little. Refusing jobs expected to be late by a quarter loses 0.02 to 0.03 of the mean worth
-        of days with faults where stages are scarce, since most of the callers that retry are late.
+        Jobs that will miss their objective give way to those that will meet it, so admitting them
+        costs the latter little. Refusing jobs expected to be late by a quarter loses 0.02 to 0.03
+        of the mean worth of days with faults where stages are scarce, since most of the callers
+        that retry are late.
         """
         stages_duration_s = self.stages_duration_s(job, others, queues, now)
         expected_s = stages_duration_s * self.bias + engine_s + FIRST_TOKEN_LATENCY_S
--- a/packages/core/calicopath_core/scheduling/election.py
+++ b/packages/core/calicopath_core/scheduling/election.py
@@ -33,7 +33,7 @@
 PING_INTERVAL_S = 0.2
 SILENCE_TIMEOUT_S = 0.7
 """A candidate not heard for this long is skipped: three lost pings and some delay. A shorter
-timeout mistakes pauses for crashes; a longer one delays requests behind a dead scheduler."""
+timeout mistakes pauses for crashes; a longer one delays requests behind a crashed scheduler."""
 
 STANDBY_PING_INTERVAL_S = 0.6
 """How often candidates that rank behind the scheduler are pinged. With 195 boxes, three pings each
@@ -53,7 +53,7 @@
 
 
 LEADER_PING_INTERVAL_S = 1.0
-"""How often boxes outside the first group ping the box that ranks first in the whole fleet, to
+"""With several groups, how often every box pings the one that ranks first in the whole fleet, to
 learn the current group count."""
 
 PROBATION_S = 2.0
@@ -251,7 +251,7 @@
         Those that rank behind the scheduler are pinged less often.
         """
         due: list[Candidate] = []
-        good_count = 0
+        fit_count = 0
         standby = False
         for name in names:
             if name == self.own.name:
@@ -261,10 +261,10 @@
             if candidate.mark_ping_if_due(now, standby=standby):
                 due.append(candidate)
             heard = candidate.last_heard_at is not None
-            is_good = candidate.is_eligible(now) if heard else candidate.may_still_answer(now)
-            good_count += is_good
-            standby = standby or (heard and is_good)
-            if good_count >= needed:
+            is_fit = candidate.is_eligible(now) if heard else candidate.may_still_answer(now)
+            fit_count += is_fit
+            standby = standby or (heard and is_fit)
+            if fit_count >= needed:
                 break
         return due
 
--- a/packages/core/calicopath_core/scheduling/engines.py
+++ b/packages/core/calicopath_core/scheduling/engines.py
@@ -106,9 +106,9 @@
     `tie_breaker` orders engines of equal cost; `load_s` is the work that waits here, in seconds.
     """
 
-    def __init__(self, *, replica: Replica, draw: int = 0) -> None:
+    def __init__(self, *, replica: Replica, tie_breaker: int = 0) -> None:
         self.replica = replica
-        self.tie_breaker = draw
+        self.tie_breaker = tie_breaker
         self.runs: dict[str, Run] = {}
         self.load_s = 0.0
         self.cached_parts: OrderedDict[str, CachedPart] = OrderedDict()
@@ -217,7 +217,7 @@
 
     def create_engine(self, replica: Replica) -> Engine:
         """Return an engine without any runs or cached parts."""
-        return Engine(replica=replica, draw=zlib.crc32(f'{self.salt}/{replica.id}'.encode()))
+        return Engine(replica=replica, tie_breaker=zlib.crc32(f'{self.salt}/{replica.id}'.encode()))
 
     def on_activated(self, now: float) -> None:
         """Record that another box may have placed runs until now, and may do so a moment longer."""
@@ -259,10 +259,10 @@
         costs = []
         for engine in candidates:
             first_event_s = self.first_event_s(engine, prompt)
-            transfer_cost_s = self.transfer_cost_s(engine, prompt, inputs, cached_keys, now)
+            locality_cost_s = self.locality_cost_s(engine, prompt, inputs, cached_keys, now)
             if first_event_s > latency_budget_s:
-                transfer_cost_s = OVER_BUDGET_PENALTY_S + OVER_BUDGET_COST_WEIGHT * transfer_cost_s
-            costs.append((first_event_s + transfer_cost_s, first_event_s, engine))
+                locality_cost_s = OVER_BUDGET_PENALTY_S + OVER_BUDGET_COST_WEIGHT * locality_cost_s
+            costs.append((first_event_s + locality_cost_s, first_event_s, engine))
         _, first_event_s, engine = min(costs, key=lambda item: item[0])
         return EngineChoice(engine, first_event_s)
 
@@ -308,7 +308,7 @@
         """Return the seconds of work before a prompt's first event on an engine."""
         return engine.load_s + engine.uncached_tokens(prompt) * PREFILL_S_PER_TOKEN
 
-    def transfer_cost_s(
+    def locality_cost_s(
         self, engine: Engine, prompt: PromptKeys, inputs: list[Result], cached_keys: set[str], now: float
     ) -> float:
         """Return the cost of moving a job's results and of recomputing cached parts, in seconds."""
--- a/packages/core/calicopath_core/scheduling/fairness.py
+++ b/packages/core/calicopath_core/scheduling/fairness.py
@@ -28,7 +28,7 @@
 workspaces are above their mean at any time."""
 
 MAX_SAVED_S = 4.0
-"""Seconds of unused allowance that a workspace can save up."""
+"""A workspace saves up its unused allowance for at most this long."""
 
 MIN_USUAL_SHARE = 0.02
 """Minimum usual rate of any workspace, as a share of the fleet's: a workspace with little traffic
@@ -116,9 +116,9 @@
 
     def usual_rates(self, now: float) -> tuple[UsualRate, ...]:
         """Return the usual rates for the next scheduler."""
-        known = self.observed_share(now)
+        observed_share = self.observed_share(now)
         return tuple(
-            UsualRate(name, usage.usual.value_at(now) / known) for name, usage in self.workspaces.items()
+            UsualRate(name, usage.usual.value_at(now) / observed_share) for name, usage in self.workspaces.items()
         )
 
     def restore(self, usual_rates: tuple[UsualRate, ...], now: float) -> bool:
@@ -129,13 +129,13 @@
         if self.started_at is not None and now - self.started_at >= LEARNING_PERIOD_S:
             return False
         self.started_at = now - USUAL_WINDOW_S
-        known = self.observed_share(now)
+        observed_share = self.observed_share(now)
         for item in usual_rates:
             usage = self.workspaces[item.workspace] = Usage()
-            usage.usual.add(item.rate * known * USUAL_WINDOW_S, now)
+            usage.usual.add(item.rate * observed_share * USUAL_WINDOW_S, now)
         total = sum(item.rate for item in usual_rates)
         self.usual = AverageRate(window_s=USUAL_WINDOW_S)
-        self.usual.add(total * known * USUAL_WINDOW_S, now)
+        self.usual.add(total * observed_share * USUAL_WINDOW_S, now)
         self.recent = AverageRate(window_s=RECENT_WINDOW_S)
         self.recent.add(total * RECENT_WINDOW_S, now)
         return True
--- a/packages/core/calicopath_core/scheduling/succession.py
+++ b/packages/core/calicopath_core/scheduling/succession.py
@@ -44,11 +44,11 @@
         if loads:
             message = EngineLoads(sender=scheduler.own_address, loads=loads)
             scheduler.send(successor, message)
-        taken = scheduler.allowances.usual_rates(scheduler.clock.monotonic())
-        if taken:
+        usual_rates = scheduler.allowances.usual_rates(scheduler.clock.monotonic())
+        if usual_rates:
             learned = Learned(
                 sender=scheduler.own_address,
-                taken=taken,
+                taken=usual_rates,
                 bias=scheduler.admission.bias,
                 first_events_s=scheduler.engine_times.snapshot(),
             )
