--- a/packages/core/calicopath_core/scheduling/admission.py
+++ b/packages/core/calicopath_core/scheduling/admission.py
@@ -5,7 +5,7 @@
 import zlib
 from typing import TYPE_CHECKING, NamedTuple
 
-from calicopath_core.scheduling.stages import USUAL_FILL
+from calicopath_core.scheduling.stages import TYPICAL_FILL_RATIO
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
@@ -68,11 +68,13 @@
         """
         stages_duration_s = self.stages_duration_s(job, others, queues, now)
         expected_s = stages_duration_s * self.bias + engine_s + FIRST_TOKEN_LATENCY_S
-        job.expected_s = stages_duration_s
+        job.expected_stages_s = stages_duration_s
         left_s = job.deadline_at - now
         if job.resumed or not job.place.phases or expected_s <= left_s:
             return AdmissionDecision(True, expected_s)
-        return AdmissionDecision(False, expected_s, self.retry_after_s(job, expected_s - left_s, now))
+        return AdmissionDecision(
+            False, expected_s, self.retry_after_s(job, expected_s - left_s, now)
+        )
 
     def backlog_wait_s(
         self, job: Job, others: Iterable[Job], queues: Mapping[str, StageQueue], now: float
@@ -80,7 +82,9 @@
         """Return the seconds until the work queued ahead of a job will be done."""
         ahead = backlog(job, others, now)
         services = {phase.service for phase in job.place.phases} & queues.keys() & ahead.keys()
-        waits = [ahead[name] / max(MIN_PIECES_PER_S, queues[name].rate()) for name in services]
+        waits = [
+            ahead[name] / max(MIN_PIECES_PER_S, queues[name].pieces_per_s()) for name in services
+        ]
         return max(waits, default=0.0)
 
     def retry_after_s(self, job: Job, wait_s: float, now: float) -> float:
@@ -107,17 +111,18 @@
             if queue is None or phase.pieces == 0:
                 done_at[number] = begin_s
                 continue
-            pieces = max(phase.pieces, round(queue.spec.batch * USUAL_FILL))
-            done_at[number] = begin_s + queue.expected_s(min(pieces, queue.spec.batch))
+            pieces = max(phase.pieces, round(queue.spec.batch * TYPICAL_FILL_RATIO))
+            done_at[number] = begin_s + queue.expected_call_s(min(pieces, queue.spec.batch))
             waits.append(
-                (ahead.get(phase.service, 0) + phase.pieces) / max(MIN_PIECES_PER_S, queue.rate())
+                (ahead.get(phase.service, 0) + phase.pieces)
+                / max(MIN_PIECES_PER_S, queue.pieces_per_s())
             )
         return max(done_at.values(), default=0.0) + max(waits)
 
     def learn(self, job: Job, took_s: float) -> None:
         """Correct the bias by the time that a job's stages took."""
-        if job.expected_s > 0:
-            self.bias += BIAS_SMOOTHING * (took_s / job.expected_s - self.bias)
+        if job.expected_stages_s > 0:
+            self.bias += BIAS_SMOOTHING * (took_s / job.expected_stages_s - self.bias)
             self.set_bias(self.bias)
 
     def set_bias(self, bias: float) -> None:
@@ -138,7 +143,7 @@
         if other.is_late(now):
             continue
         for number, phase in enumerate(other.place.phases):
-            pieces = other.uncalled[number]
+            pieces = other.undispatched[number]
             if pieces:
                 pieces_by_service[phase.service] = pieces_by_service.get(phase.service, 0) + pieces
     return pieces_by_service
@@ -146,6 +151,10 @@
 
 def outranks(job: Job, other: Job) -> bool:
     """Tell whether a new job's pieces go before those of another job."""
-    if other.resumed or job.beyond:
-        return not other.resumed and other.beyond and job.urgency < other.urgency
-    return other.beyond or job.urgency < other.urgency
+    if other.resumed or job.is_over_allowance:
+        return (
+            not other.resumed
+            and other.is_over_allowance
+            and job.effective_priority < other.effective_priority
+        )
+    return other.is_over_allowance or job.effective_priority < other.effective_priority
--- a/packages/core/calicopath_core/scheduling/backoffs.py
+++ b/packages/core/calicopath_core/scheduling/backoffs.py
@@ -94,7 +94,11 @@
     def on_started(self, replica: str, placed_at: float, now: float) -> None:
         """Record that a run started; the engine accepts calls again if the run was placed since."""
         avoidance = self.avoidances.get(replica)
-        if avoidance is not None and avoidance.until <= now and placed_at >= avoidance.turned_away_at:
+        if (
+            avoidance is not None
+            and avoidance.until <= now
+            and placed_at >= avoidance.turned_away_at
+        ):
             del self.avoidances[replica]
 
     def on_turned_away(self, replica: str, now: float) -> None:
@@ -112,6 +116,10 @@
             self.by_box[box] = {name: until for name, until in held.items() if until > now}
             if not self.by_box[box]:
                 del self.by_box[box]
-        expired = [name for name, avoidance in self.avoidances.items() if avoidance.until + AVOIDANCE_MEMORY_S <= now]
+        expired = [
+            name
+            for name, avoidance in self.avoidances.items()
+            if avoidance.until + AVOIDANCE_MEMORY_S <= now
+        ]
         for name in expired:
             del self.avoidances[name]
--- a/packages/core/calicopath_core/scheduling/election.py
+++ b/packages/core/calicopath_core/scheduling/election.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from calicopath_core.fleet.contact import STEADY, UNKNOWN
-from calicopath_core.scheduling.groups import GroupCount, ZoneGroups
+from calicopath_core.scheduling.groups import FailureDomainGroups, GroupCount
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
@@ -70,7 +70,7 @@
 
     name: str
     address: str
-    zone: str
+    failure_domain: str
     incarnation: str
     order: int = 0
     small: bool = False
@@ -122,7 +122,9 @@
 
     def on_heard(self, message: Presence, now: float) -> None:
         """Record a message of the box; after a silence its probation starts."""
-        if self.last_heard_at is not None and now - self.last_heard_at >= self.silence_timeout_s(now):
+        if self.last_heard_at is not None and now - self.last_heard_at >= self.silence_timeout_s(
+            now
+        ):
             self.probation_until = now + PROBATION_S
         self.last_heard_at = now
         self.unanswered_since = None
@@ -136,7 +138,9 @@
 
     def mark_reconnect_if_due(self, now: float) -> bool:
         """Tell whether the connection to the box must be reopened, and record it if so."""
-        waiting_since = max(self.reconnected_at, self.unanswered_since if self.unanswered_since is not None else now)
+        waiting_since = max(
+            self.reconnected_at, self.unanswered_since if self.unanswered_since is not None else now
+        )
         if self.last_heard_at is None or now - waiting_since < RECONNECT_AFTER_S:
             return False
         self.reconnected_at = now
@@ -161,7 +165,9 @@
         self.group_ranking: list[str] = [own.name]
         self.fleet_ranking: list[str] = [own.name]
         self.group_count = GroupCount()
-        self.zone_groups = ZoneGroups(zones=[own.zone], groups=1)
+        self.failure_domain_groups = FailureDomainGroups(
+            failure_domains=[own.failure_domain], groups=1
+        )
         self.group = 0
         self.leader_pinged_at = -math.inf
         self.sequence = 0
@@ -170,7 +176,11 @@
     def on_listed(self, boxes: Iterable[BoxAddress], now: float) -> None:
         """Set the platform's list of boxes; a changed record starts a new candidate."""
         listed = {box.name: box for box in boxes if box.name != self.own.name}
-        own_records = [box for box in boxes if box.name == self.own.name and box.incarnation == self.own.incarnation]
+        own_records = [
+            box
+            for box in boxes
+            if box.name == self.own.name and box.incarnation == self.own.incarnation
+        ]
         self.own_order = own_records[0].order if own_records else None
         for name, box in listed.items():
             known = self.candidates.get(name)
@@ -184,9 +194,14 @@
     def regroup(self) -> None:
         """Recompute the groups from the listed boxes and the current group count."""
         boxes = [self.own, *(item.box for item in self.candidates.values())]
-        zones = (box.zone for box in boxes)
-        self.zone_groups = ZoneGroups(zones=zones, groups=self.group_count.groups)
-        assigned = {box.name: self.zone_groups.group_of(box.name, box.zone) for box in boxes}
+        failure_domains = (box.failure_domain for box in boxes)
+        self.failure_domain_groups = FailureDomainGroups(
+            failure_domains=failure_domains, groups=self.group_count.groups
+        )
+        assigned = {
+            box.name: self.failure_domain_groups.group_of(box.name, box.failure_domain)
+            for box in boxes
+        }
         self.group = assigned[self.own.name]
         self.fleet_ranking = sorted(assigned, key=self.rank)
         self.group_ranking = [name for name in self.fleet_ranking if assigned[name] == self.group]
@@ -277,7 +292,11 @@
         box has a configuration; one without would refuse requests that others can serve. Boxes
         whose contact with the store is behind that of another box come last.
         """
-        configured = (name for name in self.eligible(now) if self.has_configuration(name, own=has_configuration))
+        configured = (
+            name
+            for name in self.eligible(now)
+            if self.has_configuration(name, own=has_configuration)
+        )
         eligible = list(itertools.islice(configured, MAX_COMPARED_CONTACTS))
         eligible = eligible or list(itertools.islice(self.eligible(now), MAX_COMPARED_CONTACTS))
         contacts = {name: self.store_contact_of(name, own_contact, now) for name in eligible}
@@ -319,7 +338,7 @@
             return own_contact
         candidate = self.candidates[name]
         heard_at = now if candidate.last_heard_at is None else candidate.last_heard_at
-        return candidate.contact.later(now - heard_at)
+        return candidate.contact.aged_by(now - heard_at)
 
     def is_alive(self, address: str, now: float) -> bool:
         """Tell whether the box at an address, leaving or not, was heard recently."""
@@ -338,4 +357,4 @@
 
     def share_of(self, replicas: list[Replica]) -> list[Replica]:
         """Return the replicas that this box's group calls; all of them if the group has too few."""
-        return self.zone_groups.share_of(replicas, self.group)
+        return self.failure_domain_groups.share_of(replicas, self.group)
--- a/packages/core/calicopath_core/scheduling/engines.py
+++ b/packages/core/calicopath_core/scheduling/engines.py
@@ -6,7 +6,7 @@
 from collections import OrderedDict
 from typing import TYPE_CHECKING, NamedTuple
 
-from calicopath_core.permits.holder import NoLimits, PermitLender
+from calicopath_core.permits.holder import PermitIssuer, UnlimitedIssuer
 from calicopath_core.scheduling.backoffs import FleetBackoffs
 from calicopath_core.scheduling.starts import START_WINDOW_S, RecentStarts
 
@@ -187,9 +187,9 @@
         kv_tokens: int,
         salt: str = '',
         backoffs: FleetBackoffs | None = None,
-        permits: PermitLender | None = None,
+        permits: PermitIssuer | None = None,
     ) -> None:
-        self.permits = permits or NoLimits()
+        self.permits = permits or UnlimitedIssuer()
         self.backoffs = backoffs or FleetBackoffs()
         self.slots = slots
         self.salt = salt
@@ -207,9 +207,15 @@
         engines.
         """
         listed = {replica.id: replica for replica in usable}
-        self.known_engines = {name: item for name, item in self.known_engines.items() if name in alive}
+        self.known_engines = {
+            name: item for name, item in self.known_engines.items() if name in alive
+        }
         for name, replica in listed.items():
-            engine = self.known_engines.get(name) or self.engines.get(name) or self.create_engine(replica)
+            engine = (
+                self.known_engines.get(name)
+                or self.engines.get(name)
+                or self.create_engine(replica)
+            )
             engine.replica = replica
             self.known_engines[name] = engine
         order = sorted(listed, key=lambda name: self.known_engines[name].tie_breaker)
@@ -275,7 +281,7 @@
         backing_off = self.backoffs.is_backing_off(job.place.reply_to, replica, now)
         if backing_off or self.backoffs.in_trial(replica, now):
             return False
-        return self.permits.opens_in_s(engine.replica) <= 0
+        return self.permits.available_in_s(engine.replica) <= 0
 
     def is_healthy(self, engine: Engine, now: float) -> bool:
         """Tell whether an engine has neither failed nor turned away runs recently."""
@@ -299,7 +305,8 @@
         healthy = [item for item in self.engines.values() if item.ejected_until <= now]
         box = job.place.reply_to
         times = (
-            self.first_event_s(engine, prompt) + self.backoffs.remaining_s(box, engine.replica.id, now)
+            self.first_event_s(engine, prompt)
+            + self.backoffs.remaining_s(box, engine.replica.id, now)
             for engine in healthy
         )
         return min(times, default=0.0)
@@ -309,20 +316,33 @@
         return engine.load_s + engine.uncached_tokens(prompt) * PREFILL_S_PER_TOKEN
 
     def locality_cost_s(
-        self, engine: Engine, prompt: PromptKeys, inputs: list[Result], cached_keys: set[str], now: float
+        self,
+        engine: Engine,
+        prompt: PromptKeys,
+        inputs: list[Result],
+        cached_keys: set[str],
+        now: float,
     ) -> float:
         """Return the cost of moving a job's results and of recomputing cached parts, in seconds."""
-        zone = engine.replica.zone
-        moved_bytes = sum(item.size for item in inputs if item.zone != zone)
+        failure_domain = engine.replica.failure_domain
+        moved_bytes = sum(item.size for item in inputs if item.failure_domain != failure_domain)
         recomputed_tokens = sum(
-            tokens for key, tokens in prompt.shared_keys if key in cached_keys and not engine.has_cached(key, now)
+            tokens
+            for key, tokens in prompt.shared_keys
+            if key in cached_keys and not engine.has_cached(key, now)
+        )
+        return (
+            moved_bytes * TRANSFER_COST_S_PER_BYTE + recomputed_tokens * RECOMPUTE_COST_S_PER_TOKEN
         )
-        return moved_bytes * TRANSFER_COST_S_PER_BYTE + recomputed_tokens * RECOMPUTE_COST_S_PER_TOKEN
 
     def cached_shared_keys(self, prompt: PromptKeys, now: float) -> set[str]:
         """Return the shared parts of a prompt that at least one engine has cached."""
         engines = self.engines.values()
-        return {key for key, _ in prompt.shared_keys if any(item.has_cached(key, now) for item in engines)}
+        return {
+            key
+            for key, _ in prompt.shared_keys
+            if any(item.has_cached(key, now) for item in engines)
+        }
 
     def start_run(self, choice: EngineChoice, job: Job, now: float) -> None:
         """Record a job's run on the chosen engine."""
@@ -370,7 +390,9 @@
         """Count work that another scheduler has placed, for about as long as it takes."""
         engine = self.engines.get(replica_id)
         if engine is not None:
-            engine.add_run(f'of {sender}', Run(load_s, 0.0, now + max(MIN_FOREIGN_LOAD_TTL_S, load_s)))
+            engine.add_run(
+                f'of {sender}', Run(load_s, 0.0, now + max(MIN_FOREIGN_LOAD_TTL_S, load_s))
+            )
 
     def expire_lost_runs(self, now: float) -> None:
         """Drop runs whose end was never reported."""
--- a/packages/core/calicopath_core/scheduling/estimates.py
+++ b/packages/core/calicopath_core/scheduling/estimates.py
@@ -51,4 +51,6 @@
     def restore(self, snapshot: dict[int, float]) -> None:
         """Take over another scheduler's estimates for size classes that have none here."""
         for size, mean_s in snapshot.items():
-            self.means.setdefault(size, MeanDuration(prior_s=min(MAX_OBSERVATION_S, max(0.0, mean_s))))
+            self.means.setdefault(
+                size, MeanDuration(prior_s=min(MAX_OBSERVATION_S, max(0.0, mean_s)))
+            )
--- a/packages/core/calicopath_core/scheduling/evenness.py
+++ b/packages/core/calicopath_core/scheduling/evenness.py
@@ -3,8 +3,7 @@
 During an overload of some seconds the least urgent rank would bear nearly all of it. If a much
 smaller share of a rank than of the next more urgent one was in time recently, the rank is served
 with that one until it fares about as well: requests that arrive then are served in the order of
-their objectives. A rank is never lifted past a
-workspace priority.
+their objectives. A rank is never lifted past a workspace priority.
 """
 
 from __future__ import annotations
@@ -35,8 +34,8 @@
         """Return the rank with which a new job of a rank is served."""
         own_share = self.on_time_shares.get(rank, 1.0)
         effective = rank
-        tenant = rank // ROUTE_PRIORITIES
-        peers = [other for other in self.on_time_shares if other // ROUTE_PRIORITIES == tenant]
+        workspace = rank // ROUTE_PRIORITIES
+        peers = [other for other in self.on_time_shares if other // ROUTE_PRIORITIES == workspace]
         for other in sorted((other for other in peers if other < rank), reverse=True):
             if own_share >= self.on_time_shares[other] - MAX_SHARE_GAP:
                 break
--- a/packages/core/calicopath_core/scheduling/fairness.py
+++ b/packages/core/calicopath_core/scheduling/fairness.py
@@ -88,7 +88,9 @@
         usage = self.workspaces.setdefault(workspace, Usage())
         allowed = self.allowed_rate(usage, now)
         saved_s = allowed * MAX_SAVED_S
-        usage.allowance_left_s = min(saved_s, usage.allowance_left_s + allowed * (now - usage.updated_at))
+        usage.allowance_left_s = min(
+            saved_s, usage.allowance_left_s + allowed * (now - usage.updated_at)
+        )
         usage.updated_at = now
         beyond = usage.allowance_left_s < cost_s and now - self.started_at >= LEARNING_PERIOD_S
         usage.recent.add(cost_s, now)
@@ -118,7 +120,8 @@
         """Return the usual rates for the next scheduler."""
         observed_share = self.observed_share(now)
         return tuple(
-            UsualRate(name, usage.usual.value_at(now) / observed_share) for name, usage in self.workspaces.items()
+            UsualRate(name, usage.usual.value_at(now) / observed_share)
+            for name, usage in self.workspaces.items()
         )
 
     def restore(self, usual_rates: tuple[UsualRate, ...], now: float) -> bool:
--- a/packages/core/calicopath_core/scheduling/groups.py
+++ b/packages/core/calicopath_core/scheduling/groups.py
@@ -73,7 +73,10 @@
         """Return the count that should be in force; only the leader merges groups."""
         self.overloaded_since = since(self.overloaded_since, self.lag.value_s > OVERLOAD_LAG_S, now)
         self.idle_since = since(self.idle_since, self.lag.value_s < IDLE_LAG_S, now)
-        if has_lasted(self.overloaded_since, OVERLOAD_DURATION_S, now) and count.groups < MAX_GROUPS:
+        if (
+            has_lasted(self.overloaded_since, OVERLOAD_DURATION_S, now)
+            and count.groups < MAX_GROUPS
+        ):
             self.reset()
             return GroupCount(count.epoch + 1, count.groups + 1)
         idle_duration_s = IDLE_DURATION_S * 2**self.merge_count
@@ -101,31 +104,35 @@
     return started_at is not None and now - started_at >= for_s
 
 
-class ZoneGroups:
+class FailureDomainGroups:
     """Assign boxes and replicas to groups by failure domain.
 
     With fewer groups than failure domains each group has whole domains; with more, a domain has
     several groups.
     """
 
-    def __init__(self, *, zones: Iterable[str], groups: int) -> None:
+    def __init__(self, *, failure_domains: Iterable[str], groups: int) -> None:
         self.groups = groups
-        self.zones = sorted(set(zones), key=lambda zone: rendezvous_hash(zone, -1))
-        self.numbers = {zone: number for number, zone in enumerate(self.zones)}
-
-    def group_of(self, name: str, zone: str) -> int:
+        self.failure_domains = sorted(
+            set(failure_domains), key=lambda failure_domain: rendezvous_hash(failure_domain, -1)
+        )
+        self.numbers = {
+            failure_domain: number for number, failure_domain in enumerate(self.failure_domains)
+        }
+
+    def group_of(self, name: str, failure_domain: str) -> int:
         """Return the group of a name; a domain without boxes counts as the first one."""
-        if self.groups == 1 or not self.zones:
+        if self.groups == 1 or not self.failure_domains:
             return 0
-        number = self.numbers.get(zone, 0)
-        groups = range(number % self.groups, self.groups, len(self.zones))
+        number = self.numbers.get(failure_domain, 0)
+        groups = range(number % self.groups, self.groups, len(self.failure_domains))
         if number >= self.groups:
             groups = range(number % self.groups, number % self.groups + 1)
         return max(groups, key=functools.partial(rendezvous_hash, name))
 
     def share_of(self, replicas: Sequence[Replica], group: int) -> list[Replica]:
         """Return the replicas of a service that a group calls; all if its own are too few."""
-        own = [item for item in replicas if self.group_of(item.id, item.zone) == group]
+        own = [item for item in replicas if self.group_of(item.id, item.failure_domain) == group]
         min_count = MIN_REPLICA_SHARE * len(replicas) / self.groups
         return own if len(own) >= min_count and own else list(replicas)
 
--- a/packages/core/calicopath_core/scheduling/pacing.py
+++ b/packages/core/calicopath_core/scheduling/pacing.py
@@ -37,7 +37,9 @@
         self.last_held: set[str] = set()
         self.checked_at = -RECHECK_INTERVAL_S
 
-    def held_jobs(self, jobs: Iterable[Job], queues: Mapping[str, StageQueue], now: float) -> set[str]:
+    def held_jobs(
+        self, jobs: Iterable[Job], queues: Mapping[str, StageQueue], now: float
+    ) -> set[str]:
         """Return the identifiers of the jobs that must wait, at most `RECHECK_INTERVAL_S` old."""
         if now - self.checked_at >= RECHECK_INTERVAL_S:
             self.last_held = self.find_held(jobs, queues)
@@ -47,14 +49,16 @@
     def find_held(self, jobs: Iterable[Job], queues: Mapping[str, StageQueue]) -> set[str]:
         """Return the unstarted jobs that would wait at a later stage behind started ones."""
         open_jobs = [job for job in jobs if job.placed_on is None and not job.ended]
-        unstarted = [job for job in open_jobs if not job.begun and not job.resumed]
+        unstarted = [job for job in open_jobs if not job.has_progress and not job.resumed]
         if not unstarted:
             return set()
-        begun = [job for job in open_jobs if job.begun]
+        begun = [job for job in open_jobs if job.has_progress]
         precedences = {precedence(job) for job in unstarted}
         waiting = {kind: waiting_pieces(begun, kind) for kind in precedences}
         rates = {name: full_batch_rate(queue) for name, queue in queues.items()}
-        return {job.id for job in unstarted if must_hold(job, waiting[precedence(job)], rates, queues)}
+        return {
+            job.id for job in unstarted if must_hold(job, waiting[precedence(job)], rates, queues)
+        }
 
 
 def must_hold(
@@ -64,10 +68,11 @@
     queues: Mapping[str, StageQueue],
 ) -> bool:
     """Tell whether the pieces started ahead of a job give one of its later stages enough work."""
-    if not job.ahead_s:
-        job.ahead_s = max_ahead_s(job, queues)
+    if not job.allowed_backlog_s:
+        job.allowed_backlog_s = max_ahead_s(job, queues)
     return any(
-        waiting.get(phase.service, 0) > job.ahead_s[number] * rates.get(phase.service, 0.0)
+        waiting.get(phase.service, 0)
+        > job.allowed_backlog_s[number] * rates.get(phase.service, 0.0)
         for number, phase in enumerate(job.place.phases)
         if phase.needs
     )
@@ -82,18 +87,18 @@
 
 def precedence(job: Job) -> Precedence:
     """Return a job's precedence."""
-    return Precedence(job.beyond, job.urgency)
+    return Precedence(job.is_over_allowance, job.effective_priority)
 
 
 def max_ahead_s(job: Job, queues: Mapping[str, StageQueue]) -> dict[int, float]:
     """Return for each phase how many seconds of full calls may be started ahead of its stage."""
     upstream_durations_s = upstream_duration_s(job, queues)
-    total_s = max(job.tail_s.values(), default=0.0)
+    total_s = max(job.critical_path_s.values(), default=0.0)
     slack_s = max(0.0, job.place.objective_s - total_s)
     ahead_s = {}
     for number, phase in enumerate(job.place.phases):
         queue = queues.get(phase.service)
-        call_s = queue.expected_s(queue.spec.batch) if queue is not None else 0.0
+        call_s = queue.expected_call_s(queue.spec.batch) if queue is not None else 0.0
         ahead_s[number] = upstream_durations_s[number] + min(call_s, SLACK_SHARE * slack_s)
     return ahead_s
 
@@ -111,7 +116,7 @@
     """Return the usual duration of a phase's call, 0 for a phase without pieces."""
     phase = job.place.phases[number]
     queue = queues.get(phase.service)
-    return queue.usual_s() if queue is not None and phase.pieces else 0.0
+    return queue.typical_call_s() if queue is not None and phase.pieces else 0.0
 
 
 def full_batch_rate(queue: StageQueue) -> float:
@@ -126,5 +131,5 @@
     for job in begun:
         if precedence(job) <= limit:
             for number, phase in enumerate(job.place.phases):
-                pieces[phase.service] += job.uncalled[number]
+                pieces[phase.service] += job.undispatched[number]
     return pieces
--- a/packages/core/calicopath_core/scheduling/starts.py
+++ b/packages/core/calicopath_core/scheduling/starts.py
@@ -45,7 +45,9 @@
 
     def per_scheduler(self) -> StartLimit:
         """Return the limit while another scheduler may place runs too."""
-        return StartLimit(max(1, self.cold // CONCURRENT_SCHEDULERS), max(1, self.warm // CONCURRENT_SCHEDULERS))
+        return StartLimit(
+            max(1, self.cold // CONCURRENT_SCHEDULERS), max(1, self.warm // CONCURRENT_SCHEDULERS)
+        )
 
 
 def start_limit_of(warmup: WarmupSpec, terms: WarmupTerms) -> StartLimit:
--- a/packages/core/calicopath_core/scheduling/tests/backoffs_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/backoffs_tests.py
@@ -11,10 +11,10 @@
 from calicopath_core.scheduling.backoffs import MIN_AVOIDANCE_S, TRIAL_TIMEOUT_S
 from calicopath_core.scheduling.interfaces import SchedulerObserver, StageCaller
 from calicopath_core.scheduling.messages import (
-    Adopt,
-    BackoffNews,
-    Place,
+    AdoptJob,
+    BackoffNotice,
     Placed,
+    PlaceJob,
     Rejected,
     RunEnded,
     RunStarted,
@@ -42,18 +42,18 @@
     def __init__(self) -> None:
         self.placed: dict[str, str] = {}
         self.rejected: dict[str, Rejected] = {}
-        self.adoptions: list[Adopt] = []
+        self.adoptions: list[AdoptJob] = []
 
     def send(self, address: str, message: msgspec.Struct) -> None:
         if isinstance(message, Placed):
             self.placed[message.job] = message.replica
         elif isinstance(message, Rejected):
             self.rejected[message.job] = message
-        elif isinstance(message, Adopt):
+        elif isinstance(message, AdoptJob):
             self.adoptions.append(message)
 
 
-def place(name: str, box: str = BOX, **changes: Any) -> Place:
+def place(name: str, box: str = BOX, **changes: Any) -> PlaceJob:
     """Return the message that asks for a job to be placed."""
     return job(name, reply_to=box, **changes).place
 
@@ -86,7 +86,7 @@
 
     def test_a_box_is_given_no_engine_that_told_it_to_back_off(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs={'e1': 3.0, 'e2': 3.0}))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs={'e1': 3.0, 'e2': 3.0}))
             for number in range(6):
                 scheduler.on_place(place(f'j{number}'))
             self.assertEqual(['e3'] * 6, list(sent.placed.values()))
@@ -95,7 +95,7 @@
 
     def test_another_box_is_given_it_only_if_there_is_no_other(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs={'e1': 3.0, 'e2': 3.0}))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs={'e1': 3.0, 'e2': 3.0}))
             scheduler.on_place(place('first', OTHER))
             scheduler.on_place(place('second', OTHER))
             self.assertEqual('e3', sent.placed['first'])
@@ -113,7 +113,7 @@
     def test_with_none_left_in_time_it_is_rejected_at_once_until_the_first_is_back(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
             remaining_s = {'e1': 9.0, 'e2': 4.0, 'e3': 8.0}
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=remaining_s))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=remaining_s))
             scheduler.on_place(place('j', objective_s=3.0, deadline_s=60.0))
             self.assertEqual('backing-off', sent.rejected['j'].reason)
             self.assertLessEqual(4.0, sent.rejected['j'].retry_after_s)
@@ -124,7 +124,7 @@
     def test_a_wait_that_ends_in_time_is_waited_for(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
             remaining_s = dict.fromkeys(ENGINES, 1.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=remaining_s))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=remaining_s))
             scheduler.on_place(place('j', objective_s=3.0))
             self.assertEqual({}, sent.placed)
             await asyncio.sleep(1.1)
@@ -139,7 +139,7 @@
             scheduler.on_place(place('waits', objective_s=3.0))
             self.assertNotIn('waits', sent.placed)
             remaining_s = dict.fromkeys(ENGINES, 5.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=remaining_s))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=remaining_s))
             self.assertEqual('backing-off', sent.rejected['waits'].reason)
 
         self.play(work, slots=1)
@@ -147,7 +147,7 @@
     def test_what_may_have_run_is_held_until_its_deadline_would_pass(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
             remaining_s = dict.fromkeys(ENGINES, 5.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=remaining_s))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=remaining_s))
             scheduler.on_place(place('j', objective_s=3.0, may_have_run=True))
             self.assertEqual({}, sent.rejected)
             await asyncio.sleep(5.1)
@@ -158,7 +158,7 @@
     def test_the_jobs_of_one_box_do_not_hold_up_those_of_others(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
             remaining_s = dict.fromkeys(ENGINES, 1.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=remaining_s))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=remaining_s))
             scheduler.on_place(place('waits', objective_s=2.0))
             scheduler.on_place(place('other', OTHER))
             self.assertEqual(['other'], list(sent.placed))
@@ -198,7 +198,7 @@
     def test_what_waited_does_not_come_back_in_one_instant(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
             remaining_s = dict.fromkeys(ENGINES, 1.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=remaining_s))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=remaining_s))
             for number in range(30):
                 scheduler.on_place(place(f'j{number}', objective_s=6.0))
             await asyncio.sleep(1.1)
@@ -213,7 +213,7 @@
     def test_a_job_that_is_handed_over_takes_what_is_left_of_it_along(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
             remaining_s = dict.fromkeys(ENGINES, 1.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=remaining_s))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=remaining_s))
             scheduler.on_place(place('j', objective_s=3.0))
             await asyncio.sleep(0.4)
             scheduler.succession.step_down(OTHER)
@@ -226,7 +226,7 @@
     def test_what_is_over_is_forgotten(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
             remaining_s = dict.fromkeys(ENGINES, 1.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=remaining_s))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=remaining_s))
             scheduler.boards.expire(30.0)
             backoffs = scheduler.boards.backoffs
             self.assertEqual(({}, {}), (backoffs.by_box, backoffs.avoidances))
--- a/packages/core/calicopath_core/scheduling/tests/election_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/election_tests.py
@@ -4,15 +4,15 @@
 
 import testtools
 
-from calicopath_core.fleet.contact import BEHIND_S, STEADY, StoreContact
+from calicopath_core.fleet.contact import MIN_BEHIND_S, STEADY, StoreContact
 from calicopath_core.scheduling.election import (
     CANDIDATE_COUNT,
     NEW_BOX_GRACE_S,
     PING_INTERVAL_S,
-    SILENCE_TIMEOUT_S,
-    STANDBY_PING_INTERVAL_S,
     PROBATION_S,
     RECONNECT_AFTER_S,
+    SILENCE_TIMEOUT_S,
+    STANDBY_PING_INTERVAL_S,
     BoxAddress,
     Election,
 )
@@ -56,7 +56,9 @@
         self.receive_pongs(5.0, 1)
         candidate.mark_ping_if_due(5.2, standby=False)
         silent = 5.2 + RECONNECT_AFTER_S
-        asked = [candidate.mark_reconnect_if_due(now) for now in (silent - 0.1, silent, silent + 0.1)]
+        asked = [
+            candidate.mark_reconnect_if_due(now) for now in (silent - 0.1, silent, silent + 0.1)
+        ]
         self.assertEqual([False, True, False], asked)
         self.assertLess(RECONNECT_AFTER_S, SILENCE_TIMEOUT_S)
 
@@ -88,7 +90,7 @@
             self.election.on_pong(pong(number, contact=contact), 1.0)
 
     def test_a_box_that_the_store_fails_while_it_answers_others_goes_last(self) -> None:
-        cut = StoreContact(age_s=5.0, failing_s=BEHIND_S + 1)
+        cut = StoreContact(age_s=5.0, failing_s=MIN_BEHIND_S + 1)
         self.receive_contact(cut, 1, 2)
         self.receive_contact(StoreContact(age_s=1.9), 4, 5)
         self.assertEqual('b3', self.election.scheduler(1.0, StoreContact(age_s=1.0)).name)
@@ -105,7 +107,7 @@
         self.assertEqual('b1', self.election.scheduler(1.0, StoreContact(9.0, 7.0)).name)
 
     def test_contact_grows_older_between_two_pings(self) -> None:
-        self.receive_contact(StoreContact(age_s=3.0, failing_s=BEHIND_S - 0.2), 1)
+        self.receive_contact(StoreContact(age_s=3.0, failing_s=MIN_BEHIND_S - 0.2), 1)
         self.receive_pongs(1.3, 2)
         self.assertEqual('b2', self.election.scheduler(1.3, STEADY).name)
 
@@ -157,15 +159,21 @@
     def test_one_that_does_not_answer_in_time_has_another_pinged_beside_it(self) -> None:
         self.election.candidates_to_ping(0.1)
         self.receive_pongs(0.2, 2, 4)
-        self.assertEqual({'b1', 'b2'}, {item.box.name for item in self.election.candidates_to_ping(0.3)})
+        self.assertEqual(
+            {'b1', 'b2'}, {item.box.name for item in self.election.candidates_to_ping(0.3)}
+        )
         self.receive_pongs(0.1 + SILENCE_TIMEOUT_S, 2, 4)
-        self.assertEqual(CANDIDATE_COUNT + 1, len(self.election.candidates_to_ping(0.1 + SILENCE_TIMEOUT_S)))
+        self.assertEqual(
+            CANDIDATE_COUNT + 1, len(self.election.candidates_to_ping(0.1 + SILENCE_TIMEOUT_S))
+        )
 
     def test_hundreds_of_boxes_that_start_at_once_do_not_all_ping_each_other(self) -> None:
         election = Election(own=box(300))
         election.on_listed([box(number) for number in range(1, 301)], 0.0)
         for step in range(20):
-            self.assertLessEqual(len(election.candidates_to_ping(0.2 * step)), CANDIDATE_COUNT * (1 + step // 3))
+            self.assertLessEqual(
+                len(election.candidates_to_ping(0.2 * step)), CANDIDATE_COUNT * (1 + step // 3)
+            )
 
     def test_budgets_are_split_among_all_boxes_listed(self) -> None:
         self.assertEqual(5, self.election.box_count())
--- a/packages/core/calicopath_core/scheduling/tests/estimates_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/estimates_tests.py
@@ -4,7 +4,12 @@
 
 import testtools
 
-from calicopath_core.scheduling.estimates import DEFAULT_FIRST_EVENT_S, SMOOTHING, MAX_OBSERVATION_S, EngineTimes
+from calicopath_core.scheduling.estimates import (
+    DEFAULT_FIRST_EVENT_S,
+    MAX_OBSERVATION_S,
+    SMOOTHING,
+    EngineTimes,
+)
 
 
 class FirstEvents(testtools.TestCase):
--- a/packages/core/calicopath_core/scheduling/tests/pacing_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/pacing_tests.py
@@ -4,7 +4,13 @@
 
 import testtools
 
-from calicopath_core.scheduling.pacing import SLACK_SHARE, Pacing, max_ahead_s, full_batch_rate, upstream_duration_s
+from calicopath_core.scheduling.pacing import (
+    SLACK_SHARE,
+    Pacing,
+    full_batch_rate,
+    max_ahead_s,
+    upstream_duration_s,
+)
 from calicopath_core.scheduling.tests.work import SPEC, job, phase, queue, replica, result
 from testkit.replay.fleet import fleet_of, hurried_fleet
 from testkit.replay.plain import OURS, VARIANTS
@@ -17,7 +23,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.queues = {name: queue(replica('r')) for name in ('look', 'rank', 'check')}
-        self.call_s = self.queues['look'].usual_s()
+        self.call_s = self.queues['look'].typical_call_s()
 
     def test_a_stage_is_reached_when_those_before_it_are_done(self) -> None:
         found = upstream_duration_s(job('one', *CHAIN), self.queues)
@@ -29,11 +35,13 @@
 
     def test_what_is_on_its_way_is_enough_for_jobs_without_time_to_spare(self) -> None:
         hurried = job('one', *CHAIN, objective_s=0.1)
-        hurried.tail_s = {0: 1.0}
-        self.assertEqual(upstream_duration_s(hurried, self.queues), max_ahead_s(hurried, self.queues))
+        hurried.critical_path_s = {0: 1.0}
+        self.assertEqual(
+            upstream_duration_s(hurried, self.queues), max_ahead_s(hurried, self.queues)
+        )
 
     def test_a_call_more_at_most_is_enough_for_jobs_with_much_time(self) -> None:
-        full_s = self.queues['look'].expected_s(SPEC.batch)
+        full_s = self.queues['look'].expected_call_s(SPEC.batch)
         for objective_s, extra_s in ((1.0, SLACK_SHARE), (100.0, full_s)):
             found = max_ahead_s(job('one', *CHAIN, objective_s=objective_s), self.queues)
             self.assertAlmostEqual(self.call_s + extra_s, found[1])
--- a/packages/core/calicopath_core/scheduling/tests/starts_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/starts_tests.py
@@ -15,7 +15,12 @@
 from calicopath_core.scheduling.interfaces import StageCaller
 from calicopath_core.scheduling.messages import Placed, Rejected, RunEnded
 from calicopath_core.scheduling.scheduler import Scheduler
-from calicopath_core.scheduling.starts import NO_OVERAGE, START_WINDOW_S, WarmupTerms, start_limit_of
+from calicopath_core.scheduling.starts import (
+    NO_OVERAGE,
+    START_WINDOW_S,
+    WarmupTerms,
+    start_limit_of,
+)
 from calicopath_core.scheduling.tests.work import job, prompt, replica
 from testkit.cases import VirtualCase
 from testkit.ledgers import new_guard
@@ -31,7 +36,7 @@
 MAX_STARTS_PER_S = 15
 LIMIT = start_limit_of(WARMUP, TERMS)
 
-ZONE_ENGINES, OTHER_ENGINES = 18, 52
+FAILURE_DOMAIN_ENGINES, OTHER_ENGINES = 18, 52
 RATE = 480.0
 LOAD_S = 2.0
 RUN_S = 0.3
@@ -87,7 +92,7 @@
             choice = pool.choose(work, 0.0)
             if choice is not None:
                 pool.start_run(choice, work, 0.0)
-        back = [replica(f'z{n}', 'a', 'engine') for n in range(ZONE_ENGINES)]
+        back = [replica(f'z{n}', 'a', 'engine') for n in range(FAILURE_DOMAIN_ENGINES)]
         pool.set_replicas([*others, *back], {item.id for item in others})
         times: dict[str, list[float]] = {}
         ends: list[tuple[float, str, str]] = []
@@ -104,9 +109,9 @@
             name = choice.engine.replica.id
             ends.append((now + RUN_S, name, work.id))
             times.setdefault(name, []).append(now)
-        zone = [found for name, found in times.items() if name.startswith('z')]
-        self.assertEqual(ZONE_ENGINES, len(zone))
-        return max(max_within_a_second(found) for found in zone)
+        failure_domain = [found for name, found in times.items() if name.startswith('z')]
+        self.assertEqual(FAILURE_DOMAIN_ENGINES, len(failure_domain))
+        return max(max_within_a_second(found) for found in failure_domain)
 
     def test_no_engine_gets_more_than_it_bears_though_none_is_known_to_be_cold(self) -> None:
         self.assertLessEqual(self.max_starts_per_s(LIMIT), MAX_STARTS_PER_S)
--- a/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from calicopath_core.fleet.notices import NOTHING_TOLD, Bar, Notice
+from calicopath_core.fleet.notices import EMPTY_NOTICE, Exclusion, Notice
 from calicopath_core.scheduling.election import CANDIDATE_COUNT
 from testkit.cases import VirtualCase
 from testkit.notice_fleet import NoticeFleet
@@ -49,7 +49,7 @@
         return {
             name
             for name, item in fleet.boxes.items()
-            if item.box.gate.bar_of(item.box.replicas.replicas[replica]) is Bar.LEAVING
+            if item.box.gate.exclusion_of(item.box.replicas.replicas[replica]) is Exclusion.LEAVING
         }
 
 
@@ -136,7 +136,9 @@
             await fleet.settle()
             reached = [item.replica for item in fleet.notices.arrivals]
             self.assertEqual((200, [engines[0].id]), (sink.status, reached))
-            self.assertEqual(0, len(box.executor.context.budgets.of('engine').repeats))
+            self.assertEqual(
+                0, len(box.executor.context.retry_budgets.for_service('engine').retries)
+            )
 
         self.play(work)
 
@@ -189,15 +191,15 @@
             self.hear(fleet, 'box-1', 'desk-2', Notice(backoff_s=PAUSE_S))
             await asyncio.sleep(0.5)
             bars = {name: self.bar(fleet, name, 'desk-2') for name in fleet.boxes}
-            self.assertEqual(Bar.BACKOFF, bars.pop('box-1'))
+            self.assertEqual(Exclusion.BACKOFF, bars.pop('box-1'))
             self.assertEqual({None}, set(bars.values()))
 
         self.play(work)
 
-    def bar(self, fleet: NoticeFleet, name: str, replica: str) -> Bar | None:
+    def bar(self, fleet: NoticeFleet, name: str, replica: str) -> Exclusion | None:
         """Return why a box would not call a replica."""
         box = self.box(fleet, name)
-        return box.gate.bar_of(box.replicas.replicas[replica])
+        return box.gate.exclusion_of(box.replicas.replicas[replica])
 
     def test_the_next_scheduler_is_told_what_holds(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
@@ -206,7 +208,9 @@
             await asyncio.sleep(0.1)
             fleet.kill('box-0')
             await asyncio.sleep(2.0)
-            scheduler = self.box(fleet, self.box(fleet, 'box-3').client.target.split(':')[0])
+            scheduler = self.box(
+                fleet, self.box(fleet, 'box-3').client.scheduler_address.split(':')[0]
+            )
             now = scheduler.clock.monotonic()
             held = scheduler.scheduler.boards.backoffs.of_box('box-3:7', now)
             self.assertEqual({'engine-4', 'engine-5'}, set(held))
@@ -224,7 +228,7 @@
     def test_an_answer_without_a_wish_ends_none(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
             self.hear(fleet, 'box-1', 'desk-2', Notice(backoff_s=PAUSE_S))
-            self.hear(fleet, 'box-1', 'desk-2', NOTHING_TOLD)
-            self.assertEqual(Bar.BACKOFF, self.bar(fleet, 'box-1', 'desk-2'))
+            self.hear(fleet, 'box-1', 'desk-2', EMPTY_NOTICE)
+            self.assertEqual(Exclusion.BACKOFF, self.bar(fleet, 'box-1', 'desk-2'))
 
         self.play(work)
--- a/testkit/replay/plain.py
+++ b/testkit/replay/plain.py
@@ -46,7 +46,9 @@
         for job in listed:
             for number, phase in enumerate(job.place.phases):
                 queue = queues[phase.service]
-                job.ahead_s[number] = SAME_AHEAD_S * queue.rate() / full_batch_rate(queue)
+                job.allowed_backlog_s[number] = (
+                    SAME_AHEAD_S * queue.pieces_per_s() / full_batch_rate(queue)
+                )
         return super().find_held(listed, queues)
 
 
--- a/testkit/replay/world.py
+++ b/testkit/replay/world.py
@@ -9,14 +9,21 @@
 
 from calicopath_core.fleet.deployment import Deployment, ServiceSpec
 from calicopath_core.fleet.replicas import ReplicaTable
-from calicopath_core.scheduling.client import Asked
-from calicopath_core.scheduling.messages import Adopt, Place, Placed, Progress, Rejected, RunEnded
+from calicopath_core.scheduling.client import PendingJob
+from calicopath_core.scheduling.messages import (
+    AdoptJob,
+    Placed,
+    PlaceJob,
+    Progress,
+    Rejected,
+    RunEnded,
+)
 from calicopath_core.scheduling.messages import RunStarted as Started
 from calicopath_core.scheduling.scheduler import Scheduler
 from calicopath_core.scheduling.starts import WarmupTerms
 from testkit.ledgers import new_guard
 from testkit.replay import outcomes as counting
-from testkit.replay.blows import strike_replicas, take_zone_out
+from testkit.replay.blows import strike_replicas, take_failure_domain_out
 from testkit.replay.engines import AGAIN_WITHIN_S, ReplayEngine
 from testkit.replay.fleet import ENGINE, Fleet, fleet_of
 from testkit.replay.load import FLOODER, PATTERNS, Arrival, Blow, Generator, Pattern
@@ -54,8 +61,8 @@
 """Callers wait as long as they are told, but at most this share of the time they have left."""
 
 TIMED = ('on_place', 'on_started', 'on_ended', 'tick', 'advance')
-TIMED_STAGES = ('dispatch', 'on_freed', 'take_result')
-TIMED_RELEASE = ('tell_made', 'give_up_read', 'on_fetched')
+TIMED_STAGES = ('dispatch', 'on_freed', 'on_result')
+TIMED_RELEASE = ('report_results', 'free_read', 'on_fetched')
 
 
 class Variant(NamedTuple):
@@ -83,10 +90,10 @@
             for item in fleet.replicas()
             if item.service == ENGINE
         }
-        self.zones = {item.id: item.zone for item in fleet.replicas()}
+        self.failure_domains = {item.id: item.failure_domain for item in fleet.replicas()}
         self.observer = CountingObserver()
         self.stopwatch = Stopwatch()
-        self.asked: dict[str, Asked] = {}
+        self.asked: dict[str, PendingJob] = {}
         self.scheduler: Scheduler | None = None
         self.running: asyncio.Task[None] | None = None
         self.down_until = 0.0
@@ -134,7 +141,7 @@
             version=1,
             routes=(),
             services=(*stages, engine),
-            tenants=(),
+            workspaces=(),
             limits=None,  # type: ignore[arg-type]
         )
 
@@ -159,13 +166,13 @@
             scheduler = self.scheduler
             if scheduler is None:
                 return
-            if isinstance(message, Place):
+            if isinstance(message, PlaceJob):
                 scheduler.on_place(message)
             elif isinstance(message, Started):
                 scheduler.on_started(message)
             elif isinstance(message, RunEnded):
                 scheduler.on_ended(message)
-            elif isinstance(message, Adopt):
+            elif isinstance(message, AdoptJob):
                 scheduler.succession.on_adopt(message)
 
         asyncio.get_running_loop().call_later(NETWORK_S, arrive)
@@ -195,7 +202,7 @@
             await asyncio.sleep(NOTICED_S)
             await self.start_next(with_jobs=True)
         elif blow.what == 'out':
-            await take_zone_out(self, blow)
+            await take_failure_domain_out(self, blow)
         else:
             await strike_replicas(self, blow)
 
@@ -218,8 +225,8 @@
         if with_jobs:
             now = self.clock.monotonic()
             for asked in waiting:
-                asked.targets.append(self.scheduler.own_address)
-                self.tell(asked.question(now, missed='gone'))
+                asked.schedulers.append(self.scheduler.own_address)
+                self.tell(asked.request(now, silent_scheduler='gone'))
 
     async def call(self, arrival: Arrival) -> None:
         """Send one request and, if it may, once more."""
@@ -251,7 +258,7 @@
         for index, phase in enumerate(arrival.phases):
             self.sizes[name, index] = phase.result_bytes
         place = self.question(arrival, name, left_s)
-        asked = self.asked[name] = Asked(place=place, now=self.clock.monotonic())
+        asked = self.asked[name] = PendingJob(place=place, now=self.clock.monotonic())
         deaths = self.deaths
         self.tell(place)
         try:
@@ -265,7 +272,7 @@
             return 1.0 if answer is None else max(0.001, answer.retry_after_s)
         return await self.run_engine(arrival, name, answer)
 
-    async def answer_of(self, asked: Asked, deaths: int) -> Any:
+    async def answer_of(self, asked: PendingJob, deaths: int) -> Any:
         """Return a scheduler's answer, or nothing if the box that asked died first."""
         while not asked.answer.done():
             await asyncio.wait({asked.answer}, timeout=0.05)
@@ -273,13 +280,13 @@
                 return None
         return asked.answer.result()
 
-    def question(self, arrival: Arrival, name: str, left_s: float) -> Place:
+    def question(self, arrival: Arrival, name: str, left_s: float) -> PlaceJob:
         """Return what the scheduler is asked."""
         kind = arrival.kind
-        return Place(
+        return PlaceJob(
             job=name,
             reply_to='box',
-            zone=arrival.zone,
+            failure_domain=arrival.failure_domain,
             call_id=name,
             piece_key=name,
             priority=kind.priority,
@@ -293,7 +300,7 @@
 
     async def run_engine(self, arrival: Arrival, name: str, placed: Placed) -> float:
         """Run a placed request; return 0 once its first event came."""
-        engine, zone = self.engines[placed.replica], self.zones[placed.replica]
+        engine, failure_domain = self.engines[placed.replica], self.failure_domains[placed.replica]
         await asyncio.sleep(NETWORK_S)
         for handle in placed.inputs:
             item = self.stages.kept.get(handle)
@@ -302,7 +309,7 @@
                 self.forget(name)
                 return 0.01
             self.used_s += item.work_s
-            if item.zone != zone:
+            if item.failure_domain != failure_domain:
                 self.stages.crossed_bytes += item.size
         now = self.clock.monotonic()
         if placed.replica in self.cold:
