--- a/packages/core/calicopath_core/scheduling/fairness.py
+++ b/packages/core/calicopath_core/scheduling/fairness.py
@@ -1,7 +1,7 @@
 """Detect workspaces that ask more than their usual share, so that they do not delay the others.
 
 When a workspace sends many times its usual load for some seconds, its urgent requests would make
-every less urgent request of all other workspaces late. The part beyond its allowance is served
+every less urgent request of all other workspaces late. The part over its allowance is served
 after what the others ask and before what is late anyway, so fairness never leaves capacity idle.
 The allowance follows the workspace's own past, so that a workspace that is always large does not
 count as a flood. It grows with what all others ask, since a burst of every workspace floods none.
@@ -20,8 +20,8 @@
 usual rate is served like the others again within about two minutes."""
 
 LEARNING_PERIOD_S = 8.0
-"""Nothing counts as beyond an allowance for this long after a scheduler started, since it knows no
-past rates."""
+"""No request counts as over its allowance for this long after a scheduler started, since past rates
+are unknown then."""
 
 ALLOWANCE_FACTOR = 1.5
 """How many times its usual rate a workspace may ask: requests come in clumps, and half of the
@@ -92,15 +92,17 @@
             saved_s, usage.allowance_left_s + allowed * (now - usage.updated_at)
         )
         usage.updated_at = now
-        beyond = usage.allowance_left_s < cost_s and now - self.started_at >= LEARNING_PERIOD_S
+        over_allowance = (
+            usage.allowance_left_s < cost_s and now - self.started_at >= LEARNING_PERIOD_S
+        )
         usage.recent.add(cost_s, now)
         self.recent.add(cost_s, now)
-        if not beyond:
-            # Excess does not raise the usual rate, or a flood would permit itself.
+        if not over_allowance:
+            # Use over the allowance must not raise the usual rate, or a flood would permit itself.
             usage.allowance_left_s -= cost_s
             usage.usual.add(cost_s, now)
             self.usual.add(cost_s, now)
-        return beyond
+        return over_allowance
 
     def allowed_rate(self, usage: Usage, now: float) -> float:
         """Return how many seconds of work per second a workspace may ask now."""
--- a/packages/core/calicopath_core/scheduling/pacing.py
+++ b/packages/core/calicopath_core/scheduling/pacing.py
@@ -52,9 +52,9 @@
         unstarted = [job for job in open_jobs if not job.has_progress and not job.resumed]
         if not unstarted:
             return set()
-        begun = [job for job in open_jobs if job.has_progress]
+        started = [job for job in open_jobs if job.has_progress]
         precedences = {precedence(job) for job in unstarted}
-        waiting = {kind: waiting_pieces(begun, kind) for kind in precedences}
+        waiting = {limit: waiting_pieces(started, limit) for limit in precedences}
         rates = {name: full_batch_rate(queue) for name, queue in queues.items()}
         return {
             job.id for job in unstarted if must_hold(job, waiting[precedence(job)], rates, queues)
@@ -81,7 +81,7 @@
 class Precedence(NamedTuple):
     """Hold the sort key that orders jobs over time, least first."""
 
-    beyond: bool
+    is_over_allowance: bool
     priority: int
 
 
@@ -125,10 +125,10 @@
     return batch * queue.calls_per_s(queue.replicas.values(), batch)
 
 
-def waiting_pieces(begun: Iterable[Job], limit: Precedence) -> dict[str, int]:
+def waiting_pieces(started: Iterable[Job], limit: Precedence) -> dict[str, int]:
     """Return the uncalled pieces by service of the jobs up to a precedence."""
     pieces: dict[str, int] = defaultdict(int)
-    for job in begun:
+    for job in started:
         if precedence(job) <= limit:
             for number, phase in enumerate(job.place.phases):
                 pieces[phase.service] += job.undispatched[number]
--- a/packages/core/calicopath_core/scheduling/tests/admission_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/admission_tests.py
@@ -53,14 +53,17 @@
     def test_room_is_expected_when_what_goes_before_is_made(self) -> None:
         item = job('one', phase())
         waits = [
-            self.admission.backlog_wait_s(item, waiting_jobs(n), self.queues, 0.0) for n in (0, 10, 20)
+            self.admission.backlog_wait_s(item, waiting_jobs(n), self.queues, 0.0)
+            for n in (0, 10, 20)
         ]
         self.assertEqual(0.0, waits[0])
         self.assertAlmostEqual(40 / self.queues['look'].pieces_per_s(), waits[1])
         self.assertAlmostEqual(2 * waits[1], waits[2])
 
     def test_work_of_lower_rank_is_not_in_its_way(self) -> None:
-        self.assertTrue(self.decide(job('one', phase(), priority=0), waiting_jobs(40, priority=5)).admitted)
+        self.assertTrue(
+            self.decide(job('one', phase(), priority=0), waiting_jobs(40, priority=5)).admitted
+        )
 
     def test_work_that_is_late_is_not_in_its_way(self) -> None:
         late = waiting_jobs(40, objective_s=-0.1)
@@ -75,13 +78,19 @@
         decision = self.decide(late, waiting_jobs(12))
         self.assertTrue(decision.admitted)
         self.assertGreater(decision.expected_s, late.objective_at)
-        self.assertFalse(self.decide(job('two', phase(), deadline_s=2.0), waiting_jobs(12)).admitted)
+        self.assertFalse(
+            self.decide(job('two', phase(), deadline_s=2.0), waiting_jobs(12)).admitted
+        )
 
     def test_one_that_an_earlier_scheduler_had_let_in_is_let_in(self) -> None:
-        self.assertTrue(self.decide(job('one', phase(), asked_before=True), waiting_jobs(12)).admitted)
+        self.assertTrue(
+            self.decide(job('one', phase(), asked_before=True), waiting_jobs(12)).admitted
+        )
 
     def test_nobody_is_let_in_who_cannot_be_made_before_the_deadline(self) -> None:
-        self.assertFalse(self.decide(job('one', phase(), asked_before=True), waiting_jobs(60)).admitted)
+        self.assertFalse(
+            self.decide(job('one', phase(), asked_before=True), waiting_jobs(60)).admitted
+        )
 
     def test_a_broken_stream_and_one_without_stages_are_always_let_in(self) -> None:
         self.assertTrue(self.decide(job('one', phase(), resumed=True), waiting_jobs(60)).admitted)
--- a/packages/core/calicopath_core/scheduling/tests/backoffs_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/backoffs_tests.py
@@ -59,7 +59,9 @@
 
 
 class Backoffs(VirtualCase):
-    def play(self, work: Callable[[Scheduler, SentMessages], Awaitable[None]], *, slots: int = 8) -> None:
+    def play(
+        self, work: Callable[[Scheduler, SentMessages], Awaitable[None]], *, slots: int = 8
+    ) -> None:
         """Run a scheduler in front of three engines, and await `work` with it."""
 
         async def scenario() -> None:
--- a/packages/core/calicopath_core/scheduling/tests/fairness_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/fairness_tests.py
@@ -25,9 +25,9 @@
         self.now = 0.0
 
     def charge_rates(self, for_s: float, **rates: float) -> dict[str, float]:
-        """Charge requests at some rates per second; return each workspace's share of excess."""
+        """Charge requests at rates per second; return each workspace's share over allowance."""
         asked = dict.fromkeys(rates, 0)
-        beyond = dict.fromkeys(rates, 0)
+        over = dict.fromkeys(rates, 0)
         due = dict.fromkeys(rates, 0.0)
         until = self.now + for_s
         while self.now < until:
@@ -37,8 +37,8 @@
                 while due[name] >= 1:
                     due[name] -= 1
                     asked[name] += 1
-                    beyond[name] += self.allowances.charge(name, COST_S, self.now)
-        return {name: beyond[name] / max(1, asked[name]) for name in rates}
+                    over[name] += self.allowances.charge(name, COST_S, self.now)
+        return {name: over[name] / max(1, asked[name]) for name in rates}
 
     def test_a_flood_is_beyond_and_what_others_ask_is_not(self) -> None:
         self.charge_rates(20.0, large=10.0, small=2.0, other=5.0)
@@ -86,9 +86,9 @@
 
     def test_it_does_not_delay_the_admission_of_allowed_jobs(self) -> None:
         allowed = job('allowed', phase(), priority=2)
-        beyond = job('beyond', phase(), priority=0, is_over_allowance=True)
-        self.assertTrue(outranks(allowed, beyond))
-        self.assertFalse(outranks(beyond, allowed))
+        over = job('beyond', phase(), priority=0, is_over_allowance=True)
+        self.assertTrue(outranks(allowed, over))
+        self.assertFalse(outranks(over, allowed))
 
     def test_its_begun_work_holds_nobody_else_back(self) -> None:
         queues = {'look': queue(replica('r')), 'rank': queue(replica('s'))}
