--- a/packages/core/calicopath_core/fleet/__init__.py
+++ b/packages/core/calicopath_core/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Describe a deployment that a platform hands over whole: routes, services, replicas."""
+"""Model a deployment and follow its records in the platform's store: routes, services, replicas."""
--- a/packages/core/calicopath_core/fleet/backoffs.py
+++ b/packages/core/calicopath_core/fleet/backoffs.py
@@ -1,8 +1,8 @@
-"""Hold which replicas want nothing from this box for a while, and bring calls back gradually.
+"""Hold back calls to replicas that requested a backoff, and resume them gradually.
 
-A backoff is between one replica and one box, and counts from the answer that asked for it. When it
-ends, calls that have waited would come back in one instant from every box: each box waits a little
-longer by chance, and sends one call first.
+A backoff applies to one replica and one box, and starts with the answer that requested it. Without
+further measures the waiting calls of all boxes would resume at the same instant, so each box adds a
+random delay and sends one trial call first.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
     from calicopath_core.fleet.replicas import Replica
 
 MAX_BACKOFF_S = 600.0
-"""The longest backoff that is kept to; a replica that asks for more is called again after this."""
+"""Longest backoff that is honored; a replica that asks for more is called again after this."""
 
 MAX_JITTER_S = 0.3
-"""By how much longer a box stays away by chance: as long as the first call of another takes."""
+"""Maximum random delay added to a backoff: the time that another box's trial call takes."""
 
 TRIAL_CALL_WAIT_S = 0.3
-"""How long the first call after a backoff is waited for before others follow it: answers that turn
-a call away come within some ms, an engine's first event within about this time."""
+"""How long a box waits for its trial call before others follow. A replica rejects a call within
+some ms; an engine's first event takes about this long."""
 
 
 class Backoff:
-    """Hold one replica's wish; times are monotonic seconds."""
+    """Hold the backoff of one replica; times are monotonic seconds."""
 
     def __init__(self, *, started_ms: float, since: float, until: float) -> None:
         self.started_ms = started_ms
@@ -41,7 +41,7 @@
 
 
 class Backoffs:
-    """Hold the wishes of replicas, by identifier."""
+    """Hold the backoffs that replicas requested from this box, by replica."""
 
     def __init__(self, *, clock: Clock, observer: NoticeObserver, rng: random.Random) -> None:
         self.clock = clock
@@ -50,7 +50,7 @@
         self.by_replica: dict[str, Backoff] = {}
 
     def record(self, replica: Replica, backoff_s: float) -> None:
-        """Note a wish; one that ends earlier than another that holds shortens nothing."""
+        """Record a backoff; it never ends an active backoff of the same incarnation earlier."""
         now = self.clock.monotonic()
         until = now + min(backoff_s, MAX_BACKOFF_S) + self.rng.uniform(0.0, MAX_JITTER_S)
         known = self.by_replica.get(replica.id)
@@ -62,7 +62,7 @@
         self.observer.on_backoff(replica, backoff_s)
 
     def remaining_s(self, replica: Replica) -> float:
-        """Return for how long nothing may be sent to a replica yet, 0 if something may."""
+        """Return the seconds until a call may be sent to a replica, 0 if it may be sent now."""
         found = self.by_replica.get(replica.id)
         if found is None or replica.started_ms > found.started_ms:
             return 0.0
@@ -70,43 +70,43 @@
         return max(0.0, found.until - now, found.trial_until - now)
 
     def earliest_end_in_s(self, replicas: Iterable[Replica]) -> float:
-        """Return when the first of some replicas may be called, 0 for none."""
+        """Return the seconds until the first of some replicas may be called, 0 without replicas."""
         return min((self.remaining_s(replica) for replica in replicas), default=0.0)
 
     def on_sent(self, replica: Replica) -> None:
-        """Note a call; the first one after a backoff is tried alone."""
+        """Record a sent call: after a backoff it is the trial call, and others wait for it."""
         found = self.by_replica.get(replica.id)
         if found is not None:
             found.trial_until = self.clock.monotonic() + TRIAL_CALL_WAIT_S
 
     def on_accepted(self, replica: Replica) -> None:
-        """Note that a replica has taken a call: all may follow."""
+        """End a backoff that is over, since the replica has accepted a call again."""
         found = self.by_replica.get(replica.id)
         if found is not None and found.until <= self.clock.monotonic():
             self.report_end(replica.id, found)
             del self.by_replica[replica.id]
 
     def remaining_by_replica(self, replicas: Iterable[Replica]) -> dict[str, float]:
-        """Return for how long which of some replicas want nothing yet."""
+        """Return the seconds left of each active backoff among some replicas, by replica."""
         if not self.by_replica:
             return {}
-        lefts = {item.id: self.remaining_s(item) for item in replicas}
-        return {name: left_s for name, left_s in lefts.items() if left_s > 0}
+        remaining = {item.id: self.remaining_s(item) for item in replicas}
+        return {name: left_s for name, left_s in remaining.items() if left_s > 0}
 
     def active(self) -> Iterator[tuple[str, Backoff]]:
-        """Yield the wishes that hold."""
+        """Return the backoffs that have not ended, with their replicas."""
         now = self.clock.monotonic()
         return ((name, item) for name, item in self.by_replica.items() if item.until > now)
 
     def report_end(self, name: str, backoff: Backoff) -> None:
-        """Tell once that a backoff is over."""
+        """Report the end of a backoff, once."""
         if not backoff.end_reported:
             backoff.end_reported = True
             held_s = backoff.until - backoff.since
             self.observer.on_backoff_ended(name, held_s, backoff.rejected_calls)
 
     def expire(self) -> None:
-        """Forget backoffs that are over; they matter no more a trial's time after they ended."""
+        """Report backoffs that have ended, and remove them after the time for a trial call."""
         now = self.clock.monotonic()
         for name, item in list(self.by_replica.items()):
             if item.until <= now:
@@ -116,4 +116,4 @@
 
 
 RETENTION_S = 10.0
-"""How long after its end a backoff is remembered for the first call to go alone."""
+"""How long an ended backoff is kept, so that a trial call still precedes other calls."""
--- a/packages/core/calicopath_core/fleet/deployment.py
+++ b/packages/core/calicopath_core/fleet/deployment.py
@@ -1,4 +1,4 @@
-"""Define a deployment's configuration: routes, services, tenants and limits, under one version."""
+"""Define one version of a configuration: routes, services, workspaces and limits."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RouteKind(enum.StrEnum):
-    """Say how a route's requests may be repeated."""
+    """Classify a route's requests by whether they can be repeated."""
 
     SAFE = 'safe'
     UNSAFE = 'unsafe'
@@ -16,7 +16,7 @@
 
 
 class Phase(NamedTuple):
-    """Describe one stage of a route; `needs` are the numbers of the stages it reads from."""
+    """Describe one stage of a route; `needs` holds the indices of the stages it reads from."""
 
     service: str
     needs: tuple[int, ...]
@@ -24,16 +24,16 @@
 
 
 class WeightedService(NamedTuple):
-    """Name a service and its share of a route's requests."""
+    """Name a service and the weight of its share of a route's requests."""
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """Describe what happens to requests of one host and path prefix; times are in seconds.
+    """Describe how requests for one host and path prefix are handled; times are in seconds.
 
-    `patience_s` is how long callers wait for the first event of a stream.
+    `first_event_timeout_s` is how long callers wait for the first event of a stream.
     """
 
     name: str
@@ -52,17 +52,21 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request that may have run may be sent again."""
+        """Tell whether a request that may have been executed can be sent again."""
         return self.kind is RouteKind.SAFE or (self.streaming and self.resumable)
 
     @property
     def streaming(self) -> bool:
-        """Tell whether answers are streams of events."""
+        """Tell whether answers are event streams."""
         return self.kind is RouteKind.STREAMING
 
 
 class StageSpec(NamedTuple):
-    """Describe one replica of a stage's service: calls at once, pieces a call, times, room."""
+    """Describe one replica of a stage's service.
+
+    `batch` is the maximum number of pieces per call; a call takes `call_s` plus `piece_s` for each
+    piece. `result_capacity_bytes` is the memory for results, which are kept for `result_ttl_s`.
+    """
 
     concurrency: int
     batch: int
@@ -73,14 +77,14 @@
 
 
 class EngineSpec(NamedTuple):
-    """Describe one replica of a model engine."""
+    """Describe one replica of a model engine: concurrent runs and KV cache size in tokens."""
 
     slots: int
     kv_tokens: int
 
 
 class WarmupSpec(NamedTuple):
-    """Say how many requests a second a replica bears while it is cold."""
+    """Set how many requests a second a cold replica accepts."""
 
     per_s: float
 
@@ -100,7 +104,7 @@
 
 
 class ClientLimits(NamedTuple):
-    """Bound what clients may send, and how long they may take."""
+    """Limit the size of client requests and how long clients may take to send them."""
 
     header_bytes: int
     body_bytes: int
@@ -109,7 +113,7 @@
 
 
 class Tenant(NamedTuple):
-    """Describe a tenant; its priority goes before a route's."""
+    """Describe a workspace; its priority, if set, takes precedence over a route's."""
 
     name: str
     keys: tuple[str, ...]
@@ -117,11 +121,11 @@
 
 
 DEFAULT_LIMITS = ClientLimits(16384, 4194304, 3.0, 15.0)
-"""Hold before a configuration is known."""
+"""The limits in force before a configuration is known."""
 
 
 class Deployment:
-    """Hold one whole version of the configuration, indexed for requests."""
+    """Hold one complete version of the configuration, indexed for requests."""
 
     def __init__(
         self,
@@ -142,7 +146,7 @@
         self.routes_by_prefix = {(route.host, route.prefix): route for route in routes}
 
     def route_for(self, host: str, path: str) -> Route | None:
-        """Return the route of a host whose prefix begins the path and is longest."""
+        """Return the route of a host with the longest prefix of the path, or `None`."""
         end = path.rfind('/')
         while end >= 0:
             route = self.routes_by_prefix.get((host, path[: end + 1]))
@@ -152,19 +156,19 @@
         return None
 
     def tenant_for(self, key: str) -> Tenant | None:
-        """Return the tenant that holds a key."""
+        """Return the workspace that owns an API key, or `None`."""
         return self.tenants_by_key.get(key)
 
 
 class DeploymentView:
-    """Hold the newest deployment seen; it never goes back within a life."""
+    """Hold the newest deployment seen; the version never decreases while the process runs."""
 
     def __init__(self) -> None:
         self.current: Deployment | None = None
         self.applied_at = 0.0
 
     def apply_if_newer(self, deployment: Deployment, now: float) -> bool:
-        """Apply a deployment if it is newer than the one held; say whether it was."""
+        """Apply a deployment if it is newer than the current one; return whether it was."""
         if self.current is not None and deployment.version <= self.current.version:
             return False
         self.current = deployment
--- a/packages/core/calicopath_core/fleet/evacuations.py
+++ b/packages/core/calicopath_core/fleet/evacuations.py
@@ -1,7 +1,7 @@
-"""Keep which zones operators have taken out: no new work goes to the replicas there.
+"""Track the failure domains that operators evacuated: their replicas get no new work.
 
-Answers a zone that is about to be worked on, or that is suspect: what is at work there ends, and
-nothing more is sent until the zone is given back.
+Operators evacuate a failure domain before maintenance or when they suspect a fault. Work in
+progress there finishes, and no new work is sent until the evacuation ends.
 """
 
 from __future__ import annotations
@@ -13,24 +13,25 @@
 
 
 class Evacuation(NamedTuple):
-    """Say that a zone is taken out; `revision` is the store's at which the record was written."""
+    """Describe an evacuated failure domain; `revision` is the store's revision of the record."""
 
     zone: str
     revision: int
 
 
 class ActiveEvacuation(NamedTuple):
-    """Hold an evacuation and since when this box knows of it, in seconds since 1970."""
+    """Hold an evacuation and when this box learned of it, in seconds since 1970."""
 
     evacuation: Evacuation
     since: float
 
 
 class Evacuations:
-    """Hold the zones that are taken out, as far as this box knows.
+    """Hold the evacuated failure domains that this box knows of.
 
-    `on_taken_out` and `on_given_back` learn of each change once; a name that is no zone's is held
-    like any other and stops nothing.
+    `on_evacuation_started` and `on_evacuation_ended` are called once per change, `on_changed` with
+    the names of all evacuated domains. A name that matches no failure domain is held like any other
+    and has no effect.
     """
 
     def __init__(
@@ -48,13 +49,13 @@
         self.active: dict[str, ActiveEvacuation] = {}
 
     def replace_all(self, evacuations: Iterable[Evacuation]) -> None:
-        """Take in every evacuation there is."""
+        """Replace all evacuations by a complete list."""
         listed = {item.zone: item for item in evacuations}
         changes = [(zone, None) for zone in self.active if zone not in listed]
         self.apply_changes([*changes, *listed.items()])
 
     def apply_changes(self, changes: Iterable[tuple[str, Evacuation | None]]) -> None:
-        """Take in the newest state of some zones: taken out, or nothing if given back."""
+        """Apply the newest state of some failure domains; `None` ends an evacuation."""
         before = frozenset(self.active)
         for zone, evacuation in changes:
             if evacuation is None:
@@ -66,7 +67,7 @@
             self.on_changed(after)
 
     def start_evacuation(self, evacuation: Evacuation) -> None:
-        """Hold a zone for taken out; one written anew keeps the time since which it is."""
+        """Start an evacuation; a rewritten record of an active one keeps its start time."""
         known = self.active.get(evacuation.zone)
         if known is not None:
             self.active[evacuation.zone] = known._replace(evacuation=evacuation)
@@ -75,7 +76,7 @@
         self.on_evacuation_started(evacuation)
 
     def end_evacuation(self, zone: str) -> None:
-        """Hold a zone for given back."""
+        """End an evacuation."""
         known = self.active.pop(zone, None)
         if known is not None:
             self.on_evacuation_ended(known)
--- a/packages/core/calicopath_core/fleet/feed.py
+++ b/packages/core/calicopath_core/fleet/feed.py
@@ -1,4 +1,4 @@
-"""Follow one kind of records: one list, then one waiting watch at a time."""
+"""Follow one kind of records in the store: list them once, then watch for changes."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
     from calicopath_core.fleet.store import Change, Changes, FleetStore, Record
 
 PROBE_WAIT_S = 0.1
-"""How long a watch waits while the store does not answer: a call that hangs is then noticed within
-0.9 s, so that a box hears of the store's return, and of what was changed since, in under 2 s. The
-users count a box as in touch 3 s after it, and a change as in force 2 s after it was made."""
+"""How long a watch waits while the store fails. A call that hangs is detected within 0.9 s, so a
+box notices that the store is back, and what changed meanwhile, in under 2 s. Users expect a box to
+be in contact within 3 s of the store's return and a change in force within 2 s."""
 
 RELAY_CHECK_INTERVAL_S = 0.2
-"""How often a box that hears the store through others looks whether it still does."""
+"""How often a box that uses a relay checks whether the relay is still usable."""
 
 
 READ_CHECK_INTERVAL_S = 0.02
-"""How often a box looks whether it may read the store by itself by now."""
+"""How often a box checks whether it may read the store itself."""
 
 BATCH_DELAY_S = {
     RecordKind.DEPLOYMENT: 0.0,
@@ -35,75 +35,76 @@
     RecordKind.BOX: 0.4,
     RecordKind.EVACUATION: 0.0,
 }
-"""How long changes that follow a change are gathered into one call. While 195 boxes start, a watch
-of boxes would else return for each; nothing in time depends on a box that has just come."""
+"""How long to wait after a change so that the changes that follow arrive in the same call.
+Otherwise the watch of boxes would return once for each of 195 starting boxes; nothing urgent
+depends on a box that has just started."""
 
 
 class FeedHandler(ABC):
-    """Take in what a feed brings."""
+    """Handle the records that a feed delivers."""
 
     @abstractmethod
     def on_listing(self, kind: RecordKind, listing: Listing) -> None:
-        """Take in every record of a kind."""
+        """Handle the complete list of a kind's records."""
 
     @abstractmethod
     def on_changes(self, kind: RecordKind, position: Position, changes: list[Change]) -> None:
-        """Take in the new state of records that changed up to a position, each named once."""
+        """Handle the new state of records that changed up to a position, each named once."""
 
     @abstractmethod
     def on_disrupted(self) -> None:
-        """Note that the store could not be read until now."""
+        """Handle the end of a time in which the store could not be read."""
 
 
 class FollowPolicy(ABC):
-    """Say how a box follows the store."""
+    """Decide how a box follows the store."""
 
     @abstractmethod
     def uses_relay(self) -> bool:
-        """Tell whether the box hears the store through others."""
+        """Tell whether the box receives the store's changes through a relay."""
 
     @abstractmethod
     def may_read(self, kind: RecordKind) -> bool:
-        """Tell whether the box may read a kind of the store: not while relays may still tell it."""
+        """Tell whether the box may read a kind from the store, rather than wait for relays."""
 
     @abstractmethod
     def watch_wait_s(self, kind: RecordKind) -> float:
-        """Return how long a watch waits."""
+        """Return how long a watch waits, in seconds."""
 
     @abstractmethod
     async def wait_for_relays(self) -> None:
-        """Give relays the time to tell what the store has forgotten the history of."""
+        """Give relays time to send what the store no longer has the history of."""
 
     @abstractmethod
     async def back_off(self, kind: RecordKind, failures: int) -> None:
-        """Wait before a kind is asked for again of which so many calls in a row have failed."""
+        """Wait before the next call for a kind after a number of consecutive failures."""
 
 
 class FeedObserver(ABC):
-    """Learn how a feed does."""
+    """Observe a feed's contact with the store."""
 
     @abstractmethod
     def on_contact_lost(self, kind: RecordKind, error: Exception) -> None:
-        """Note that the store stopped answering."""
+        """Record that the store stopped answering."""
 
     @abstractmethod
     def on_contact_restored(self, kind: RecordKind, silent_s: float) -> None:
-        """Note that the store answers again."""
+        """Record that the store answers again, and for how long it was silent."""
 
     @abstractmethod
     def on_history_lost(self, kind: RecordKind, held: Position) -> None:
-        """Note that changes were lost and everything is read anew."""
+        """Record that the store's change history is lost and that all records are listed again."""
 
     @abstractmethod
     def on_listing_dropped(self, kind: RecordKind, held: Position, listed: Position) -> None:
-        """Note that a list was not taken in, as its position is before the one held."""
+        """Record that a list was dropped because its position is older than the one held."""
 
 
 class RecordFeed:
-    """Follow one kind and hand on what comes; times are monotonic seconds.
+    """Follow one kind of records and pass them to a handler; times are monotonic seconds.
 
-    While `follows` says so, what others have read of the store comes through `take_update` and the
-    store is not asked. Nothing older than what is held is ever handed on.
+    While `policy.uses_relay()` is true the store is not called, and records arrive through
+    `apply_update`. Nothing older than the position held is passed on.
     """
 
     def __init__(
@@ -133,7 +134,7 @@
 
     @property
     def synced(self) -> bool:
-        """Tell whether everything was read once, by this box or through others."""
+        """Tell whether all records were read once, directly or through a relay."""
         return self.position is not None or self.contact_at is not None
 
     async def run(self) -> None:
@@ -153,7 +154,8 @@
                 losses = losses if self.has_listed else 0
                 await asyncio.sleep(BATCH_DELAY_S[self.kind] if changed else 0.0)
             except HistoryLost:
-                # No entry lapses by that: what the list does not hold is gone.
+                # Entries did not lapse because of the loss, so records missing from the list are
+                # gone.
                 self.must_list = True
                 losses += 1
                 await self.wait_after_history_loss(losses)
@@ -163,7 +165,7 @@
                 await self.policy.back_off(self.kind, failures)
 
     async def step(self) -> bool:
-        """Make one call and hand on what it brings; tell whether that was a change."""
+        """Make one call and pass on its result; return whether it brought changes."""
         self.calls += 1
         self.has_listed = self.position is None or self.must_list
         if self.position is None or self.must_list:
@@ -179,7 +181,7 @@
         return bool(found.changes)
 
     async def wait_after_history_loss(self, losses: int) -> None:
-        """Wait before everything is read anew after so many losses without a change between."""
+        """Wait before listing all records again; `losses` counts losses in a row."""
         assert self.position is not None
         self.observer.on_history_lost(self.kind, self.position)
         if losses > 1:
@@ -187,19 +189,20 @@
         await self.policy.wait_for_relays()
 
     def apply_watch_result(self, since: Position, found: Changes) -> None:
-        """Take in what a watch from a position brought, if it is of the same era.
+        """Apply the result of a watch if it is of the era that the watch started in.
 
-        What was written in a later era under revisions up to that one is not among the changes.
+        The result lacks changes of a later era whose revisions are not above that of `since`, so a
+        later era requires a new list.
         """
         if found.position.era < since.era:
-            raise FleetStoreError(f'an answer of era {found.position.era} after {since.era}')
+            raise FleetStoreError(f'store answered with era {found.position.era} after {since.era}')
         if found.position.era > since.era:
             self.must_list = True
             return
         self.apply_changes(found.changes, found.position)
 
     def apply_listing(self, listing: Listing) -> None:
-        """Take every record in, unless newer ones are held."""
+        """Replace all records by a list, unless newer records are held."""
         self.must_list = False
         if self.position is not None and listing.position < self.position:
             self.observer.on_listing_dropped(self.kind, self.position, listing.position)
@@ -209,10 +212,10 @@
         self.handler.on_listing(self.kind, listing)
 
     def apply_changes(self, changes: Iterable[Change], position: Position) -> None:
-        """Take changes in that lead to a position, unless that is held already.
+        """Apply the changes that lead to a position, unless it is already held.
 
-        Of several changes of one record the last counts: those before it may be older than what
-        came through others meanwhile.
+        Of several changes of one record only the last counts: earlier ones may be older than what a
+        relay delivered meanwhile.
         """
         if self.position is not None and position <= self.position:
             return
@@ -228,16 +231,17 @@
             self.handler.on_changes(self.kind, position, list(newest.values()))
 
     def is_change(self, change: Change) -> bool:
-        """Tell whether a change is one in what boxes know of the record.
+        """Tell whether a change modifies the record that is held.
 
-        The beats of 200 cold replicas would else be 200 changes a second to each box.
+        Without this check the heartbeats of 200 cold replicas would cause 200 changes a second at
+        each box.
         """
         return change.record is None or change.record != self.records.get(change.name)
 
     def apply_update(
         self, since: Position | None, position: Position, changes: list[Change]
     ) -> None:
-        """Take in what a relay has sent: changes after `since`, or every record if that is none."""
+        """Apply a relay's update: the changes after `since`, or all records if it is `None`."""
         if since is None:
             records = {change.name: change.record for change in changes if change.record}
             self.apply_listing(Listing(records, position))
@@ -245,21 +249,21 @@
             self.apply_changes(changes, position)
 
     def contact(self) -> StoreContact:
-        """Return how the store answers this box."""
+        """Return the state of this box's contact with the store."""
         now = self.clock.monotonic()
         age_s = math.inf if self.contact_at is None else now - self.contact_at
         failing_s = 0.0 if self.failing_since is None else now - self.failing_since
         return StoreContact(age_s, failing_s, now - self.steady_since)
 
     def on_contact(self) -> None:
-        """Note that the store answered."""
+        """Record that the store answered."""
         if self.failing_since is not None:
             self.clear_failure()
             self.handler.on_disrupted()
         self.contact_at = self.clock.monotonic()
 
     def clear_failure(self) -> None:
-        """Note that the store is heard again, by this box or through others."""
+        """Record that the store is reached again, directly or through a relay."""
         if self.failing_since is None:
             return
         now = self.clock.monotonic()
@@ -268,7 +272,7 @@
         self.observer.on_contact_restored(self.kind, now - (self.contact_at or now))
 
     def on_failure(self, error: FleetStoreError) -> None:
-        """Note that the store did not answer."""
+        """Record that the store did not answer."""
         self.handler.on_disrupted()
         if self.failing_since is None:
             self.failing_since = self.clock.monotonic()
--- a/packages/core/calicopath_core/fleet/gate.py
+++ b/packages/core/calicopath_core/fleet/gate.py
@@ -1,7 +1,7 @@
-"""Let calls to replicas go, or hold them back: the one place that all calls of a box pass.
+"""Check every call from this box to a replica before it is sent.
 
-Who chooses replicas leaves out those that are barred; between the choice and the first byte a
-connection may have to be opened, and another answer may come.
+The code that selects replicas already leaves out excluded ones, but a new answer can exclude a
+replica while the connection is being opened, so each call is checked again before its first byte.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 class CallGate(CallInterceptor):
-    """Know by which orders a replica must not be called from this box.
+    """Decide which replicas this box may call, from their entries, answers, backoffs and limits.
 
-    `on_leaving` is told of replicas that this box is the first to hear of, `on_backoff` of each
-    wish to be left alone.
+    `on_leaving` is called for each leaving or replaced replica that this box reports first,
+    `on_backoff` for each backoff that a replica requests.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self.on_backoff = on_backoff
 
     def exclusion_of(self, replica: Replica) -> Exclusion | None:
-        """Return why a replica gets no new work from this box."""
+        """Return why a replica gets no new work from this box, or `None`."""
         exclusion = self.replicas.exclusion_of(replica)
         if exclusion is None and self.backoffs.remaining_s(replica) > 0:
             return Exclusion.BACKOFF
@@ -64,11 +64,11 @@
         return [item for item in found if self.available_in_s(item) <= 0]
 
     def available_in_s(self, replica: Replica) -> float:
-        """Return for how long a replica wants nothing from this box, or has no permit for it."""
+        """Return the seconds until a replica's backoff ends and a permit may be requested."""
         return max(self.backoffs.remaining_s(replica), self.permit_available_in_s(replica))
 
     def permit_available_in_s(self, replica: Replica) -> float:
-        """Return when it makes sense to ask for a permit for a replica, 0 for now."""
+        """Return the seconds until it is useful to request a permit for a replica."""
         if self.limits.limit_of(replica) is None:
             return 0.0
         return self.permits.available_in_s(replica.id)
@@ -85,22 +85,23 @@
         ]
 
     def control_call_available_in_s(self, replica: Replica) -> float:
-        """Return when a call without new work may go to a replica, 0 for now."""
+        """Return the seconds until a call without new work may be sent to a replica."""
         return max(self.backoffs.remaining_s(replica), self.limits.control_call_available_in_s(replica))
 
     def remaining_backoffs(self, service: str) -> dict[str, float]:
-        """Return the replicas of a service that want nothing from this box, for how long yet."""
+        """Return the seconds left of each active backoff of a service's replicas, by replica."""
         return self.backoffs.remaining_by_replica(self.replicas.usable(service))
 
     def earliest_available_in_s(self, service: str) -> float:
-        """Return when the first replica of a service may be called, 0 if one may or none will."""
+        """Return the seconds until a replica of a service is available, 0 if there is none."""
         usable = self.replicas.usable(service)
         return min((self.available_in_s(item) for item in usable), default=0.0)
 
     def check_call(self, replica: Replica, *, new_work: bool) -> None:
-        """Raise `Barred` if a call must not be sent now.
+        """Raise `ReplicaExcluded` if a call must not be sent now.
 
-        One that leaves may still be asked for its state, and have results given up.
+        Calls without new work, which query state or release results, are held back only by a
+        backoff or by their own rate limit.
         """
         exclusion = self.exclusion_of(replica)
         if exclusion is not None and not new_work and exclusion is not Exclusion.BACKOFF:
@@ -114,7 +115,7 @@
         self.limits.on_sent(replica)
 
     def consume_permit(self, replica: Replica, *, new_work: bool) -> bool:
-        """Tell whether a replica's limit lets a call go, and count it."""
+        """Count a call against the replica's limit; return False if the limit forbids it."""
         if not self.limits.by_replica:
             return True
         if not new_work:
@@ -123,7 +124,7 @@
         return permitted or not self.limits.requires_permit(replica)
 
     def on_notice(self, replica: Replica, notice: Notice) -> None:
-        """Keep what a replica's answer tells; another one's tells only that this one is gone."""
+        """Apply the notice in a replica's answer, or record that the replica was replaced."""
         if notice.from_other_replica:
             self.record_leaving(replica, replica.address)
             return
@@ -137,12 +138,12 @@
             self.backoffs.on_accepted(replica)
 
     def record_leaving(self, replica: Replica, lost_address: str = '') -> None:
-        """Keep that a replica leaves, or that another has its address, and tell of it."""
+        """Record that a replica is leaving or was replaced, and report it if this is new."""
         if self.leaving.record(replica.id, replica.started_ms, lost_address=lost_address):
             self.on_leaving(replica.id)
 
     def expire(self) -> None:
-        """Forget what is old."""
+        """Remove expired backoffs, departures, limits and permits."""
         self.backoffs.expire()
         self.leaving.expire(self.replicas.replicas)
         self.limits.expire(self.replicas.replicas)
--- a/packages/core/calicopath_core/fleet/leaving.py
+++ b/packages/core/calicopath_core/fleet/leaving.py
@@ -1,8 +1,9 @@
-"""Hold which replicas have said in their answers that they leave, and whose lives are over.
+"""Track replicas that announced in answers that they leave, and incarnations that were replaced.
 
-The word is of one life of a replica: a later life ends it, an entry in the store that still says
-`ready` does not, be it older or newer. A replica does not take it back. A life is over once another
-replica answers at its address, which is given to no other before.
+A departure applies to one incarnation of a replica. A later incarnation ends it; an entry in the
+store that still says `ready` does not, whatever its age, since a replica never cancels a departure.
+An incarnation is over once another replica answers at its address, because no address is reused
+before.
 """
 
 from __future__ import annotations
@@ -18,25 +19,28 @@
     from calicopath_core.fleet.replicas import Replica
 
 RETENTION_S = 600.0
-"""How long the word of a replica is kept that has no entry: one that lapsed while the store was
-away is written anew once the store is back."""
+"""How long the departure of a replica without an entry is kept: an entry that lapsed during a store
+outage is written again once the store is back."""
 
 SHARING_PERIOD_S = 30.0
-"""How long boxes tell each other of it: the store has the entry by then, or it is away for so long
-that every box has heard."""
+"""How long boxes share a departure: by then the store has the entry, or has been away for so long
+that every box has received the report."""
 
 MAX_DEPARTURES = 20_000
-"""Words kept, 0.2 KB each: more than there are replicas at the size to design for (12,000)."""
+"""Maximum number of departures, 0.2 KB each: more than the 12,000 replicas that the system is
+designed for."""
 
 OWN = 'own'
 REPLACED_SUFFIX = '!'
-"""Sets a life that is over apart from one that leaves, in digests."""
+"""Marks a replaced incarnation in digests, to distinguish it from one that leaves."""
 
 
 class Departure(NamedTuple):
-    """Hold which life of a replica leaves, when this was heard (monotonic seconds), from whom.
+    """Describe the departure of one incarnation of a replica.
 
-    `lost_address` is the address at which another answers, empty for one that only leaves.
+    `heard_at` is when it was reported, in monotonic seconds, `source` is `own` or the box that
+    reported it. `lost_address` is the address at which another replica answers, empty for a replica
+    that only leaves.
     """
 
     started_ms: float
@@ -46,7 +50,7 @@
 
 
 class LeavingReplicas:
-    """Hold words by replica; `on_news` is told that what may be called has changed."""
+    """Hold departures by replica; `listeners` are called when the callable replicas change."""
 
     def __init__(self, *, clock: Clock, observer: NoticeObserver) -> None:
         self.clock = clock
@@ -63,7 +67,7 @@
         source: str = OWN,
         lost_address: str = '',
     ) -> bool:
-        """Note that a life of a replica leaves, or is over; tell whether that is news."""
+        """Record that an incarnation is leaving or replaced; return whether this is new."""
         departure = Departure(started_ms, self.clock.monotonic() - age_s, source, lost_address)
         if not self.add_if_new(replica, departure):
             return False
@@ -72,7 +76,7 @@
         return True
 
     def add_if_new(self, replica: str, departure: Departure) -> bool:
-        """Keep a word unless it is known; tell whether that is news."""
+        """Store a departure unless it is known already; return whether it is new."""
         known = self.departures.get(replica)
         if known is not None and (known.started_ms, bool(known.lost_address)) >= (
             departure.started_ms,
@@ -83,24 +87,24 @@
             self.forget(min(self.departures, key=lambda name: self.departures[name].heard_at))
         self.departures[replica] = departure
         self.cached_digest = None
-        tell = self.observer.on_replaced if departure.lost_address else self.observer.on_leaving
-        tell(replica, departure.source)
+        notify = self.observer.on_replaced if departure.lost_address else self.observer.on_leaving
+        notify(replica, departure.source)
         return True
 
     def is_leaving(self, replica: Replica) -> bool:
-        """Tell whether a replica, in the life that its entry tells of, has said that it leaves."""
+        """Tell whether the incarnation in a replica's entry has announced that it leaves."""
         item = self.departures.get(replica.id)
         return item is not None and not item.lost_address and replica.started_ms <= item.started_ms
 
     def is_replaced(self, replica: Replica) -> bool:
-        """Tell whether the life that a replica's entry tells of is over."""
+        """Tell whether another replica answers at the address of the incarnation in an entry."""
         item = self.departures.get(replica.id)
         if item is None or item.lost_address != replica.address:
             return False
         return replica.started_ms <= item.started_ms
 
     def expire(self, known: Container[str]) -> None:
-        """Forget old words of replicas that are not known any more."""
+        """Remove old departures of replicas that are no longer known."""
         oldest = self.clock.monotonic() - RETENTION_S
         old = [name for name, item in self.departures.items() if item.heard_at < oldest and name not in known]
         for name in old:
@@ -108,27 +112,27 @@
         self.cached_digest = None
 
     def forget(self, replica: str) -> None:
-        """Forget a word."""
+        """Remove a replica's departure."""
         del self.departures[replica]
         self.cached_digest = None
 
     def shared_replicas(self) -> list[str]:
-        """Return the replicas of which boxes tell each other, in order."""
+        """Return the replicas whose departures are recent enough to share, sorted."""
         since = self.clock.monotonic() - SHARING_PERIOD_S
         return sorted(name for name, item in self.departures.items() if item.heard_at >= since)
 
     def digest_entry(self, replica: str) -> str:
-        """Return what stands for a word in digests."""
+        """Return the text that stands for a replica's departure in digests."""
         return replica + REPLACED_SUFFIX if self.departures[replica].lost_address else replica
 
     def digest(self) -> str:
-        """Return what is alike at boxes that share the same; empty for nothing."""
+        """Return a digest that is equal at boxes that share the same departures, '' for none."""
         if self.cached_digest is None:
             self.cached_digest = digest_of(self.digest_entry(name) for name in self.shared_replicas())
         return self.cached_digest
 
 
 def digest_of(names: Iterable[str]) -> str:
-    """Return a short digest of some names; empty for none."""
+    """Return a short digest of some names, '' for none."""
     text = ' '.join(names)
     return hashlib.blake2b(text.encode(), digest_size=8).hexdigest() if text else ''
--- a/packages/core/calicopath_core/fleet/leaving_sharing.py
+++ b/packages/core/calicopath_core/fleet/leaving_sharing.py
@@ -1,4 +1,4 @@
-"""Have every box know which replicas have said that they leave."""
+"""Share between boxes which replicas announced that they leave."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     from calicopath_core.fleet.leaving import LeavingReplicas
 
 MAX_REPORTS_PER_MESSAGE = 200
-"""Words told in one message, the latest ones: 6 KB. A whole zone that leaves while the store is
-away is more; what is left over each box hears from the replicas themselves."""
+"""Maximum number of reports in one message, the latest ones: 6 KB. If a whole failure domain leaves
+during a store outage there are more; boxes learn the rest from the replicas' own answers."""
 
 
 class LeavingReport(msgspec.Struct, frozen=True, array_like=True):
-    """Tell that a life of a replica leaves, and how many seconds ago that was heard.
+    """Report that an incarnation of a replica leaves, and how many seconds ago this was heard.
 
-    `lost_address` is where another answers if the life is over.
+    `lost_address` is where another replica answers if the incarnation is over.
     """
 
     replica: str
@@ -33,13 +33,13 @@
 
 
 class LeavingNews(News, frozen=True, tag='lv'):
-    """Tell a box of replicas that have said in answers that they leave."""
+    """Report replicas that announced in answers that they leave."""
 
     reports: tuple[LeavingReport, ...] = msgspec.field(name='words')
 
 
 class LeavingSharing(NewsSharing[str, LeavingNews]):
-    """Exchange which replicas leave."""
+    """Exchange departures with other boxes."""
 
     def __init__(
         self,
@@ -54,23 +54,23 @@
         self.leaving = leaving
 
     def digest(self) -> str:
-        """Return what is alike at boxes that share the same words."""
+        """Return a digest that is equal at boxes that share the same departures."""
         return self.leaving.digest()
 
     def holds(self, key: str) -> bool:
-        """Tell whether a replica's word is kept."""
+        """Tell whether a replica's departure is held."""
         return key in self.leaving.departures
 
     def news_of(self, keys: Iterable[str]) -> LeavingNews:
-        """Return the words of some replicas."""
+        """Return a message with the departures of some replicas."""
         return self.message(keys, whole=False)
 
     def everything(self, *, whole: bool) -> LeavingNews:
-        """Return all words that are shared."""
+        """Return a message with all shared departures."""
         return self.message(self.leaving.shared_replicas(), whole=whole)
 
     def message(self, names: Iterable[str], *, whole: bool) -> LeavingNews:
-        """Return the latest words of some replicas."""
+        """Return a message with the latest departures among some replicas."""
         now, held = self.clock.monotonic(), self.leaving.departures
         reports = [
             LeavingReport(name, held[name].started_ms, now - held[name].heard_at, held[name].lost_address)
@@ -82,7 +82,7 @@
         )
 
     def merge(self, news: LeavingNews) -> list[str]:
-        """Join another box's words; return which were news."""
+        """Merge another box's reports; return the replicas whose departures were new."""
         return [
             report.replica
             for report in news.reports
@@ -92,11 +92,11 @@
         ]
 
     def lacks(self, news: LeavingNews) -> bool:
-        """Tell whether this box shares a word that is not in another's news."""
-        told = {report.replica: report.lost_address for report in news.reports}
+        """Tell whether this box shares a departure that another box's message lacks."""
+        reported = {report.replica: report.lost_address for report in news.reports}
         held = self.leaving.departures
         return any(
-            name not in told or (held[name].lost_address and not told[name])
+            name not in reported or (held[name].lost_address and not reported[name])
             for name in self.leaving.shared_replicas()
         )
 
--- a/packages/core/calicopath_core/fleet/notices.py
+++ b/packages/core/calicopath_core/fleet/notices.py
@@ -1,6 +1,6 @@
-"""Define what replicas tell of themselves in the heads of their answers, and who listens.
+"""Define what replicas report about themselves in answer heads, and the interfaces that use it.
 
-It is the earliest word of a replica that leaves, and the only one while the store is away.
+A notice is the earliest sign that a replica is leaving, and the only one during a store outage.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 
 class Notice(NamedTuple):
-    """Say what the head of an answer tells of its replica.
+    """Describe what the head of an answer reports about its replica.
 
-    One that is `leaving` wants no new work from anybody; `backoff_s` is for how many seconds it
-    wants nothing from the box that it answered, 0 if it asks for none. `limit_per_s` is how many
-    requests a second it takes from all boxes together, nothing if it names no limit; `ran` is false
-    for an answer that turns its call away. `is_other` says that another replica has answered at its
-    address: its life is over.
+    A replica that is `leaving` accepts no new work from any box. `backoff_s` is for how many
+    seconds it wants no calls from the box that it answered, 0 for no backoff. `limit_per_s` is the
+    request rate that it accepts from all boxes together, `None` for no limit. `executed` is false
+    if the replica rejected the call. `from_other_replica` says that another replica answered at its
+    address, so its incarnation is over.
     """
 
     leaving: bool = False
@@ -36,9 +36,10 @@
 
 
 class Exclusion(enum.Enum):
-    """Say why a replica must not be called: an order, which holds even if nobody else is left.
+    """Name the reasons why a replica must not be called, even if no other replica is left.
 
-    What is only slow, failing or far is passed over while there is another, and is no bar.
+    Slow, failing or remote replicas are not excluded: they are only avoided while others are
+    available.
     """
 
     GONE = 'gone'
@@ -50,62 +51,62 @@
 
 
 class ReplicaExcluded(NotStarted):
-    """Report that a call was not sent since its replica must not get it."""
+    """Report that a call was not sent because its replica is excluded."""
 
     def __init__(self, replica: Replica, exclusion: Exclusion) -> None:
-        super().__init__(f'{replica.id} must not be called: {exclusion.value}')
+        super().__init__(f'replica {replica.id} must not be called: {exclusion.value}')
         self.exclusion = exclusion
 
 
 class CallInterceptor(ABC):
-    """Have the last word before each call to a replica, and learn what each answer tells."""
+    """Check each call before it is sent, and receive the notice of each answer."""
 
     @abstractmethod
     def check_call(self, replica: Replica, *, new_work: bool) -> None:
-        """Raise `Barred` if a call must not be sent now; asked as its first byte is to go."""
+        """Raise `ReplicaExcluded` if a call must not be sent; called just before its first byte."""
 
     @abstractmethod
     def on_notice(self, replica: Replica, notice: Notice) -> None:
-        """Note what a replica's answer tells, as soon as its head has come."""
+        """Handle a replica's notice as soon as the head of its answer has arrived."""
 
 
 class NoInterceptor(CallInterceptor):
-    """Bar nothing and listen to nothing."""
+    """Allow every call and ignore all notices."""
 
     def check_call(self, replica: Replica, *, new_work: bool) -> None:
-        """Let a call go."""
+        """Allow the call."""
 
     def on_notice(self, replica: Replica, notice: Notice) -> None:
-        """Note nothing."""
+        """Ignore the notice."""
 
 
 class NoticeObserver(ABC):
-    """Learn of what replicas have told, and what follows from it."""
+    """Observe what replicas report and what follows from it."""
 
     @abstractmethod
     def on_leaving(self, replica: str, source: str) -> None:
-        """Note that a replica says that it leaves; `source` is `own` or the box that told."""
+        """Record that a replica is leaving; `source` is `own` or the box that reported it."""
 
     @abstractmethod
     def on_replaced(self, replica: str, source: str) -> None:
-        """Note that another replica answers at a replica's address."""
+        """Record that another replica answers at a replica's address."""
 
     @abstractmethod
     def on_backoff(self, replica: Replica, backoff_s: float) -> None:
-        """Note a replica that wants nothing from this box for a while."""
+        """Record a replica that wants no calls from this box for a while."""
 
     @abstractmethod
     def on_backoff_ended(self, replica: str, held_s: float, rejected_calls: int) -> None:
-        """Note that a replica may be called again, and how many calls it had turned away."""
+        """Record that a backoff has ended, and how many calls the replica rejected."""
 
     @abstractmethod
     def on_limit(self, replica: str, service: str, per_s: float, source: str) -> None:
-        """Note the requests a second that a replica takes; `source` is `own` or a box."""
+        """Record a replica's limit in requests per second; `source` is `own` or a box."""
 
     @abstractmethod
     def on_limit_ended(self, replica: str, held_s: float, sent: int, source: str) -> None:
-        """Note that a replica limits no more, and how many calls it got from this box meanwhile."""
+        """Record the end of a limit, and how many calls this box sent while it was in force."""
 
     @abstractmethod
     def on_held_back(self, replica: Replica, exclusion: Exclusion) -> None:
-        """Note a call that was chosen and not sent."""
+        """Record a call that was not sent because its replica is excluded."""
--- a/packages/core/calicopath_core/fleet/outages.py
+++ b/packages/core/calicopath_core/fleet/outages.py
@@ -1,8 +1,8 @@
-"""Say how long failed calls to the store are waited out, for all kinds of one box together.
+"""Decide how long to wait after failed store calls, for all record kinds of one box together.
 
-Answers a store that is down, resets connections or turns boxes away, for seconds and for many boxes
-at once: each box asks by itself then, since the store may fail just those that are relays, but what
-one call finds out holds for all kinds of records, and need not be found out often.
+Handles a store that is down, resets connections or rejects boxes, for seconds and for many boxes at
+once. Each box still tests the store itself, since the store may fail only the relays, but the
+result of one call holds for all kinds of records, and calls can be rare.
 """
 
 from __future__ import annotations
@@ -21,41 +21,42 @@
 
 INITIAL_DELAY_S = 0.1
 MAX_DELAY_S = 0.8
-"""How long a failed call is waited out: doubled each time, with jitter, so that boxes do not come
-back together."""
+"""How long to wait after a failed call: doubled each time, with jitter, so that boxes do not retry
+at the same time."""
 
 OUTAGE_INITIAL_DELAY_S = 0.8
 OUTAGE_MAX_DELAY_S = 3.0
-"""The same while the store fails the relays as well: they will tell when it is back."""
+"""The same while the store fails the relays too, which will report when it is back."""
 
 MAX_DOUBLINGS = 6
-"""Pauses are at their longest before they were doubled so often."""
+"""More doublings than any delay needs to reach its maximum."""
 
 PROBE_KIND = RecordKind.REPLICA
-"""The kind that is asked for while the store fails; the others are asked for once it answers. Each
-for itself, three kinds cost a box 20 calls in the first 6 s of an outage (12 boxes, virtual time);
-so, four cost 4."""
+"""The kind that is requested while the store fails; the others follow once it answers. If each kind
+probed by itself, three kinds would cost a box 20 calls in the first 6 s of an outage (12 boxes,
+virtual time); with one probe four kinds cost 4."""
 
 PROBE_FIRST_S = 12.0
-"""How long the others wait for the probe: its own answers, the largest, may be all that fails.
-Longer than the outages seen (3 to 9 s), at whose end all boxes would else ask for each kind."""
+"""How long the other kinds wait for the probe, whose answers are the largest and may be all that
+fails. Longer than known outages (3 to 9 s), at whose end all boxes would otherwise request every
+kind."""
 
 RELAY_GRACE_S = 1.0
-"""How long relays may take to tell what the store has told them, before a box that found it
-answered asks for what can wait, or reads what the store has forgotten anew. Each of 83 boxes made
-four calls in vain, lost four histories and read four lists when the store told watches nothing for
-a second and then forgot its history (log lines); with this it makes one to four calls in all."""
+"""How long relays may take to pass on the store's answers before a box that the store answered
+requests what is not urgent, or lists records whose history the store has lost. Without it, when the
+store left watches unanswered for a second and then lost its history, each of 83 boxes made four
+failed calls, lost four histories and read four lists; with it a box makes one to four calls."""
 
 URGENT_KINDS = (PROBE_KIND, RecordKind.DEPLOYMENT)
-"""Kinds that a box asks for at once when it is answered and its relays are not: a configuration
-must be in force 2 s after it was acknowledged, also where all relays are cut off."""
+"""Kinds that a box requests at once when the store answers it and not its relays: a configuration
+must be in force 2 s after it was acknowledged, even if all relays are cut off."""
 
 CHECK_INTERVAL_S = 0.05
-"""How often it is looked whether the probe was answered."""
+"""How often to check whether the probe was answered."""
 
 
 class OutageBackoff:
-    """Hold how a box asks while the store fails; `fails_relays` tells if it fails those too."""
+    """Control a box's calls while the store fails; `store_fails_relays` takes the current time."""
 
     def __init__(
         self,
@@ -73,7 +74,7 @@
         self.probe_answered_at: float | None = None
 
     def must_wait(self, kind: RecordKind) -> bool:
-        """Tell whether a kind waits for the probe to find out if the store fails this box too."""
+        """Tell whether a kind waits for the probe to show if the store fails this box too."""
         now = self.clock.monotonic()
         if not self.store_fails_relays(now):
             self.outage_since = self.probe_answered_at = None
@@ -85,23 +86,23 @@
         return kind is not PROBE_KIND and now < self.waits_until(kind, self.outage_since)
 
     def waits_until(self, kind: RecordKind, since: float) -> float:
-        """Return until when a kind waits, in an outage that began at some time."""
+        """Return until when a kind waits in an outage that began at `since`."""
         if self.probe_answered_at is None:
             return since + PROBE_FIRST_S
         return self.probe_answered_at + (0.0 if kind in URGENT_KINDS else RELAY_GRACE_S)
 
     def is_probe_due(self, kind: RecordKind) -> bool:
-        """Tell whether the next call of a kind should find out soon if the store fails this box."""
+        """Tell whether the next call of a kind is the probe, which should end soon."""
         return kind is PROBE_KIND and self.outage_since is not None and not self.probe_answered(self.outage_since)
 
     def probe_answered(self, since: float) -> bool:
-        """Tell whether the store has answered the probe since some time."""
+        """Tell whether the store has answered the probe since a given time."""
         probe = self.feeds[PROBE_KIND]
-        heard = probe.contact_at is not None and probe.contact_at >= since
-        return heard and probe.failing_since is None
+        has_answered = probe.contact_at is not None and probe.contact_at >= since
+        return has_answered and probe.failing_since is None
 
     async def back_off(self, kind: RecordKind, failures: int) -> None:
-        """Wait before a kind is asked for again of which so many calls in a row have failed."""
+        """Wait after a number of consecutive failures of a kind, and until the probe succeeds."""
         await asyncio.sleep(self.delay_s(failures) * self.rng.uniform(0.5, 1.0))
         if kind is PROBE_KIND:
             return
@@ -110,8 +111,8 @@
             await asyncio.sleep(CHECK_INTERVAL_S)
 
     def delay_s(self, failures: int) -> float:
-        """Return how long a failed call is waited out."""
-        first_s, most_s = INITIAL_DELAY_S, MAX_DELAY_S
+        """Return the delay after a number of consecutive failures, before jitter."""
+        initial_s, max_s = INITIAL_DELAY_S, MAX_DELAY_S
         if self.store_fails_relays(self.clock.monotonic()):
-            first_s, most_s = OUTAGE_INITIAL_DELAY_S, OUTAGE_MAX_DELAY_S
-        return min(most_s, float(first_s * 2 ** min(failures - 1, MAX_DOUBLINGS)))
+            initial_s, max_s = OUTAGE_INITIAL_DELAY_S, OUTAGE_MAX_DELAY_S
+        return min(max_s, float(initial_s * 2 ** min(failures - 1, MAX_DOUBLINGS)))
--- a/packages/core/calicopath_core/fleet/positions.py
+++ b/packages/core/calicopath_core/fleet/positions.py
@@ -1,7 +1,7 @@
-"""Order what the store says, also after it came back from an older copy.
+"""Order states of the store, also after it was restored from an older copy.
 
-The store's revisions are an order within one era only: a store that comes back from a copy gives
-revisions out again, and counts its eras up.
+The store's revisions are ordered within one era only: a restored store issues revisions again and
+increments its era.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 
 
 class Position(NamedTuple):
-    """Say up to where something is known of the store; a later era is later at any revision."""
+    """Identify a state of the store; a later era is later at any revision."""
 
     era: int
     revision: int
 
     def __str__(self) -> str:
-        """Return the form for log lines."""
+        """Return the form used in log lines."""
         return f'{self.era}/{self.revision}'
 
 
--- a/packages/core/calicopath_core/fleet/publisher.py
+++ b/packages/core/calicopath_core/fleet/publisher.py
@@ -1,4 +1,4 @@
-"""Hand on to subscribers what a box has learned of the store's records."""
+"""Send the store's records that a box has read to its subscribers."""
 
 from __future__ import annotations
 
@@ -19,32 +19,32 @@
     from calicopath_core.fleet.relay_messages import Subscribe
 
 SUBSCRIPTION_TTL_S = 3.0
-"""How long a subscription holds without being renewed."""
+"""How long a subscription lasts without being renewed."""
 
 MAX_LOG_ENTRIES = 200
-"""Changes of a kind that are remembered; a subscriber that is further behind gets every record."""
+"""Changes of a kind that are kept; a subscriber further behind gets all records."""
 
 
 class ChangeLog:
-    """Remember which records of a kind have changed, by position."""
+    """Log which records of a kind have changed, by position."""
 
     def __init__(self) -> None:
         self.entries: deque[tuple[Position, frozenset[str]]] = deque()
         self.start = NO_POSITION
 
     def restart(self, position: Position) -> None:
-        """Forget what changed before every record was read."""
+        """Clear the log after all records were listed at a position."""
         self.entries.clear()
         self.start = position
 
     def add(self, position: Position, names: Iterable[str]) -> None:
-        """Note changed records."""
+        """Add changed records, and drop the oldest entry if the log is full."""
         self.entries.append((position, frozenset(names)))
         if len(self.entries) > MAX_LOG_ENTRIES:
             self.start = self.entries.popleft()[0]
 
     def names_since(self, position: Position) -> frozenset[str] | None:
-        """Return the records changed after a position; nothing if that is not known any more."""
+        """Return the records changed after a position, `None` if the log does not reach back."""
         if self.start == NO_POSITION or position < self.start:
             return None
         names: frozenset[str] = frozenset()
@@ -55,7 +55,7 @@
 
 
 class Subscriber:
-    """Hold what one box holds, as far as it has told or was sent; `heard_at` is monotonic."""
+    """Hold the positions that one box holds or was sent; `heard_at` is in monotonic seconds."""
 
     def __init__(self) -> None:
         self.heard_at = 0.0
@@ -63,7 +63,7 @@
 
 
 class Publisher:
-    """Send each subscriber what it lacks: at once when something changes, and when it asks."""
+    """Send each subscriber the changes it lacks, when something changes and when it asks."""
 
     def __init__(
         self, *, own_address: str, clock: Clock, send: Callable[[str, msgspec.Struct], None]
@@ -78,17 +78,17 @@
         self.sent = 0
 
     def on_listed(self, kind: RecordKind, position: Position) -> None:
-        """Note that every record of a kind was read anew."""
+        """Publish a complete list of a kind's records."""
         self.logs[kind].restart(position)
         self.publish(kind)
 
     def on_changed(self, kind: RecordKind, position: Position, names: Iterable[str]) -> None:
-        """Note changed records."""
+        """Publish changed records."""
         self.logs[kind].add(position, names)
         self.publish(kind)
 
     def on_subscribe(self, message: Subscribe) -> None:
-        """Renew a subscription and send what the box lacks."""
+        """Renew a subscription and send the box the changes it lacks."""
         subscriber = self.subscribers.setdefault(message.sender, Subscriber())
         subscriber.heard_at = self.clock.monotonic()
         subscriber.positions = dict(message.positions)
@@ -96,12 +96,12 @@
             self.send_missing(message.sender, subscriber, kind)
 
     def is_subscribed(self, address: str, within_s: float) -> bool:
-        """Tell whether a box has renewed its subscription lately."""
+        """Tell whether a box has renewed its subscription within some seconds."""
         subscriber = self.subscribers.get(address)
         return subscriber is not None and self.clock.monotonic() - subscriber.heard_at < within_s
 
     def publish(self, kind: RecordKind) -> None:
-        """Send what changed to everyone who subscribes."""
+        """Send a kind's changes to all subscribers, and drop subscriptions that have expired."""
         now = self.clock.monotonic()
         for address, subscriber in list(self.subscribers.items()):
             if now - subscriber.heard_at > SUBSCRIPTION_TTL_S:
@@ -120,7 +120,7 @@
         subscriber.positions[kind] = position
 
     def update(self, kind: RecordKind, held: Position, position: Position) -> RelayUpdate:
-        """Return what a box lacks that holds a position; alike for all that hold as much."""
+        """Return the update from one position to another, cached since many subscribers need it."""
         records = self.feeds[kind].records
         names = self.logs[kind].names_since(held)
         since = NO_POSITION if names is None else held
--- a/packages/core/calicopath_core/fleet/registration.py
+++ b/packages/core/calicopath_core/fleet/registration.py
@@ -1,7 +1,7 @@
-"""Keep a box's own record in the store: by it the others find this box.
+"""Keep a box's own record in the store, by which other boxes find it.
 
-A store that comes back from a copy has lost the records written since. A box sees that in the list
-of boxes, which it follows anyway, and writes its record again.
+A store restored from a copy has lost the records written since. A box detects this in the list of
+boxes, which it follows anyway, and writes its record again.
 """
 
 from __future__ import annotations
@@ -21,24 +21,24 @@
 
 INITIAL_RETRY_DELAY_S = 0.5
 MAX_RETRY_DELAY_S = 4.0
-"""How long a failed write is waited out; doubled each time, since a whole fleet may start while the
-store is away: 86 boxes twice a second would be 1,000 calls in 6 s."""
+"""How long to wait after a failed write; doubled each time, since a whole fleet may start during a
+store outage: 86 boxes that retry twice a second would make 1,000 calls in 6 s."""
 
 CHECK_INTERVAL_S = 1.0
 MAX_CHECK_INTERVAL_S = 4.0
-"""How often the list is looked at, in which a record that was written shows a little later; less
-often while it goes on lacking the record."""
+"""How often the list is checked. A new record appears in it a little later, so checks are less
+frequent while the record is missing."""
 
 MIN_JITTER_S = 0.2
 
 WRITES_PER_S = 200.0
-"""How many boxes may write again in a second: half of what the smallest store takes."""
+"""How many boxes may rewrite their records per second: half the capacity of the smallest store."""
 
 
 class Registration:
-    """Write one box's record until that has worked, and again whenever the list lacks it.
+    """Write one box's record until it succeeds, and again whenever the list lacks it.
 
-    `feed` follows the list of boxes; `on_failed` learns of each write that did not work.
+    `feed` follows the list of boxes; `on_failed` is called for each failed write.
     """
 
     def __init__(
@@ -61,44 +61,44 @@
         self.on_failed = on_failed
 
     async def run(self) -> None:
-        """Write the record and keep it written until cancelled."""
+        """Write the record and keep it registered until cancelled."""
         await self.write()
         self.on_registered()
         await self.keep_registered()
 
     async def write(self) -> None:
-        """Write the record until that has worked."""
-        pause_s = INITIAL_RETRY_DELAY_S
+        """Write the record, with retries until it succeeds."""
+        delay_s = INITIAL_RETRY_DELAY_S
         while True:
             try:
                 await self.store.register(self.own)
             except FleetStoreError as error:
                 self.on_failed(error)
-                await asyncio.sleep(pause_s)
-                pause_s = min(MAX_RETRY_DELAY_S, 2 * pause_s)
+                await asyncio.sleep(delay_s)
+                delay_s = min(MAX_RETRY_DELAY_S, 2 * delay_s)
                 continue
             return
 
     async def keep_registered(self) -> None:
         """Write the record again whenever the list lacks it, until cancelled."""
-        look_s = CHECK_INTERVAL_S
+        interval_s = CHECK_INTERVAL_S
         while True:
-            await asyncio.sleep(look_s)
+            await asyncio.sleep(interval_s)
             if not self.is_missing():
-                look_s = CHECK_INTERVAL_S
+                interval_s = CHECK_INTERVAL_S
                 continue
             await asyncio.sleep(self.rng.uniform(0.0, self.max_jitter_s()))
             if self.is_missing():
                 await self.write()
-                look_s = min(MAX_CHECK_INTERVAL_S, 2 * look_s)
+                interval_s = min(MAX_CHECK_INTERVAL_S, 2 * interval_s)
 
     def is_missing(self) -> bool:
-        """Tell whether the list, as far as it is known, lacks this life of the box."""
+        """Tell whether the list is known and lacks this incarnation of the box."""
         if self.feed.position is None or self.is_leaving():
             return False
         listed = self.feed.records.get(self.own.name)
         return not isinstance(listed, BoxAddress) or listed.life != self.own.life
 
     def max_jitter_s(self) -> float:
-        """Return over what time boxes write again: any number of them may be missing."""
+        """Return the time over which rewrites are spread, as many boxes may be missing."""
         return MIN_JITTER_S + len(self.feed.records) / WRITES_PER_S
--- a/packages/core/calicopath_core/fleet/relay_messages.py
+++ b/packages/core/calicopath_core/fleet/relay_messages.py
@@ -1,7 +1,7 @@
-"""Define what boxes tell each other of the store's records, and encode records for that.
+"""Define the messages by which relays pass on the store's records, and encode the records.
 
-A relay follows the store; boxes subscribe to relays. Positions are the store's; ages are spans in
-seconds, since boxes' clocks differ.
+A relay follows the store; boxes subscribe to relays. Positions are the store's; ages are durations
+in seconds, since the clocks of boxes differ.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 import msgspec
 
-# msgspec reads these annotations when the program runs.
+# msgspec evaluates these annotations at run time.
 from calicopath_core.fleet.contact import StoreContact
 from calicopath_core.fleet.deployment import ClientLimits, Deployment, Route, ServiceSpec, Tenant
 from calicopath_core.fleet.evacuations import Evacuation
@@ -22,16 +22,17 @@
 
 
 class Subscribe(msgspec.Struct, frozen=True, tag='sb'):
-    """Ask a relay for what the store changes; renewed often. `positions` is what the box holds."""
+    """Subscribe to a relay; renewed often. `positions` is what the sender holds."""
 
     sender: str
     positions: dict[RecordKind, Position]
 
 
 class RelayStatus(msgspec.Struct, frozen=True, tag='rb'):
-    """Answer a subscription: how the store answers the relay, and what the relay holds.
+    """Report the state of a relay, in answer to a subscription.
 
-    `direct` says that the sender follows the store itself, `leaving` that it stops.
+    `direct` means that the sender follows the store itself, `leaving` that it is stopping.
+    `contact` is its contact with the store, `positions` what it holds.
     """
 
     sender: str
@@ -42,7 +43,7 @@
 
 
 class RelayUpdate(msgspec.Struct, frozen=True, tag='ru'):
-    """Carry the newest state of records changed after `since`, or every one if that is `NOTHING`.
+    """Carry the newest state of records changed after `since`, or all of them for `NO_POSITION`.
 
     `body` holds names and records, compressed.
     """
@@ -58,7 +59,7 @@
 
 
 class DeploymentFields(NamedTuple):
-    """Hold what a deployment is built from."""
+    """Hold the arguments that a deployment is built from."""
 
     version: int
     routes: tuple[Route, ...]
@@ -75,13 +76,13 @@
 
 
 def encode_changes(changes: list[Change]) -> bytes:
-    """Return the body of an update."""
+    """Return the compressed body of an update."""
     items = [(change.name, fields_of(change.record)) for change in changes]
     return zlib.compress(ENCODER.encode(items))
 
 
 def fields_of(record: Record | None) -> object:
-    """Return what a record is built from."""
+    """Return the serializable form of a record."""
     if isinstance(record, Deployment):
         services = tuple(record.services.values())
         return DeploymentFields(
@@ -91,11 +92,11 @@
 
 
 def decode_changes(kind: RecordKind, body: bytes) -> list[Change]:
-    """Return the changes in the body of an update; raise `ValueError`."""
+    """Return the changes in the body of an update; raise `ValueError` if it is malformed."""
     try:
         data = zlib.decompress(body)
     except zlib.error as error:
-        raise ValueError(f'an update that is not compressed: {error}') from error
+        raise ValueError(f'relay update is not compressed: {error}') from error
     if kind is RecordKind.DEPLOYMENT:
         return [
             Change(name, None if fields is None else Deployment(**fields._asdict()))
--- a/packages/core/calicopath_core/fleet/relays.py
+++ b/packages/core/calicopath_core/fleet/relays.py
@@ -1,8 +1,9 @@
-"""Decide which boxes follow the store for others, and whom a box hears the store's changes from.
+"""Select the boxes that act as relays, and the relays that a box subscribes to.
 
-A waiting watch a kind and box costs the store more than all else at many boxes. So a few boxes of
-the fleet, of different failure domains, are relays: they watch, and the others subscribe to two of
-them. A box whose relays are silent, or whom the store fails, watches by itself.
+With many boxes, one pending watch per kind and box is most of the store's load. So a few boxes in
+different failure domains are relays: they watch the store, and the other boxes subscribe to two of
+them. A box whose relays are silent, or whose relays the store does not answer, watches the store
+itself.
 """
 
 from __future__ import annotations
@@ -22,31 +23,32 @@
     from calicopath_core.scheduling.election import BoxAddress
 
 MIN_RELAYS = 3
-"""Relays that a fleet has at least, so that two are left when one is lost."""
+"""Minimum number of relays, so that two are left when one fails."""
 
 MIN_BOXES_PER_RELAY = 3
-"""With fewer boxes for each relay every box follows the store itself: a relay asks the store more
-than twice as often as a box for itself does."""
+"""With fewer boxes per relay every box watches the store itself: a relay calls the store more than
+twice as often as a box that watches only for itself."""
 
 MAX_BOXES_PER_RELAY = 100
-"""Boxes that one relay serves at most: each box hears two, so a relay of a fleet of 195 answers
-130 boxes, 2.5 times a second each."""
+"""Maximum number of boxes per relay. Each box subscribes to two, so each relay of a fleet of 195
+boxes answers 130 boxes, 2.5 times a second each."""
 
 RELAYS_PER_BOX = 2
-"""Relays that a box hears: one may be cut off from the store without knowing it yet."""
+"""Relays that a box subscribes to: one may have lost the store without knowing it yet."""
 
 RENEWAL_INTERVAL_S = 0.4
 RELAY_TIMEOUT_S = 1.0
-"""How often a box asks its relays, and after how long without an answer one is given up: two lost
-messages, and some delay."""
+"""How often a box renews its subscriptions, and after how long without an answer a relay counts as
+silent: two lost messages and some delay."""
 
 MAX_CONTACT_AGE_S = 1.6
-"""How old a relay's word from the store may be: its watches wait 1 s. A box whose relays are all
-cut off without knowing it watches by itself after that, and a change is in force in under 2 s."""
+"""Maximum age of a relay's last contact with the store; its watches wait up to 1 s. A box whose
+relays are all cut off without knowing it then watches the store itself, so that a change is in
+force in under 2 s."""
 
 
 class RelayState:
-    """Hold what was heard of one relay; times are monotonic seconds."""
+    """Hold what one relay last reported; times are monotonic seconds."""
 
     def __init__(self) -> None:
         self.heard_at = -math.inf
@@ -56,37 +58,37 @@
         self.leaving = False
 
     def update(self, status: RelayStatus, now: float) -> None:
-        """Note a relay's answer."""
+        """Store a relay's status."""
         self.heard_at = now
         self.contact = status.contact
         self.direct = status.direct
         self.leaving = status.leaving
 
     def is_alive(self, now: float) -> bool:
-        """Tell whether the relay was heard lately."""
+        """Tell whether the relay answered recently."""
         return now - self.heard_at < RELAY_TIMEOUT_S
 
     def contact_now(self, now: float) -> StoreContact:
-        """Return how the store answers the relay, as far as it has told."""
+        """Return the relay's store contact as last reported, aged to `now`."""
         return self.contact.aged_by(now - self.heard_at)
 
     def is_usable(self, now: float) -> bool:
-        """Tell whether what the store changes comes through this relay at once."""
+        """Tell whether this relay delivers the store's changes without delay."""
         if not self.is_alive(now) or not self.direct or self.leaving:
             return False
         return self.has_store_contact(now)
 
     def has_store_contact(self, now: float) -> bool:
-        """Tell whether the store answers the relay, by word that is not too old."""
+        """Tell whether the store answers the relay, by a report that is not too old."""
         contact = self.contact_now(now)
         return contact.failing_s == 0.0 and contact.age_s < MAX_CONTACT_AGE_S
 
 
 class RelaySelection:
-    """Hold the boxes listed and the relays heard, for one box.
+    """Hold the listed boxes and the state of the relays, for one box.
 
-    A box that `announces` tells others of itself, whether they hear the store through it or not;
-    the one that `is_first` writes down which boxes are relays.
+    A box that `announces` sends its status to boxes that do not subscribe to it. The box that
+    `is_first_relay` records in the store which boxes are relays.
     """
 
     def __init__(self, *, own: BoxAddress) -> None:
@@ -98,7 +100,7 @@
         self.is_first_relay = False
 
     def on_listed(self, boxes: Iterable[BoxAddress]) -> None:
-        """Take in the boxes of the store's list."""
+        """Select the relays among the boxes that the store lists."""
         listed = list(boxes)
         chosen = choose_relays(listed)
         self.announces = any(box.name == self.own.name for box in chosen)
@@ -106,11 +108,11 @@
         self.set_relays(chosen if len(listed) >= MIN_BOXES_PER_RELAY * len(chosen) else [])
 
     def on_recorded(self, relays: Iterable[BoxAddress]) -> None:
-        """Take in which boxes are relays by what is written down, until the list is known."""
+        """Use the relays recorded in the store, until the list of boxes is known."""
         self.set_relays(list(relays))
 
     def set_relays(self, relays: list[BoxAddress]) -> None:
-        """Take in which boxes are relays."""
+        """Set which boxes are relays and keep the state of those already known."""
         self.relays = relays
         others = [box for box in self.relays if box.name != self.own.name]
         others.sort(key=lambda box: (box.zone != self.own.zone, rendezvous_key(self.own.name, box.name)))
@@ -121,49 +123,49 @@
 
     @property
     def is_relay(self) -> bool:
-        """Tell whether this box follows the store for others, or knows of none that does."""
+        """Tell whether this box follows the store for others, or knows no relay."""
         return not self.candidates or any(box.name == self.own.name for box in self.relays)
 
     def subscription_targets(self, now: float) -> list[str]:
-        """Return the relays to subscribe to: the first in order, until enough of them are usable.
+        """Return the relays to subscribe to: the first candidates, until enough of them are usable.
 
-        Those that were asked a moment ago are given the time to answer.
+        Relays asked for the first time count as usable, so that they have time to answer.
         """
         if self.is_relay:
             return []
         found: list[str] = []
-        good = 0
+        usable_count = 0
         for address in self.candidates:
             source = self.relay_states[address]
             found.append(address)
-            good += source.is_usable(now) or source.asked_at == -math.inf
+            usable_count += source.is_usable(now) or source.asked_at == -math.inf
             source.asked_at = now
-            if good >= RELAYS_PER_BOX:
+            if usable_count >= RELAYS_PER_BOX:
                 break
         return found
 
     def on_status(self, status: RelayStatus, now: float) -> None:
-        """Note a relay's answer; one from a box that is not a relay here is left out."""
+        """Store a relay's status; statuses of boxes that are not candidates are ignored."""
         source = self.relay_states.get(status.sender)
         if source is not None:
             source.update(status, now)
 
     def current_relay(self, now: float) -> RelayState | None:
-        """Return the relay through which this box hears the store, or nothing."""
+        """Return the relay through which this box receives the store's changes, or `None`."""
         address = self.current_relay_address(now)
         return None if address is None else self.relay_states[address]
 
     def current_relay_address(self, now: float) -> str | None:
-        """Return that relay's address."""
+        """Return the address of the relay in use, or `None`."""
         if self.is_relay:
             return None
         usable = (address for address in self.candidates if self.relay_states[address].is_usable(now))
         return next(usable, None)
 
     def store_fails_relays(self, now: float) -> bool:
-        """Tell whether relays are heard and the store fails all of those, or is silent to them.
+        """Tell whether relays answer but the store answers none of them.
 
-        Never at a relay: others wait for its word that the store is back.
+        Always false at a relay: other boxes wait for it to report that the store is back.
         """
         if self.is_relay:
             return False
@@ -172,10 +174,10 @@
 
 
 def choose_relays(boxes: Iterable[BoxAddress]) -> list[BoxAddress]:
-    """Return the relays among some boxes: the oldest, of different zones first, small ones last.
+    """Return the relays among some boxes: oldest first, spread over domains, small ones last.
 
-    Those that may schedule come last among their like: of 195 boxes a scheduler answers 975 pings a
-    second, a relay 325 subscriptions.
+    Within each group the boxes that may become scheduler come last: with 195 boxes a scheduler
+    answers 975 pings a second, a relay 325 subscriptions.
     """
     oldest = sorted(boxes, key=lambda box: (box.small, box.order, box.name))
     ranked = oldest[CANDIDATES:] + oldest[:CANDIDATES]
@@ -191,5 +193,5 @@
 
 
 def rendezvous_key(box: str, relay: str) -> bytes:
-    """Return by what a box orders relays that are alike, so that load spreads over them."""
+    """Return the key by which a box orders equal relays, so that load spreads over them."""
     return hashlib.blake2b(f'{box}/{relay}'.encode(), digest_size=8).digest()
--- a/packages/core/calicopath_core/fleet/replicas.py
+++ b/packages/core/calicopath_core/fleet/replicas.py
@@ -1,4 +1,4 @@
-"""Keep the replicas that announce themselves in the platform's store."""
+"""Keep a table of the replicas that are registered in the platform's store."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
     from calicopath_core.fleet.leaving import LeavingReplicas
 
 RETURN_GRACE_S = 2.0
-"""How long after the store's return entries that lapsed while it was away may take to be back, as
-the users' pages say; one that is still missing then is gone. In that time, too, a box is not held
-to the drain time for what it has not been told of."""
+"""How long after an outage of the store an entry that lapsed meanwhile may take to reappear, as
+documented for users; an entry still missing after that is removed. During this time a box is also
+not held to the drain time for changes that it could not read."""
 
 
 class Replica(NamedTuple):
-    """Describe a replica: `id` is one incarnation, `address` is `host:port`.
+    """Describe a replica: `id` names the instance, `address` is `host:port`.
 
-    `cold` says that it bears less than usual for some seconds, as it has last told; `born` is when
-    it was started, in milliseconds since 1970, 0 if it does not tell.
+    `cold` means that it is warming up and accepts less load than usual. `started_ms` is when this
+    incarnation was started, in milliseconds since 1970, 0 if unknown.
     """
 
     id: str
@@ -36,11 +36,12 @@
 
 
 class ReplicaTable:
-    """Hold the replicas known, with the removals that are still doubted.
+    """Index the known replicas, and delay removals that may result from a store outage.
 
-    `leaving` are those that have said in answers that they leave, whatever their entries say;
-    `on_draining` learns of each replica whose entry says that it drains, and of entries that take
-    it back. A replica does not take it back in the same life: such an entry is an older one.
+    `leaving` holds the replicas that announced in answers that they leave, whatever their entries
+    say. `on_draining` is called for each replica whose entry starts or stops reporting that it
+    drains. A replica never cancels a drain within one incarnation, so an entry that does is
+    outdated.
     """
 
     def __init__(
@@ -65,7 +66,7 @@
 
     @contextlib.contextmanager
     def batch(self) -> Iterator[None]:
-        """Take many entries in as one change: the index and the listeners cost as much as one."""
+        """Apply many changes as one: the index is rebuilt and listeners are called once."""
         self.batch_depth += 1
         try:
             yield
@@ -75,15 +76,15 @@
                 self.changed()
 
     def on_disrupted(self, now: float) -> None:
-        """Note that the store could not be read until some time."""
+        """Record that the store could not be read until `now`."""
         self.disrupted_at = now if self.disrupted_at is None else max(now, self.disrupted_at)
 
     def removal_due_at(self, now: float) -> float:
-        """Return until when a removal that is seen now may be by mistake; `now` if it can't be."""
+        """Return when a removal seen now takes effect: later than `now` soon after an outage."""
         return now if self.disrupted_at is None else max(now, self.disrupted_at + RETURN_GRACE_S)
 
     def put(self, replica: Replica) -> None:
-        """Take in a replica's entry."""
+        """Add or update a replica, unless the entry is of an earlier incarnation."""
         known = self.replicas.get(replica.id)
         if known is not None and replica.started_ms < known.started_ms:
             return
@@ -98,15 +99,15 @@
             self.changed()
 
     def forget_incarnation(self, replica_id: str) -> None:
-        """Have everything forgotten that is held for a replica that has started again.
+        """Remove a replica that has restarted, so that all state kept for it is dropped.
 
-        Whatever is kept by a replica's identifier goes when the table no longer holds it.
+        Listeners drop their state for an identifier once the table no longer holds it.
         """
         del self.replicas[replica_id]
         self.rebuild_index()
 
     def remove(self, replica_id: str, now: float) -> None:
-        """Take an entry's removal in: at once, or after a while if it is doubted."""
+        """Remove a replica: at once, or after a delay if a store outage may be the cause."""
         if replica_id not in self.replicas or replica_id in self.pending_removals:
             return
         until = self.removal_due_at(now)
@@ -117,7 +118,7 @@
         self.changed()
 
     def replace(self, replicas: Iterable[Replica], now: float) -> None:
-        """Take in a whole list."""
+        """Replace all entries by a complete list."""
         listed = {replica.id: replica for replica in replicas}
         with self.batch():
             for replica in listed.values():
@@ -127,7 +128,7 @@
                     self.remove(replica_id, now)
 
     def expire(self, now: float) -> list[str]:
-        """Drop the entries whose doubt has ended and return their identifiers."""
+        """Remove the entries whose delay has ended and return their identifiers."""
         due = [name for name, at in self.pending_removals.items() if at <= now]
         for name in due:
             del self.pending_removals[name]
@@ -137,17 +138,17 @@
         return due
 
     def changed(self) -> None:
-        """Index anew and tell the listeners, or do so at the end of a batch."""
+        """Rebuild the index and call the listeners, or defer this to the end of a batch."""
         self.index_is_stale = self.batch_depth > 0
         if not self.index_is_stale:
             self.rebuild_index()
 
     def rebuild_index(self) -> None:
-        """Index anew and tell the listeners, within a batch too."""
+        """Rebuild the index and call the listeners, even within a batch."""
         self.by_service = {}
         self.by_address = {}
         for replica in self.replicas.values():
-            # The entry that was there first holds an address that another one claims.
+            # If two entries claim an address, the older entry keeps it.
             self.by_address.setdefault(replica.address, replica)
         for replica in self.replicas.values():
             if self.exclusion_of(replica) is None:
@@ -156,13 +157,13 @@
             listener()
 
     def set_evacuated(self, zones: frozenset[str]) -> None:
-        """Take in which zones are taken out: their replicas get no new work, from any caller."""
+        """Set which failure domains are evacuated: no caller gives their replicas new work."""
         if zones != self.evacuated:
             self.evacuated = zones
             self.changed()
 
     def is_leaving(self, replica: Replica) -> bool:
-        """Tell whether a replica has said that it leaves, in its entry or in an answer."""
+        """Tell whether a replica has announced, in its entry or in an answer, that it leaves."""
         return replica.draining or (self.leaving is not None and self.leaving.is_leaving(replica))
 
     def is_replaced(self, replica: Replica) -> bool:
@@ -170,11 +171,11 @@
         return self.leaving is not None and self.leaving.is_replaced(replica)
 
     def is_leaving_or_replaced(self, replica: Replica) -> bool:
-        """Tell whether a replica is known to end, or to have ended, but for its entry."""
+        """Tell whether a replica is leaving or replaced, so that its removal is expected."""
         return self.is_leaving(replica) or self.is_replaced(replica)
 
     def exclusion_of(self, replica: Replica) -> Exclusion | None:
-        """Return why a replica gets no new work from any box, as far as this one knows."""
+        """Return why a replica gets no new work from any box, or `None`, as far as known here."""
         found = self.replicas.get(replica.id)
         if found is None or found.started_ms > replica.started_ms or self.is_replaced(found):
             return Exclusion.GONE
@@ -182,10 +183,10 @@
             return Exclusion.DRAINING
         if found.zone in self.evacuated:
             return Exclusion.EVACUATED
-        # A replica's own answers tell that it leaves while the store is away, up to 15 s before
-        # its entry does; an entry that says `ready` does not take that back.
+        # A replica's own answers announce that it leaves up to 15 s before its entry does during a
+        # store outage; an entry that says `ready` does not cancel that.
         return Exclusion.LEAVING if self.is_leaving(found) else None
 
     def usable(self, service: str) -> list[Replica]:
-        """Return the replicas of a service that take new work."""
+        """Return the replicas of a service that accept new work."""
         return self.by_service.get(service, [])
--- a/packages/core/calicopath_core/fleet/restoring.py
+++ b/packages/core/calicopath_core/fleet/restoring.py
@@ -1,12 +1,14 @@
-"""Keep what was acknowledged while a store that came back from a copy is brought up to date.
+"""Preserve acknowledged records while a store restored from a copy is brought up to date.
 
-Answers a store that lost its last seconds. Its first list of a new era holds what was removed since
-the copy was taken, and lacks what was made since; operators and replicas write that again within
-seconds. Until then what this box knew of before goes on holding:
+A restored store has lost its last seconds. Its first list of a new era contains records that were
+removed since the copy was taken, and lacks records created since; operators and replicas write
+these again within seconds.
+Until then the records that this box knew of before stay in force:
 
-- what it knew to be gone is not back, unless it is written anew or outlasts a dead writer's entry;
-- boxes and zones taken out that the list lacks are kept for a while. Replicas that it lacks are
-  doubted as after an outage, by their table.
+- A record known to be removed stays removed, unless it is written again or stays listed for longer
+  than the entry of a stopped writer would.
+- Boxes and evacuations missing from the list are kept for a while. Missing replicas are kept by
+  their table, as after an outage.
 """
 
 from __future__ import annotations
@@ -28,32 +30,33 @@
     from calicopath_core.fleet.store import Record
 
 KEPT_KINDS = frozenset({RecordKind.BOX, RecordKind.EVACUATION})
-"""Kinds of which a record that the list lacks is kept for a while."""
+"""Kinds whose records are kept for a while if the list lacks them."""
 
 KEEP_MISSING_S = 10.0
-"""How long it is kept for its writer to write it again: some seconds, as for replicas, and as much
-again for an operator's tools."""
+"""How long a missing record is kept for its writer to write it again: some seconds, as for
+replicas, and as much again for an operator's tools."""
 
 TOMBSTONE_RETENTION_S = 120.0
-"""How long it is remembered what is gone: longer than any copy is old that the pages speak of."""
+"""How long removed records are remembered: longer than the age of any copy that the user
+documentation mentions."""
 
 
 class Tombstone(NamedTuple):
-    """Hold a record that is gone, and since when (monotonic seconds)."""
+    """Hold a removed record and when it was removed, in monotonic seconds."""
 
     record: Record
     gone_at: float
 
 
 class Unconfirmed(NamedTuple):
-    """Hold what the list says of a record, and when that is believed (monotonic seconds)."""
+    """Hold the listed state of a record and when it takes effect, in monotonic seconds."""
 
     record: Record | None
     confirmed_at: float
 
 
 class KindState:
-    """Hold one kind of records as the tables know it."""
+    """Hold the records of one kind as passed on to the inner handler."""
 
     def __init__(self) -> None:
         self.position: Position | None = None
@@ -62,7 +65,7 @@
         self.unconfirmed: dict[str, Unconfirmed] = {}
 
     def publish(self, name: str, record: Record | None, now: float) -> None:
-        """Take in a record's newest state."""
+        """Store a record's newest state, and a tombstone if it was removed."""
         known = self.published.pop(name, None)
         if record is not None:
             self.tombstones.pop(name, None)
@@ -72,10 +75,11 @@
 
 
 class RestoreFilter(FeedHandler):
-    """Hand on what feeds bring to the tables behind, `inner`.
+    """Pass records from feeds to the `inner` handler, except unconfirmed ones.
 
-    `lapse_s` is how long the entry of a replica stands that writes no more; `on_restored` learns of
-    each list of a new era: its position, how many records are kept and how many held back.
+    `entry_ttl_s` is how long the entry of a stopped replica remains in the store. `on_restored` is
+    called for each list of a new era with its kind, its position, and the numbers of records kept
+    and held back.
     """
 
     def __init__(
@@ -93,11 +97,11 @@
         self.kinds = {kind: KindState() for kind in RecordKind}
 
     def on_disrupted(self) -> None:
-        """Note that the store could not be read until now."""
+        """Handle the end of a time in which the store could not be read."""
         self.inner.on_disrupted()
 
     def on_listing(self, kind: RecordKind, listing: Listing) -> None:
-        """Take in every record of a kind."""
+        """Handle the complete list of a kind's records."""
         held = self.kinds[kind]
         restored = held.position is not None and listing.position.era > held.position.era
         held.position = listing.position
@@ -117,7 +121,10 @@
     def find_unconfirmed(
         self, kind: RecordKind, records: dict[str, Record], *, restored: bool
     ) -> dict[str, Unconfirmed]:
-        """Return what a list says that is not believed yet; later ones of an era add nothing."""
+        """Return the records whose listed state is not confirmed.
+
+        Only the first list of an era adds such records; later lists of the era update them.
+        """
         held, now = self.kinds[kind], self.clock.monotonic()
         found: dict[str, Unconfirmed] = {}
         for name in held.tombstones.keys() & records.keys():
@@ -135,21 +142,21 @@
         }
 
     def hold_back_s(self, kind: RecordKind) -> float:
-        """Return how long a record that was gone is held back."""
+        """Return how long a removed record that is listed again is held back, in seconds."""
         if kind is RecordKind.BOX:
-            # A box has a new life with each start.
+            # A box has a new incarnation with each start, so the old one never returns.
             return math.inf
         return self.entry_ttl_s if kind is RecordKind.REPLICA else KEEP_MISSING_S
 
     def confirmed_records(self, kind: RecordKind, records: dict[str, Record]) -> dict[str, Record]:
-        """Return a list with what is kept, and without what is held back."""
+        """Return a list with the kept records and without those held back."""
         held = self.kinds[kind]
         found = {name: item for name, item in records.items() if name not in held.unconfirmed}
         kept = (name for name, item in held.unconfirmed.items() if item.record is None)
         return found | {name: held.published[name] for name in kept}
 
     def on_changes(self, kind: RecordKind, position: Position, changes: list[Change]) -> None:
-        """Take in the new state of records; what was written in this era is believed."""
+        """Handle the new state of records; a change written in this era is confirmed."""
         held, now = self.kinds[kind], self.clock.monotonic()
         held.position = position
         for change in changes:
@@ -158,12 +165,12 @@
         self.inner.on_changes(kind, position, changes)
 
     def stale_boxes(self) -> list[BoxAddress]:
-        """Return the boxes that have ended and that the store lists again."""
+        """Return the boxes that have stopped and that the store lists again."""
         pending = self.kinds[RecordKind.BOX].unconfirmed.values()
         return [item.record for item in pending if isinstance(item.record, BoxAddress)]
 
     def expire(self) -> None:
-        """Believe what has stood for long enough, and forget what is long gone."""
+        """Apply states whose time has come, and remove old tombstones."""
         now = self.clock.monotonic()
         for kind, held in self.kinds.items():
             due = [name for name, item in held.unconfirmed.items() if item.confirmed_at <= now]
@@ -176,10 +183,10 @@
 
 
 def is_same_incarnation(gone: Record, listed: Record) -> bool:
-    """Tell whether a listed record is what is known to be gone, not a later one of its name."""
+    """Tell whether a listed record is the removed one, not a later one of the same name."""
     if isinstance(gone, Replica) and isinstance(listed, Replica):
         return listed.started_ms <= gone.started_ms
     if isinstance(gone, BoxAddress) and isinstance(listed, BoxAddress):
         return listed.life == gone.life
-    # The revision at which a zone was taken out tells one time from another.
+    # The revision distinguishes successive evacuations of the same failure domain.
     return isinstance(gone, Evacuation) and gone == listed
--- a/packages/core/calicopath_core/fleet/starting.py
+++ b/packages/core/calicopath_core/fleet/starting.py
@@ -1,9 +1,9 @@
-"""Let a box that starts ask the store next to nothing: relays tell it what the store holds.
+"""Synchronize a starting box through relays, so that it makes few store calls.
 
-Answers many starts at once: a start of 195 boxes, a rolling restart of all, everything killed. A
-box writes its record, reads which boxes are relays, and hears the rest from them; it reads by
-itself only where none answers. That saves some eleven calls a start: 3,444 on a quiet day of 195
-boxes where each reads everything, 1,191 so.
+Needed when many boxes start at once: a fleet of 195 boxes, a rolling restart, or a crash of all
+boxes. A box writes its record, reads which boxes are relays, and receives everything else from
+them; it reads the store itself only if no relay answers. This saves about eleven calls per start:
+1,191 instead of 3,444 when 195 boxes start on a quiet day.
 """
 
 from __future__ import annotations
@@ -21,37 +21,37 @@
     from calicopath_core.scheduling.election import BoxAddress
 
 FIRST_CALL_WAIT_S = 0.1
-"""How long the box's own record is waited for before anything is read: both calls then use one
-connection, of which the store gets hundreds as a fleet starts."""
+"""How long to wait for the box's own record before reading: both calls then share one connection. A
+starting fleet opens hundreds of connections to the store."""
 
 REGISTRATION_WAIT_S = 0.5
-"""How long the box's own record is waited for: a list read after it holds every older box."""
+"""How long to wait for the box's own record: a list read after it contains every older box."""
 
 RECORDED_RELAYS_RETRY_S = 0.6
-"""When a small box looks again for relays that nobody has written down yet: as a fleet starts, the
-boxes that will be relays have read the list and written themselves down by then."""
+"""When a small box looks again for relays that no box has recorded yet. When a fleet starts, the
+future relays have read the list and recorded themselves by then."""
 
 INITIAL_RETRY_DELAY_S = 0.1
 MAX_RETRY_DELAY_S = 0.8
-"""How long a failed call for that is waited out: callers are refused until it works, so shortly at
-first; doubled each time, since a store that resets connections at once would be asked 60 times by
-each box that starts."""
+"""How long to wait after a failed read of the relays. Callers are refused until it succeeds, so the
+first delay is short; it doubles each time, since each starting box would otherwise call a store
+that resets connections 60 times."""
 
 RELAY_SYNC_WAIT_S = 0.8
-"""How long relays may take to tell everything: they answer in some ms, and in about half a second
-while they read it themselves as a fleet starts."""
+"""How long relays may take to send all records. They answer within some ms, or in about half a
+second while they read the records themselves as a fleet starts."""
 
 LIST_WAIT_S = 1.0
-"""How long the list of boxes may take before the box reads everything by itself."""
+"""How long the list of boxes may take before the box reads everything itself."""
 
 STARTUP_TIMEOUT_S = 6.0
-"""How long all of this may take, with a store that answers slowly or not at all."""
+"""How long the whole synchronization may take with a slow or silent store."""
 
 CHECK_INTERVAL_S = 0.02
 
 
 class StartupSync:
-    """Hold how far a box's start has come; `open_kinds` are those it may read of the store."""
+    """Synchronize a starting box; `readable_kinds` are the kinds it may read from the store."""
 
     def __init__(
         self,
@@ -73,12 +73,12 @@
         self.readable_kinds: frozenset[RecordKind] = frozenset()
 
     def may_read(self, kind: RecordKind) -> bool:
-        """Tell whether the box may read a kind of the store by itself."""
-        only_list = len(self.readable_kinds) == 1
-        return kind in self.readable_kinds and not (only_list and self.synced(kind))
+        """Tell whether the box may read a kind directly from the store."""
+        is_single_kind = len(self.readable_kinds) == 1
+        return kind in self.readable_kinds and not (is_single_kind and self.synced(kind))
 
     async def run(self) -> None:
-        """Come to know everything, by relays if they answer; then the store may be read."""
+        """Synchronize through relays if they answer, then allow the box to read the store."""
         try:
             async with asyncio.timeout(STARTUP_TIMEOUT_S):
                 await self.ask_relays()
@@ -88,11 +88,12 @@
             self.readable_kinds = frozenset(RecordKind)
 
     async def ask_relays(self) -> None:
-        """Return once everything is known, or once the box should read it by itself."""
+        """Return once all records are known, or once the box should read them from the store."""
         await self.wait_until(lambda: self.registered, FIRST_CALL_WAIT_S)
         noted = await self.recorded_relays()
         if any(box.name == self.own.name for box in noted):
-            # This box was a relay before it restarted; if all were killed, others wait for it.
+            # This box was a relay before it restarted; after a crash of all boxes the others wait
+            # for it.
             return
         if noted and await self.subscribe_and_wait(noted):
             return
@@ -104,7 +105,7 @@
             await self.subscribe_and_wait(self.relay_selection.relays)
 
     async def recorded_relays(self) -> tuple[BoxAddress, ...]:
-        """Return the relays that are written down, as soon as the store answers."""
+        """Return the relays recorded in the store, as soon as the store answers."""
         found = await self.read_relays()
         if found is None and self.own.small:
             await asyncio.sleep(RECORDED_RELAYS_RETRY_S)
@@ -112,22 +113,22 @@
         return found or ()
 
     async def read_relays(self) -> tuple[BoxAddress, ...] | None:
-        """Return what the store holds, or nothing if nobody wrote it.
+        """Return the relays recorded in the store, `None` if none were recorded.
 
-        A store that fails is asked again: boxes that read everything by themselves as it returns
-        would ask ten times as much of it.
+        A failed read is retried: boxes that instead read everything themselves once the store is
+        back would make ten times as many calls.
         """
-        pause_s = INITIAL_RETRY_DELAY_S
+        delay_s = INITIAL_RETRY_DELAY_S
         while True:
             try:
                 return await self.store.read_relays()
             except FleetStoreError as error:
                 self.on_store_error(error)
-                await asyncio.sleep(pause_s)
-                pause_s = min(MAX_RETRY_DELAY_S, 2 * pause_s)
+                await asyncio.sleep(delay_s)
+                delay_s = min(MAX_RETRY_DELAY_S, 2 * delay_s)
 
     async def subscribe_and_wait(self, relays: Iterable[BoxAddress]) -> bool:
-        """Subscribe to relays; tell whether they have told everything in time."""
+        """Subscribe to relays; return whether they sent all records in time."""
         self.relay_selection.on_recorded(relays)
         for address in self.relay_selection.candidates:
             self.subscribe(address)
@@ -138,7 +139,7 @@
         return all(self.synced(kind) for kind in RecordKind)
 
     async def wait_until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
-        """Wait until something holds, for a while at most; tell whether it does."""
+        """Wait for a condition until a timeout; return whether it holds."""
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + timeout_s
         while not condition() and loop.time() < ends_at:
--- a/packages/core/calicopath_core/fleet/store.py
+++ b/packages/core/calicopath_core/fleet/store.py
@@ -1,4 +1,4 @@
-"""Define the platform's store as a fleet uses it: records by kind, with changes by revision."""
+"""Define the interface of the platform's store: records by kind, with changes by revision."""
 
 from __future__ import annotations
 
@@ -29,76 +29,76 @@
 
 
 class Listing(NamedTuple):
-    """Hold every record of a kind by name, and the store's position."""
+    """Hold all records of a kind by name, and the store's position."""
 
     records: dict[str, Record]
     position: Position
 
 
 class Change(NamedTuple):
-    """Hold a record's new state, or nothing if it is gone."""
+    """Hold a record's new state, `None` if it was removed."""
 
     name: str
     record: Record | None
 
 
 class Changes(NamedTuple):
-    """Hold changes in order, and the position to go on from."""
+    """Hold changes in order, and the position from which to continue."""
 
     changes: tuple[Change, ...]
     position: Position
 
 
 class FleetStoreError(CalicopathError):
-    """Report that the store did not do what was asked; a write may have been done."""
+    """Report a failed store call; a failed write may still have been applied."""
 
 
 class HistoryLost(FleetStoreError):
-    """Report that the store does not know what has changed since a revision."""
+    """Report that the store no longer has the changes since a revision."""
 
 
 class FleetStore(ABC):
-    """Read and follow records."""
+    """Read, follow and write the records of a fleet."""
 
     @abstractmethod
     async def list(self, kind: RecordKind) -> Listing:
-        """Return every record of a kind; raise `FleetStoreError`."""
+        """Return all records of a kind; raise `FleetStoreError`."""
 
     @abstractmethod
     async def watch(self, kind: RecordKind, revision: int, wait_s: float) -> Changes:
-        """Return what has changed since a revision, after `wait_s` if nothing has.
+        """Return the changes since a revision, or none after `wait_s`.
 
         Raise `HistoryLost` or `FleetStoreError`.
         """
 
     @abstractmethod
     async def read_relays(self) -> tuple[BoxAddress, ...] | None:
-        """Return the relays that are written down, nothing if none ever were.
+        """Return the recorded relays, `None` if none were ever recorded.
 
         Raise `FleetStoreError`.
         """
 
     @abstractmethod
     async def write_relays(self, relays: tuple[BoxAddress, ...]) -> int:
-        """Write down which boxes are relays; return the store's era or raise `FleetStoreError`.
+        """Record which boxes are relays; return the store's era or raise `FleetStoreError`.
 
-        Boxes that start ask them first; nothing safe rests on it.
+        Starting boxes contact these relays first; correctness does not depend on the record.
         """
 
     @abstractmethod
     async def read_blocked(self) -> tuple[KeptRequest, ...]:
-        """Return the requests that are kept as blocked; raise `FleetStoreError`."""
+        """Return the requests stored as blocked; raise `FleetStoreError`."""
 
     @abstractmethod
     async def write_blocked(self, kept: tuple[KeptRequest, ...]) -> int:
-        """Keep these requests as blocked, whatever was there.
+        """Store these requests as blocked, in place of all stored before.
 
         Return the store's era or raise `FleetStoreError`.
         """
 
     @abstractmethod
     async def register(self, box: BoxAddress) -> None:
-        """Write this box's own record; raise `FleetStoreError`. Doing it twice is harmless."""
+        """Write this box's own record; idempotent. Raise `FleetStoreError`."""
 
     @abstractmethod
     async def withdraw(self, box: BoxAddress) -> None:
--- a/packages/core/calicopath_core/fleet/subscription.py
+++ b/packages/core/calicopath_core/fleet/subscription.py
@@ -1,4 +1,4 @@
-"""Hear the store's changes from relays, and be one for others."""
+"""Receive the store's changes from relays, and act as a relay for other boxes."""
 
 from __future__ import annotations
 
@@ -33,30 +33,31 @@
     from calicopath_core.scheduling.election import BoxAddress
 
 WATCH_WAIT_S = 2.0
-"""How long a watch waits. A store that falls silent is noticed only when a watch is overdue, and a
+"""How long a watch waits. A silent store is detected only once a watch is overdue, and a
 configuration must be in force 2 s after it was acknowledged."""
 
 RELAY_WATCH_WAIT_S = 0.7
-"""How long a relay's watch waits: those that hear it have to notice its silence in time too."""
+"""How long a relay's watch waits: shorter, since its subscribers must detect the relay's silence in
+the same time."""
 
 FAST_WATCH_KIND = RecordKind.REPLICA
-"""The kind by whose watch a relay notices that the store is silent. A change of the others comes as
-soon as it is made all the same; where its watch alone went silent, another relay tells of it, or it
-comes 2.8 s later. With three relays a kind that is watched in a hurry costs 4.3 calls a second, one
-that is not 1.5."""
+"""The kind whose watch waits for the shorter time at a relay, to detect a silent store. Changes of
+other kinds still arrive at once; if only their watch went silent, another relay sends them, or they
+arrive 2.8 s later. With three relays a kind with the shorter wait costs 4.3 calls a second, any
+other 1.5."""
 
 ANNOUNCE_INTERVAL_S = 1.0
-"""How often a relay tells boxes of itself that do not subscribe: one that has restarted while the
-store is away knows no other box."""
+"""How often a relay sends its status to boxes that do not subscribe to it: a box that restarted
+during a store outage knows no other box."""
 
 
 RECORD_INTERVAL_S = 0.3
-"""How often it is looked whether other boxes are relays than is written down. As a fleet starts
-the first relays change several times within this."""
+"""How often the recorded list of relays is compared with the current one. While a fleet starts, the
+first relays change several times in this time."""
 
 
 class Subscription(FollowPolicy):
-    """Keep one box's subscriptions to relays, and its subscribers."""
+    """Maintain one box's subscriptions to relays, and serve its subscribers."""
 
     def __init__(
         self,
@@ -106,34 +107,34 @@
         )
 
     def uses_relay(self) -> bool:
-        """Tell whether the box hears the store through a relay."""
+        """Tell whether the box receives the store's changes through a relay."""
         return self.relay_selection.current_relay(self.clock.monotonic()) is not None
 
     def may_read(self, kind: RecordKind) -> bool:
-        """Tell whether the box may read a kind of the store by itself."""
+        """Tell whether the box may read a kind directly from the store."""
         return self.startup.may_read(kind) and not self.outages.must_wait(kind)
 
     def watch_wait_s(self, kind: RecordKind) -> float:
-        """Return how long a watch waits."""
+        """Return how long a watch waits, in seconds."""
         if self.outages.is_probe_due(kind):
             return PROBE_WAIT_S
         relayed = self.publisher.subscribers and kind is FAST_WATCH_KIND
         return RELAY_WATCH_WAIT_S if relayed else WATCH_WAIT_S
 
     async def wait_for_relays(self) -> None:
-        """Give relays the time to tell what the store has forgotten the history of.
+        """Give relays time to send what the store no longer has the history of.
 
-        Only a store that is disturbed forgets its history; relays read it anew at once.
+        Only a disrupted store loses its history, and relays list all records again at once.
         """
         if not self.relay_selection.is_relay:
             await asyncio.sleep(RELAY_GRACE_S)
 
     async def back_off(self, kind: RecordKind, failures: int) -> None:
-        """Wait before a kind is asked for again of which so many calls in a row have failed."""
+        """Wait before the next call for a kind after a number of consecutive failures."""
         await self.outages.back_off(kind, failures)
 
     def contact(self) -> StoreContact:
-        """Return how the store answers this box, or the relay it hears."""
+        """Return the store contact of the relay in use, or of this box itself."""
         now = self.clock.monotonic()
         source = self.relay_selection.current_relay(now)
         if source is not None:
@@ -141,20 +142,20 @@
         return self.feeds[RecordKind.REPLICA].contact()
 
     def on_listed(self, boxes: Iterable[BoxAddress]) -> None:
-        """Take in the boxes of the store's list."""
+        """Set the boxes that the store lists."""
         self.boxes = list(boxes)
         self.relay_selection.on_listed(self.boxes)
 
     def positions(self) -> dict[RecordKind, Position]:
-        """Return what this box holds."""
+        """Return the position held for each kind."""
         return {kind: feed.position or NO_POSITION for kind, feed in self.feeds.items()}
 
     def era(self) -> int:
-        """Return the store's newest era that this box knows of."""
+        """Return the newest era of the store that this box knows of."""
         return max(position.era for position in self.positions().values())
 
     def status(self) -> RelayStatus:
-        """Return what this box says of itself as a relay."""
+        """Return this box's status as a relay."""
         return RelayStatus(
             sender=self.own.address,
             direct=not self.uses_relay(),
@@ -164,16 +165,16 @@
         )
 
     def subscribe(self, address: str) -> None:
-        """Ask a relay for what this box lacks."""
+        """Ask a relay for the changes that this box lacks."""
         self.send(address, Subscribe(sender=self.own.address, positions=self.positions()))
 
     def on_subscribe(self, message: Subscribe) -> None:
-        """Answer a box that wants to hear the store through this one."""
+        """Send a subscriber this box's status and the changes that it lacks."""
         self.send(message.sender, self.status())
         self.publisher.on_subscribe(message)
 
     def on_status(self, status: RelayStatus) -> None:
-        """Take in how a relay does."""
+        """Handle a relay's status."""
         now = self.clock.monotonic()
         self.relay_selection.on_status(status, now)
         if not all(feed.synced for feed in self.feeds.values()):
@@ -183,7 +184,7 @@
             self.on_disrupted(now - source.contact.steady_s)
 
     def on_update(self, update: RelayUpdate) -> None:
-        """Take in what a relay has read."""
+        """Apply the records that a relay sent; report an update that cannot be decoded."""
         try:
             changes = decode_changes(update.kind, update.body)
         except (ValueError, msgspec.MsgspecError) as error:
@@ -193,21 +194,21 @@
         self.feeds[update.kind].apply_update(since, update.position, changes)
 
     def announce_leaving(self) -> None:
-        """Tell subscribers to hear another relay."""
+        """Tell subscribers that this box leaves, so that they use another relay."""
         self.leaving = True
         for address in self.publisher.subscribers:
             self.send(address, self.status())
 
     def announce(self) -> None:
-        """Tell boxes of this relay that do not subscribe to it."""
+        """Send this relay's status to the boxes that do not subscribe to it."""
         for box in self.boxes:
             if box.name != self.own.name and not self.publisher.is_subscribed(box.address, ANNOUNCE_INTERVAL_S):
                 self.send(box.address, self.status())
 
     async def record_relays(self) -> None:
-        """Write down which boxes are relays, if this is the first of them.
+        """Record in the store which boxes are relays, if this box is the first relay.
 
-        Once for each change and era; a store that fails is asked again with the next round.
+        Writes once per change and era; a failed write is retried in the next round.
         """
         relays = tuple(self.relay_selection.relays)
         is_noted = relays == self.recorded_relays and self.recorded_era >= self.era()
@@ -221,9 +222,10 @@
         self.recorded_relays = relays
 
     async def withdraw_stale_boxes(self) -> None:
-        """Remove the records of boxes that have ended, if this is the first of the relays.
+        """Remove the records of boxes that have stopped, if this box is the first relay.
 
-        A box that starts under such a name at the same moment finds its record missing.
+        A box that starts under the same name at that moment finds its record missing and writes it
+        again.
         """
         if not self.relay_selection.is_first_relay or self.leaving:
             return
@@ -234,14 +236,14 @@
                 self.on_store_error(error)
 
     async def maintain_records(self) -> None:
-        """Keep up to date what the first of the relays writes, until cancelled."""
+        """Keep the first relay's records in the store up to date until cancelled."""
         while True:
             await asyncio.sleep(RECORD_INTERVAL_S)
             await self.record_relays()
             await self.withdraw_stale_boxes()
 
     async def run(self) -> None:
-        """Start, then keep subscriptions, and this box's work as a relay, until cancelled."""
+        """Synchronize at startup, then run subscriptions and relay duties until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.startup.run())
             group.create_task(self.maintain_records())
@@ -261,7 +263,7 @@
             await asyncio.sleep(RENEWAL_INTERVAL_S)
 
     def report_relay_change(self, now: float) -> None:
-        """Tell when the box hears another relay, or none."""
+        """Report when the box switches to another relay, or to none."""
         source = self.relay_selection.current_relay_address(now)
         if source != self.current_relay_address:
             self.current_relay_address = source
--- a/packages/core/calicopath_core/fleet/tests/evacuations_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/evacuations_tests.py
@@ -1,4 +1,4 @@
-"""Test what a box holds of zones that are taken out."""
+"""Test which failure domains a box holds as evacuated."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
     def setUp(self) -> None:
         super().setUp()
         self.now = 100.0
-        self.told: list[str] = []
+        self.changes: list[str] = []
         self.table = ReplicaTable()
         for zone in 'ab':
             self.table.put(Replica(f'r-{zone}', 's', f'{zone}:1', zone, 1, False))
         self.evacuations = Evacuations(
             wall_clock=lambda: self.now,
-            on_evacuation_started=lambda item: self.told.append(f'out {item.zone}'),
-            on_evacuation_ended=lambda held: self.told.append(f'back {held.evacuation.zone}'),
+            on_evacuation_started=lambda item: self.changes.append(f'out {item.zone}'),
+            on_evacuation_ended=lambda held: self.changes.append(f'back {held.evacuation.zone}'),
             on_changed=self.table.set_evacuated,
         )
 
     def usable(self) -> list[str]:
-        """Return the replicas that may be sent work."""
+        """Return the replicas that may get new work."""
         return [item.id for item in self.table.usable('s')]
 
     def test_replicas_of_a_zone_taken_out_get_no_new_work_until_it_is_given_back(self) -> None:
@@ -36,7 +36,7 @@
         self.assertEqual(Exclusion.EVACUATED, self.table.exclusion_of(self.table.replicas['r-a']))
         self.evacuations.apply_changes([('a', None)])
         self.assertEqual(['r-a', 'r-b'], sorted(self.usable()))
-        self.assertEqual(['out a', 'back a'], self.told)
+        self.assertEqual(['out a', 'back a'], self.changes)
 
     def test_a_replica_that_comes_to_a_zone_taken_out_gets_nothing_either(self) -> None:
         self.evacuations.apply_changes([('a', Evacuation('a', 7))])
@@ -55,7 +55,7 @@
         self.evacuations.apply_changes([('a', Evacuation('a', 9))])
         held = self.evacuations.active['a']
         self.assertEqual((100.0, 9), (held.since, held.evacuation.revision))
-        self.assertEqual(['out a'], self.told)
+        self.assertEqual(['out a'], self.changes)
 
     def test_out_and_back_in_one_change_of_the_feed_leaves_the_zone_in(self) -> None:
         self.evacuations.apply_changes([('a', Evacuation('a', 7)), ('a', None)])
--- a/packages/core/calicopath_core/fleet/tests/gate_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/gate_tests.py
@@ -1,4 +1,4 @@
-"""Test what a box holds of replicas by their answers, and which calls it holds back."""
+"""Test what a box records from replicas' answers, and which calls it holds back."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 class GateCase(VirtualCase):
     def play(self, work: Callable[[CallGate], Awaitable[None]]) -> None:
-        """Do some work with a gate before two replicas."""
+        """Run a coroutine with a gate in front of two replicas."""
 
         async def scenario() -> None:
             gate = new_gate()
@@ -88,7 +88,7 @@
 
 
 class Leaving(GateCase):
-    def test_the_word_holds_against_every_entry_of_the_same_life(self) -> None:
+    def test_a_departure_overrides_every_entry_of_the_same_incarnation(self) -> None:
         async def work(gate: CallGate) -> None:
             gate.on_notice(FIRST, LEAVES)
             for entry in (FIRST, FIRST._replace(cold=True)):
@@ -98,7 +98,7 @@
 
         self.play(work)
 
-    def test_the_word_outlasts_an_entry_that_lapses_and_comes_back(self) -> None:
+    def test_a_departure_outlasts_an_entry_that_lapses_and_comes_back(self) -> None:
         async def work(gate: CallGate) -> None:
             gate.on_notice(FIRST, LEAVES)
             gate.replicas.remove('i', asyncio.get_running_loop().time())
@@ -109,7 +109,7 @@
 
         self.play(work)
 
-    def test_a_later_life_is_not_bound_by_the_word_of_the_one_before(self) -> None:
+    def test_a_later_incarnation_is_not_affected_by_an_earlier_departure(self) -> None:
         async def work(gate: CallGate) -> None:
             gate.on_notice(FIRST, LEAVES)
             gate.replicas.put(AGAIN)
@@ -121,7 +121,7 @@
 
         self.play(work)
 
-    def test_a_call_to_an_earlier_life_is_held_back(self) -> None:
+    def test_a_call_to_an_earlier_incarnation_is_held_back(self) -> None:
         async def work(gate: CallGate) -> None:
             gate.replicas.put(AGAIN)
             self.assertEqual(Exclusion.GONE, gate.exclusion_of(FIRST))
@@ -144,7 +144,7 @@
 
         self.play(work)
 
-    def test_a_removal_is_not_doubted_of_one_that_said_it_leaves(self) -> None:
+    def test_the_removal_of_a_leaving_replica_is_not_delayed(self) -> None:
         async def work(gate: CallGate) -> None:
             gate.replicas.on_disrupted(0.0)
             gate.on_notice(FIRST, LEAVES)
@@ -154,7 +154,7 @@
 
         self.play(work)
 
-    def test_words_are_bounded_and_old_ones_of_unknown_replicas_go(self) -> None:
+    def test_departures_are_bounded_and_old_ones_of_unknown_replicas_expire(self) -> None:
         async def work(gate: CallGate) -> None:
             for number in range(MAX_DEPARTURES + 10):
                 gate.leaving.record(f'r{number}', 0.0)
@@ -172,9 +172,9 @@
                 raise AssertionError
 
         async def work(gate: CallGate) -> None:
-            for goes in (False, True):
+            for is_removed in (False, True):
                 gate.on_notice(FIRST, LEAVES)
-                if goes:
+                if is_removed:
                     gate.replicas.remove('i', 0.0)
                 fate = ReplicaFate(reach=Silent(), replicas=gate.replicas, replica=FIRST)
                 self.assertFalse(await fate.lapses())
@@ -183,7 +183,7 @@
 
 
 class Backoffs(GateCase):
-    def test_nothing_is_sent_until_the_wish_is_over(self) -> None:
+    def test_nothing_is_sent_until_the_backoff_is_over(self) -> None:
         async def work(gate: CallGate) -> None:
             gate.on_notice(FIRST, Notice(backoff_s=3.0))
             for new_work in (True, False):
@@ -195,7 +195,7 @@
 
         self.play(work)
 
-    def test_a_later_shorter_wish_does_not_end_an_earlier_longer_one(self) -> None:
+    def test_a_later_shorter_backoff_does_not_end_an_earlier_longer_one(self) -> None:
         async def work(gate: CallGate) -> None:
             gate.on_notice(FIRST, Notice(backoff_s=3.0))
             await asyncio.sleep(0.1)
@@ -214,7 +214,7 @@
 
         self.play(work)
 
-    def test_a_later_life_has_wished_for_nothing(self) -> None:
+    def test_a_later_incarnation_has_no_backoff(self) -> None:
         async def work(gate: CallGate) -> None:
             gate.on_notice(FIRST, Notice(backoff_s=3.0))
             gate.replicas.put(AGAIN)
@@ -222,7 +222,7 @@
 
         self.play(work)
 
-    def test_a_wish_beyond_all_measure_is_bounded(self) -> None:
+    def test_an_excessive_backoff_is_bounded(self) -> None:
         async def work(gate: CallGate) -> None:
             gate.on_notice(FIRST, Notice(backoff_s=1e12))
             self.assertLessEqual(gate.backoffs.remaining_s(FIRST), MAX_BACKOFF_S + MAX_JITTER_S)
@@ -257,9 +257,9 @@
             for number, gate in enumerate(gates):
                 gate.backoffs.rng.seed(number)
                 gate.on_notice(FIRST, Notice(backoff_s=1.0))
-            lefts = [gate.backoffs.remaining_s(FIRST) for gate in gates]
-            self.assertGreater(max(lefts) - min(lefts), MAX_JITTER_S / 2)
-            self.assertGreaterEqual(min(lefts), 1.0)
+            remaining = [gate.backoffs.remaining_s(FIRST) for gate in gates]
+            self.assertGreater(max(remaining) - min(remaining), MAX_JITTER_S / 2)
+            self.assertGreaterEqual(min(remaining), 1.0)
 
         self.run_virtual(scenario())
 
@@ -270,8 +270,8 @@
             for _ in range(4):
                 await asyncio.sleep(0.5)
                 gate.expire()
-            told = gate.observer.on_backoff_ended.call_args_list  # type: ignore[attr-defined]
-            self.assertEqual([('i', 3)], [(call.args[0], call.args[2]) for call in told])
+            reported = gate.observer.on_backoff_ended.call_args_list  # type: ignore[attr-defined]
+            self.assertEqual([('i', 3)], [(call.args[0], call.args[2]) for call in reported])
             await asyncio.sleep(RETENTION_S + MAX_JITTER_S)
             gate.expire()
             self.assertEqual({}, gate.backoffs.by_replica)
--- a/packages/core/calicopath_core/fleet/tests/lives_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/lives_tests.py
@@ -1,4 +1,4 @@
-"""Test that a replica which starts again under its identifier is believed nothing of before."""
+"""Test that state kept for a replica is dropped when it restarts under the same identifier."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
         )
         self.board = EngineBoard(slots=2, kv_tokens=10_000)
         self.queue = StageQueue(service='engine', spec=SPEC)
-        self.table.listeners.append(self.follow)
+        self.table.listeners.append(self.pass_on_replicas)
         self.table.put(FIRST)
 
-    def follow(self) -> None:
-        """Take in which replicas there are, as the scheduler does."""
+    def pass_on_replicas(self) -> None:
+        """Pass on which replicas there are, as the scheduler does."""
         usable = self.table.usable('engine')
         self.board.set_replicas(usable, self.table.replicas)
         self.queue.set_replicas(usable, self.table.replicas)
 
-    def believe(self) -> None:
-        """Come to believe all sorts of things of the replica."""
+    def record_state(self) -> None:
+        """Record failures, a run and a booking for the replica."""
         for _ in range(5):
             self.balancer.of(FIRST).on_failure(1.0)
         item = job('j', prompt=PROMPT)
@@ -48,37 +48,37 @@
         self.board.ended('i', 'j', failed=True, now=1.0)
         self.queue.book('i', 'handle', 1000, 1.0)
 
-    def check_new(self, *, new: bool) -> None:
-        """Check whether the replica is believed anything of."""
-        self.assertEqual(new, self.balancer.of(FIRST).ejected_until == 0.0)
-        self.assertEqual(new, self.board.engines['i'].failures == 0)
-        self.assertEqual(new, not self.queue.replicas['i'].bookings)
+    def check_is_new(self, *, is_new: bool) -> None:
+        """Check whether no state is held for the replica."""
+        self.assertEqual(is_new, self.balancer.of(FIRST).ejected_until == 0.0)
+        self.assertEqual(is_new, self.board.engines['i'].failures == 0)
+        self.assertEqual(is_new, not self.queue.replicas['i'].bookings)
 
-    def test_everything_held_for_the_earlier_life_goes(self) -> None:
-        self.believe()
-        self.check_new(new=False)
+    def test_state_of_the_earlier_incarnation_is_dropped(self) -> None:
+        self.record_state()
+        self.check_is_new(is_new=False)
         self.table.put(AGAIN)
-        self.check_new(new=True)
+        self.check_is_new(is_new=True)
 
-    def test_it_goes_within_a_batch_of_changes_too(self) -> None:
-        self.believe()
+    def test_state_is_dropped_within_a_batch_too(self) -> None:
+        self.record_state()
         with self.table.batch():
             self.table.put(AGAIN)
-        self.check_new(new=True)
+        self.check_is_new(is_new=True)
 
-    def test_a_beat_of_the_same_life_takes_nothing_away(self) -> None:
-        self.believe()
+    def test_a_heartbeat_of_the_same_incarnation_drops_nothing(self) -> None:
+        self.record_state()
         self.table.put(FIRST._replace(draining=False, cold=True))
-        self.check_new(new=False)
+        self.check_is_new(is_new=False)
 
-    def test_an_entry_of_the_earlier_life_that_comes_late_changes_nothing(self) -> None:
+    def test_a_late_entry_of_the_earlier_incarnation_changes_nothing(self) -> None:
         self.table.put(AGAIN)
-        self.believe()
+        self.record_state()
         self.table.put(FIRST._replace(draining=True))
         self.assertEqual(AGAIN, self.table.replicas['i'])
-        self.check_new(new=False)
+        self.check_is_new(is_new=False)
 
-    def test_a_drain_ends_with_the_life_that_said_so(self) -> None:
+    def test_a_drain_ends_with_its_incarnation(self) -> None:
         self.table.put(FIRST._replace(draining=True))
         self.assertEqual([], self.table.usable('engine'))
         self.table.put(AGAIN)
--- a/packages/core/calicopath_core/fleet/tests/relays_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/relays_tests.py
@@ -1,4 +1,4 @@
-"""Test which boxes follow the store for others, and what subscribers are sent."""
+"""Test which boxes are selected as relays, and what subscribers are sent."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 def box(number: int, zone: str = 'a', **changes: Any) -> BoxAddress:
-    """Return a box whose record is as old as its number says."""
+    """Return a box whose place in the order of registration is its number."""
     return BoxAddress(f'b{number}', f'b{number}:7', zone, f'life-{number}', number)._replace(
         **changes
     )
 
 
-def beat(address: str, **changes: Any) -> RelayStatus:
-    """Return a relay's answer."""
+def relay_status(address: str, **changes: Any) -> RelayStatus:
+    """Return a relay's status."""
     fields: dict[str, Any] = {
         'sender': address,
         'direct': True,
@@ -44,7 +44,7 @@
 
 class Choice(testtools.TestCase):
     def names(self, boxes: list[BoxAddress]) -> list[str]:
-        """Return the relays among boxes."""
+        """Return the names of the relays among boxes."""
         return [item.name for item in choose_relays(boxes)]
 
     def test_relays_are_old_boxes_of_several_zones_that_do_not_schedule(self) -> None:
@@ -88,35 +88,34 @@
         self.assertEqual('b4:7', asked[0])
         self.assertEqual(2, len(asked))
         for address in asked:
-            self.choice.on_status(beat(address), 0.1)
+            self.choice.on_status(relay_status(address), 0.1)
         self.assertEqual('b4:7', self.choice.current_relay_address(0.2))
 
     def test_one_that_is_silent_is_given_up_for_another(self) -> None:
         first, second = self.choice.subscription_targets(0.0)
-        self.choice.on_status(beat(first), 0.1)
-        self.choice.on_status(beat(second), RELAY_TIMEOUT_S)
+        self.choice.on_status(relay_status(first), 0.1)
+        self.choice.on_status(relay_status(second), RELAY_TIMEOUT_S)
         self.assertEqual(second, self.choice.current_relay_address(0.2 + RELAY_TIMEOUT_S))
         self.assertEqual(3, len(self.choice.subscription_targets(0.2 + RELAY_TIMEOUT_S)))
 
     def test_a_relay_that_the_store_does_not_answer_is_not_heard(self) -> None:
         for contact in (StoreContact(MAX_CONTACT_AGE_S), StoreContact(0.1, failing_s=0.1)):
-            self.choice.on_status(beat('b4:7', contact=contact), 0.1)
+            self.choice.on_status(relay_status('b4:7', contact=contact), 0.1)
             self.assertIsNone(self.choice.current_relay_address(0.1))
 
     def test_one_that_leaves_or_hears_another_relay_is_not_heard(self) -> None:
         for changes in ({'leaving': True}, {'direct': False}):
-            self.choice.on_status(beat('b4:7', **changes), 0.1)
+            self.choice.on_status(relay_status('b4:7', **changes), 0.1)
             self.assertIsNone(self.choice.current_relay_address(0.1))
 
-    def test_an_outage_is_told_from_relays_that_are_silent(self) -> None:
+    def test_a_store_outage_is_distinguished_from_silent_relays(self) -> None:
         self.assertFalse(self.choice.store_fails_relays(0.1))
-        self.choice.on_status(beat('b4:7', contact=StoreContact(2.0, 1.0)), 0.1)
+        self.choice.on_status(relay_status('b4:7', contact=StoreContact(2.0, 1.0)), 0.1)
         self.assertTrue(self.choice.store_fails_relays(0.1))
         self.assertFalse(self.choice.store_fails_relays(0.1 + RELAY_TIMEOUT_S))
 
 
 def at(revision: int, era: int = 1) -> Position:
-    """Return a position."""
     return Position(era, revision)
 
 
--- a/packages/core/calicopath_core/fleet/tests/replicas_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/replicas_tests.py
@@ -1,4 +1,4 @@
-"""Test what a removal around a disruption of the store is worth."""
+"""Test how removals during and after a store outage are handled."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
         self.table.replace([ONE, TWO], 0.0)
 
     def usable(self) -> list[str]:
-        """Return the replicas that take new work."""
+        """Return the replicas that accept new work."""
         return sorted(item.id for item in self.table.usable('s'))
 
-    def test_a_removal_in_calm_is_taken_in_at_once(self) -> None:
+    def test_a_removal_without_an_outage_takes_effect_at_once(self) -> None:
         self.table.remove('i-1', 1.0)
         self.assertEqual(['i-2'], self.usable())
 
@@ -40,32 +40,32 @@
         self.assertEqual(['i-1'], self.table.expire(1.0 + RETURN_GRACE_S))
 
     def test_many_entries_are_one_change_for_those_who_listen(self) -> None:
-        told: list[int] = []
-        self.table.listeners.append(lambda: told.append(len(self.table.usable('s'))))
+        sizes: list[int] = []
+        self.table.listeners.append(lambda: sizes.append(len(self.table.usable('s'))))
         many = [ONE._replace(id=f'n-{number}') for number in range(100)]
         self.table.replace(many, 1.0)
-        self.assertEqual([100], told)
+        self.assertEqual([100], sizes)
         with self.table.batch():
             for item in many[:50]:
                 self.table.remove(item.id, 2.0)
-            self.assertEqual([100], told)
-        self.assertEqual([100, 50], told)
+            self.assertEqual([100], sizes)
+        self.assertEqual([100, 50], sizes)
         self.table.put(ONE)
-        self.assertEqual([100, 50, 51], told)
+        self.assertEqual([100, 50, 51], sizes)
 
-    def test_an_entry_that_comes_back_in_time_was_never_gone(self) -> None:
+    def test_an_entry_that_comes_back_in_time_is_never_removed(self) -> None:
         self.table.on_disrupted(1.0)
         self.table.replace([TWO], 2.0)
         self.table.put(ONE)
         self.table.expire(10.0)
         self.assertEqual(['i-1', 'i-2'], self.usable())
 
-    def test_doubt_ends(self) -> None:
+    def test_removals_some_time_after_an_outage_are_not_delayed(self) -> None:
         self.table.on_disrupted(1.0)
         self.table.remove('i-1', 1.0 + RETURN_GRACE_S)
         self.assertEqual(['i-2'], self.usable())
 
-    def test_one_that_said_it_leaves_is_believed_whatever_happens(self) -> None:
+    def test_the_removal_of_a_draining_replica_is_not_delayed(self) -> None:
         self.table.put(ONE._replace(draining=True))
         self.assertEqual(['i-2'], self.usable())
         self.table.on_disrupted(1.0)
@@ -76,18 +76,18 @@
 class Draining(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.heard: list[bool] = []
-        self.table = ReplicaTable(on_draining=lambda replica: self.heard.append(replica.draining))
+        self.reported: list[bool] = []
+        self.table = ReplicaTable(on_draining=lambda replica: self.reported.append(replica.draining))
         self.table.replace([ONE._replace(started_ms=5.0), TWO], 0.0)
         self.table.put(ONE._replace(started_ms=5.0, draining=True))
 
-    # A store that came back from a copy listed replicas as ready that had begun to drain.
+    # A store restored from a copy listed replicas as ready that had already begun to drain.
     def test_an_entry_that_says_ready_again_does_not_take_it_back(self) -> None:
         self.table.put(ONE._replace(started_ms=5.0))
         self.table.replace([ONE._replace(started_ms=5.0), TWO], 1.0)
         self.assertEqual(['i-2'], [item.id for item in self.table.usable('s')])
-        self.assertEqual([True, False, False], self.heard)
+        self.assertEqual([True, False, False], self.reported)
 
-    def test_a_later_life_is_called_again(self) -> None:
+    def test_a_later_incarnation_is_called_again(self) -> None:
         self.table.put(ONE._replace(started_ms=6.0))
         self.assertEqual({'i-1', 'i-2'}, {item.id for item in self.table.usable('s')})
--- a/packages/core/calicopath_core/fleet/tests/restored_feed_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/restored_feed_tests.py
@@ -1,4 +1,4 @@
-"""Test what a feed makes of answers from several eras of the store."""
+"""Test how a feed handles answers from several eras of the store."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 async def back_off(kind: RecordKind, failures: int) -> None:
-    """Wait as a box does before it asks a store again that fails it."""
+    """Wait as a box does after a failed store call."""
     await asyncio.sleep(PAUSE_S)
 
 
@@ -38,7 +38,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.store = mock.create_autospec(FleetStore, instance=True)
-        self.mode = mock.Mock(
+        self.policy = mock.Mock(
             may_read=lambda kind: True,
             uses_relay=lambda: False,
             watch_wait_s=lambda kind: 1.0,
@@ -52,11 +52,11 @@
             clock=LoopClock(),
             observer=mock.create_autospec(FeedObserver, instance=True),
             handler=self.handler,
-            policy=self.mode,
+            policy=self.policy,
         )
 
-    def follow(self, for_s: float) -> None:
-        """Have the feed follow its store for a while."""
+    def run_feed(self, for_s: float) -> None:
+        """Run the feed for some seconds."""
 
         async def scenario() -> None:
             task = asyncio.create_task(self.feed.run())
@@ -65,13 +65,13 @@
 
         self.run_virtual(scenario())
 
-    def listings(self, *found: Listing) -> None:
-        """Have the store answer lists so, the last one for ever."""
+    def set_listings(self, *found: Listing) -> None:
+        """Set the store's successive lists; the last one is repeated."""
         left = list(found)
         self.store.list.side_effect = lambda kind: left.pop(0) if len(left) > 1 else left[0]
 
-    def watches(self, answer: Callable[[int], Changes]) -> None:
-        """Have the store answer watches so, by the revision watched from, after a moment."""
+    def set_watches(self, answer: Callable[[int], Changes]) -> None:
+        """Have the store answer watches after a short delay, by the revision watched from."""
 
         async def watch(kind: RecordKind, revision: int, wait_s: float) -> Changes:
             await asyncio.sleep(0.01)
@@ -80,7 +80,7 @@
         self.store.watch.side_effect = watch
 
     def names(self) -> set[str]:
-        """Return the records that the feed holds."""
+        """Return the names of the records that the feed holds."""
         return set(self.feed.records)
 
     def test_a_list_of_a_later_era_is_taken_in_at_any_revision(self) -> None:
@@ -94,17 +94,17 @@
         self.assertEqual({TWO.id}, self.names())
 
     def test_a_watch_answered_in_a_later_era_has_everything_read_anew(self) -> None:
-        self.listings(listing(1, 50, ONE), listing(2, 60, TWO))
-        self.watches(lambda revision: Changes((), Position(2, 60)))
-        self.follow(1.0)
+        self.set_listings(listing(1, 50, ONE), listing(2, 60, TWO))
+        self.set_watches(lambda revision: Changes((), Position(2, 60)))
+        self.run_feed(1.0)
         self.assertEqual({TWO.id}, self.names())
         self.assertEqual(2, self.store.list.call_count)
 
     def test_a_watch_answered_in_an_earlier_era_is_a_failure_that_is_waited_out(self) -> None:
-        self.listings(listing(2, 40, ONE))
+        self.set_listings(listing(2, 40, ONE))
         gone = (Change(ONE.id, None),)
-        self.watches(lambda revision: Changes(gone, Position(1, 70)))
-        self.follow(4 * PAUSE_S)
+        self.set_watches(lambda revision: Changes(gone, Position(1, 70)))
+        self.run_feed(4 * PAUSE_S)
         self.assertEqual({ONE.id}, self.names())
         self.assertLess(self.store.watch.call_count, 6)
 
@@ -116,16 +116,16 @@
         self.assertEqual({TWO.id}, self.names())
 
     def test_history_that_is_lost_again_and_again_is_asked_for_with_pauses(self) -> None:
-        self.listings(listing(1, 50, ONE))
+        self.set_listings(listing(1, 50, ONE))
 
         def lost(revision: int) -> Changes:
             raise HistoryLost('servers')
 
-        self.watches(lost)
-        self.follow(10 * PAUSE_S)
+        self.set_watches(lost)
+        self.run_feed(10 * PAUSE_S)
         self.assertLess(self.store.list.call_count, 14)
 
 
 def listing(era: int, revision: int, *records: Record) -> Listing:
-    """Return a list at some position."""
+    """Return a list at a position."""
     return Listing({item.id: item for item in records}, Position(era, revision))  # type: ignore[union-attr]
--- a/packages/core/calicopath_core/fleet/tests/suspension_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/suspension_tests.py
@@ -1,4 +1,4 @@
-"""Test that time counts in which the machine was suspended."""
+"""Test that the clock includes the time in which the machine was suspended."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Suspension(VirtualCase):
-    def test_what_the_machine_stood_still_for_counts_at_once(self) -> None:
+    def test_suspended_time_counts_at_once(self) -> None:
         async def scenario() -> None:
             lead = [5.0]
             clock = SuspensionClock(lead_s=lambda: lead[0])
@@ -70,7 +70,7 @@
 
 
 def pong() -> Pong:
-    """Return a sign of life."""
+    """Return a heartbeat of the other box."""
     return Pong(
         box='other',
         address='other:7',
--- a/packages/core/calicopath_core/permits/__init__.py
+++ b/packages/core/calicopath_core/permits/__init__.py
@@ -1,1 +1,1 @@
-"""Keep the limits that replicas name for all boxes together, with permits of one box."""
+"""Enforce the rate limits that replicas advertise, with permits issued by one box for all boxes."""
--- a/packages/core/calicopath_core/permits/client.py
+++ b/packages/core/calicopath_core/permits/client.py
@@ -1,4 +1,4 @@
-"""Ask the box that lends permits, and hold those that it has lent."""
+"""Request permits from the issuing box, and hold those it granted."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
     from calicopath_core.permits.messages import PermitAnswer
 
 PERMIT_TTL_S = 1.0
-"""How long a permit may be used: a connection may have to be opened first."""
+"""How long a permit is valid: the call may have to open a connection first."""
 
 ANSWER_TIMEOUT_S = 0.2
-"""How much longer than it lets an ask wait the box that lends may take to answer."""
+"""How long the issuer may take to answer, beyond the time that the request may wait there."""
 
 MIN_UNAVAILABLE_S = 0.02
 MAX_UNAVAILABLE_S = 0.5
-"""How long a replica is not asked for again, while there are others, after an answer that there is
-no permit: until one is due, but a limit may end before that."""
+"""How long a replica is skipped, if there are others, after an answer without a permit. It is
+skipped until a permit is due, within these bounds, since the limit may end earlier."""
 
 
 class Permit(NamedTuple):
-    """Name the replica that may be called, or none; then one may be in `opens_in_s`."""
+    """Name the replica that may be called, '' for none; then one may come in `available_in_s`."""
 
     replica: str
     available_in_s: float = 0.0
 
 
 class PendingRequest(NamedTuple):
-    """Hold an ask that has no answer yet; `until` is when it is given up, in monotonic seconds."""
+    """Hold an unanswered request; `until` is when it times out, in monotonic seconds."""
 
     request: PermitRequest
     until: float
@@ -46,7 +46,7 @@
 
 
 class PermitClient:
-    """Hold this box's permits and asks; `holder` names the address of the box that lends."""
+    """Hold this box's permits and requests; `issuer_address` returns the issuer's address."""
 
     def __init__(
         self,
@@ -67,12 +67,12 @@
         self.unused = 0
 
     def add_permit(self, replica: str) -> None:
-        """Hold a permit for a replica."""
+        """Add a permit to call a replica."""
         until = self.clock.monotonic() + PERMIT_TTL_S
         self.granted.setdefault(replica, deque()).append(until)
 
     def use_permit(self, replica: str) -> bool:
-        """Use a permit for a replica up; tell whether there was one."""
+        """Use up a permit for a replica; return whether there was a valid one."""
         held = self.granted.get(replica, deque())
         now = self.clock.monotonic()
         while held and held[0] < now:
@@ -85,11 +85,11 @@
         return True
 
     def available_in_s(self, replica: str) -> float:
-        """Return when it makes sense to ask for a replica again, 0 for now."""
+        """Return the seconds until it is useful to request a permit for a replica again."""
         return max(0.0, self.unavailable_until.get(replica, 0.0) - self.clock.monotonic())
 
     async def request_permit(self, replicas: Iterable[Replica], *, wait_s: float, priority: int) -> Permit:
-        """Return a permit for one of some replicas, the best first, or when one may come."""
+        """Return a permit for one of some replicas, best first, or when one may be available."""
         names = tuple(item.id for item in replicas)
         request = PermitRequest(next(self.numbers), self.own_address, names, wait_s, priority)
         limit_s = wait_s + ANSWER_TIMEOUT_S
@@ -110,7 +110,7 @@
         return permit
 
     def on_answer(self, message: PermitAnswer) -> None:
-        """Take an answer in."""
+        """Handle the issuer's answer."""
         found = self.pending.get(message.number)
         if found is None or found.answer.done():
             return
@@ -119,7 +119,7 @@
         found.answer.set_result(Permit(message.replica, message.available_in_s))
 
     def on_issuer_changed(self) -> None:
-        """Ask the box that lends now for what the former one has not answered."""
+        """Send unanswered requests again to the new issuer."""
         now = self.clock.monotonic()
         for item in self.pending.values():
             if not item.answer.done():
@@ -130,17 +130,17 @@
                 self.send(self.issuer_address(), request)
 
     def on_limits_changed(self) -> None:
-        """Ask anew: what was answered went by other limits."""
+        """Allow new requests for all replicas: earlier refusals applied to other limits."""
         self.unavailable_until.clear()
 
     def refuse_pending(self) -> None:
-        """End the wait of every ask, since this box has to end."""
+        """Refuse all pending requests, since this box is stopping."""
         for item in self.pending.values():
             if not item.answer.done():
                 item.answer.set_result(Permit('', ANSWER_TIMEOUT_S))
 
     def expire(self) -> None:
-        """Forget what is over."""
+        """Remove expired permits, and refusals that no longer apply."""
         now = self.clock.monotonic()
         self.unavailable_until = {name: at for name, at in self.unavailable_until.items() if at > now}
         for name, held in list(self.granted.items()):
--- a/packages/core/calicopath_core/permits/holder.py
+++ b/packages/core/calicopath_core/permits/holder.py
@@ -1,7 +1,7 @@
-"""Lend permits to call replicas that name a limit: the box that schedules does, for all boxes.
+"""Issue permits for calls to replicas with a limit; the scheduler's box does so for all boxes.
 
-One box that lends keeps a limit exactly; shares of each box burst together, or lie unused where
-nothing is asked. Where two boxes take themselves for the one, each lends half for a while.
+A single issuer enforces a limit exactly. Fixed shares per box would burst together, or remain
+unused at boxes without requests. While two boxes both act as issuer, each issues half.
 """
 
 from __future__ import annotations
@@ -27,20 +27,20 @@
 
 CONTESTED_S = 4.0
 CONTESTED_SHARE = 0.5
-"""For how long a box that takes up lending lends a part only: another one may not know yet that it
-has been followed."""
+"""For how long a new issuer grants only this share of a limit: the previous issuer may not know yet
+that it was replaced."""
 
 MIN_SERVE_DELAY_S = 0.001
-"""How soon waiting asks are looked at again at the earliest: a rest of rounding is no time."""
+"""Minimum delay before waiting requests are served again, in case a delay rounds to zero."""
 
 MAX_WAITING = 2_000
-"""Asks that wait at once, 0.3 KB each; more are answered with none."""
+"""Maximum number of waiting requests, 0.3 KB each; further ones are refused."""
 
 
 class WaitingRequest(NamedTuple):
-    """Hold an ask that waits, until when in monotonic seconds; `serial` orders equals.
+    """Hold a waiting request, until when in monotonic seconds; `serial` orders equal priorities.
 
-    `names` are its replicas: of those that ask for the same only the first needs to be looked at.
+    Of the requests with the same `replica_ids` only the first needs to be checked.
     """
 
     priority: int
@@ -51,34 +51,34 @@
 
 
 class PermitObserver(ABC):
-    """Learn what becomes of permits."""
+    """Observe granted and refused permits."""
 
     @abstractmethod
     def on_permit(self, service: str, outcome: str) -> None:
-        """Note a permit that was `lent` or `refused`."""
+        """Record a permit; `outcome` is `lent` or `refused`."""
 
 
 class PermitIssuer(ABC):
-    """Say which replicas may be called now, and count the calls."""
+    """Decide which replicas may be called now, and count the calls."""
 
     @abstractmethod
     def rate_of(self, replica: Replica) -> float | None:
-        """Return the permits a second that this box may lend, nothing without a limit."""
+        """Return the permits per second that this box may grant, `None` without a limit."""
 
     @abstractmethod
     def available_in_s(self, replica: Replica) -> float:
-        """Return when a call to a replica may be permitted, 0 for now."""
+        """Return the seconds until a call to a replica may be permitted, 0 for now."""
 
     @abstractmethod
     def take(self, replica: Replica) -> bool:
-        """Count a call that is permitted; tell whether its replica is limited at all."""
+        """Count a permitted call; return whether its replica has a limit."""
 
     @abstractmethod
     def take_for_own_box(self, replica: Replica) -> None:
-        """Count a call that this box makes itself."""
+        """Count a permitted call of this box itself, and hold its permit."""
 
     def wait_s(self, replicas: Iterable[Replica], ahead: int) -> float:
-        """Return when a call may go to one of some replicas, behind so many others; 0 for now."""
+        """Return the seconds until a call may go to one of some replicas, after `ahead` others."""
         opens_s, total_per_s = math.inf, 0.0
         for item in replicas:
             per_s = self.rate_of(item)
@@ -95,23 +95,23 @@
     """Permit every call."""
 
     def rate_of(self, replica: Replica) -> float | None:
-        """Return nothing."""
+        """Return `None`, since no replica has a limit."""
         return None
 
     def available_in_s(self, replica: Replica) -> float:
-        """Return that a call may go now."""
+        """Return 0, since every call is permitted now."""
         return 0.0
 
     def take(self, replica: Replica) -> bool:
-        """Count nothing."""
+        """Return False without counting the call."""
         return False
 
     def take_for_own_box(self, replica: Replica) -> None:
-        """Count nothing."""
+        """Count nothing, since no permit is needed."""
 
 
 class LimitIssuer(PermitIssuer):
-    """Hold a bucket for each limited replica; `share` is the part of limits that this box lends.
+    """Hold a bucket per limited replica; `share` returns the part of limits that this box grants.
 
     `send` takes an address and a message.
     """
@@ -141,7 +141,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def on_activate(self) -> None:
-        """Begin to lend in place of another box: with empty buckets, and a part for a while."""
+        """Start issuing in place of another box, with empty buckets and at first a lower share."""
         now = self.clock.monotonic()
         self.uncontested_from = now + CONTESTED_S
         for name, bucket in list(self.buckets.items()):
@@ -153,12 +153,12 @@
                 bucket.empty(per_s, now)
 
     def on_step_down(self) -> None:
-        """Lend a part only to what was begun here; who waits asks the next box."""
+        """Drop waiting requests, which clients send to the next issuer, and reduce the share."""
         self.uncontested_from = self.clock.monotonic() + CONTESTED_S
         self.waiting.clear()
 
     def rate_of(self, replica: Replica) -> float | None:
-        """Return the permits a second that this box may lend, nothing without a limit."""
+        """Return the permits per second that this box may grant, `None` without a limit."""
         per_s = self.limits.rate_of(replica)
         if per_s is None:
             return None
@@ -174,7 +174,7 @@
         return found
 
     def available_in_s(self, replica: Replica) -> float:
-        """Return when a call to a replica may be permitted, 0 for now."""
+        """Return the seconds until a call to a replica may be permitted, 0 for now."""
         if not self.limits.by_replica:
             return 0.0
         per_s = self.rate_of(replica)
@@ -183,7 +183,7 @@
         return self.bucket_of(replica, per_s).available_in_s(self.clock.monotonic())
 
     def take(self, replica: Replica) -> bool:
-        """Count a call that is permitted; tell whether its replica is limited at all."""
+        """Count a permitted call; return whether its replica has a limit."""
         per_s = self.rate_of(replica)
         if per_s is None:
             return False
@@ -192,12 +192,12 @@
         return True
 
     def take_for_own_box(self, replica: Replica) -> None:
-        """Count a call that this box makes itself."""
+        """Count a permitted call of this box itself, and hold its permit."""
         if self.take(replica):
             self.own_client.add_permit(replica.id)
 
     def on_request(self, request: PermitRequest) -> None:
-        """Lend a permit, let the ask wait for one, or answer at once that there will be none."""
+        """Grant a permit, queue the request, or refuse it if no permit can come in time."""
         if self.grant(request):
             return
         now = self.clock.monotonic()
@@ -218,13 +218,13 @@
         self.schedule_serve()
 
     def callable_replicas(self, request: PermitRequest) -> list[Replica]:
-        """Return the replicas of an ask that may be called at all."""
+        """Return the replicas of a request that are known and not excluded."""
         table = self.replicas
         found = (table.replicas.get(name) for name in request.replicas)
         return [item for item in found if item is not None and table.exclusion_of(item) is None]
 
     def grant(self, request: PermitRequest) -> bool:
-        """Answer an ask with a permit if there is one now."""
+        """Answer a request with a permit if one is available now; return whether it was."""
         for replica in self.callable_replicas(request):
             if self.available_in_s(replica) <= 0:
                 self.take(replica)
@@ -233,38 +233,38 @@
         return False
 
     def refuse(self, request: PermitRequest, available_in_s: float) -> None:
-        """Answer that there is no permit in time, and when there may be one."""
+        """Answer that there is no permit in time, and in how many seconds one may be available."""
         service = next((item.service for item in self.callable_replicas(request)), '')
         self.observer.on_permit(service, 'refused')
         self.send(request.address, PermitAnswer(request.number, '', available_in_s))
 
     def serve(self) -> None:
-        """Give permits to the asks that wait, those first that go before others."""
+        """Grant permits to waiting requests, in order of priority, and refuse expired ones."""
         self.timer = None
         now = self.clock.monotonic()
-        left: list[WaitingRequest] = []
-        closed: set[frozenset[str]] = set()
+        still_waiting: list[WaitingRequest] = []
+        unavailable: set[frozenset[str]] = set()
         for item in self.waiting:
             if now >= item.until:
                 self.refuse(item.request, self.wait_s(self.callable_replicas(item.request), 0))
-            elif item.replica_ids in closed or not self.grant(item.request):
-                closed.add(item.replica_ids)
-                left.append(item)
-        self.waiting = left
+            elif item.replica_ids in unavailable or not self.grant(item.request):
+                unavailable.add(item.replica_ids)
+                still_waiting.append(item)
+        self.waiting = still_waiting
         self.schedule_serve()
 
     def schedule_serve(self) -> None:
-        """Look again when the first permit comes."""
+        """Schedule `serve` for when the next permit is due or a request expires."""
         if not self.waiting or self.timer is not None:
             return
-        firsts = {item.replica_ids: item.request for item in self.waiting}
-        waits = [self.wait_s(self.callable_replicas(ask), 0) for ask in firsts.values()]
-        ends = min(item.until for item in self.waiting) - self.clock.monotonic()
-        delay_s = max(MIN_SERVE_DELAY_S, min(*waits, ends))
+        first_requests = {item.replica_ids: item.request for item in self.waiting}
+        waits = [self.wait_s(self.callable_replicas(ask), 0) for ask in first_requests.values()]
+        next_expiry_s = min(item.until for item in self.waiting) - self.clock.monotonic()
+        delay_s = max(MIN_SERVE_DELAY_S, min(*waits, next_expiry_s))
         self.timer = asyncio.get_running_loop().call_later(delay_s, self.serve)
 
     def expire(self) -> None:
-        """Forget the buckets of replicas that are not limited any more."""
+        """Remove the buckets of replicas that no longer have a limit."""
         for name in list(self.buckets):
             replica = self.replicas.replicas.get(name)
             if replica is None or self.limits.limit_of(replica) is None:
--- a/packages/core/calicopath_core/permits/limits.py
+++ b/packages/core/calicopath_core/permits/limits.py
@@ -1,7 +1,7 @@
-"""Hold how many requests a second replicas take from all boxes together, by their answers.
+"""Hold the rate limits that replicas advertise in answers, for all boxes together.
 
-A limit is of one life of a replica. It holds until an answer names none; from then on calls come
-back gradually.
+A limit applies to one incarnation of a replica and holds until an answer advertises none. After
+that the rate of calls is increased gradually.
 """
 
 from __future__ import annotations
@@ -19,40 +19,43 @@
     from calicopath_core.fleet.replicas import Replica
 
 ENFORCEMENT_DELAY_S = 0.5
-"""How long after a box first hears of a limit calls go without a permit: what was placed before the
-box that places had heard is under way."""
+"""How long after a box learns of a limit calls still go without a permit: calls placed before the
+scheduler knew of the limit are already on their way."""
 
 REORDER_WINDOW_S = 0.3
-"""How long after a limit was named an answer without one ends nothing: answers overtake others."""
+"""How long after a limit was advertised an answer without one does not end it, since answers may be
+reordered."""
 
 TIE_WINDOW_S = 0.1
-"""Words heard by different boxes within this time may be told in either order: the end of a limit
-counts then. If it has not ended the next answer says so; nobody asks a replica that seems closed.
-"""
+"""Reports that different boxes heard within this time may arrive in either order, and an end of the
+limit takes precedence. If the limit has not ended, the next answer advertises it again, whereas
+nobody calls a replica that seems to accept nothing."""
 
 MIN_PER_S = 0.2
-"""The rate at which a replica is asked that names less, or 0: without calls nobody would hear that
-its limit has ended."""
+"""Minimum rate, also if a replica advertises less or 0: without calls nobody would learn that the
+limit has ended."""
 
 RAMP_UP_S = 3.0
 RAMP_UP_DOUBLING_S = 0.5
 MIN_RAMP_UP_PER_S = 1.0
-"""How calls come back once no limit is named: the rate is doubled so often, for so long."""
+"""How calls resume after a limit has ended: the rate starts at least at this minimum and doubles at
+this interval, for this time."""
 
 ENDED_RETENTION_S = 30.0
-"""How long the end of a limit is told to boxes that may have missed it."""
+"""How long the end of a limit is sent to boxes that may have missed it."""
 
 CONTROL_CALL_SHARE = 0.25
 MIN_CONTROL_CALLS_PER_S = 0.25
-"""The rate of calls without new work beside the limit, as a share of it: what stages' replicas are
-asked for their state, and told to give up."""
+"""The rate of control calls, as a share of the limit and in addition to it. Control calls carry no
+new work: they query the state of stage replicas and release results."""
 
 MAX_LIMITS = 20_000
-"""Limits kept, 0.5 KB each: more than there are replicas at the size to design for (12,000)."""
+"""Maximum number of limits, 0.5 KB each: more than the 12,000 replicas that the system is designed
+for."""
 
 
 class LimitState(NamedTuple):
-    """Say what was heard of one life of a replica: its limit, or that it named none any more."""
+    """Describe the limit of one incarnation of a replica, or that it no longer advertises one."""
 
     started_ms: float
     per_s: float
@@ -62,7 +65,8 @@
 class AdvertisedLimit:
     """Hold a replica's limit; times are monotonic seconds.
 
-    `since` is when this box first heard of it, `heard_at` when its word was heard by any box.
+    `since` is when this box first learned of it, `heard_at` when any box last heard its state from
+    the replica.
     """
 
     def __init__(self, *, state: LimitState, since: float, heard_at: float, source: str) -> None:
@@ -75,23 +79,23 @@
 
     @property
     def per_s(self) -> float:
-        """Return the requests a second that calls are held to while it is named."""
+        """Return the rate in requests per second while the limit is advertised."""
         return max(self.state.per_s, MIN_PER_S)
 
     def rate(self, now: float) -> float:
-        """Return the requests a second that calls are held to now."""
+        """Return the rate in requests per second that applies now."""
         if not self.state.ended:
             return self.per_s
         steps = (now - self.heard_at) / RAMP_UP_DOUBLING_S
         return float(max(self.per_s, MIN_RAMP_UP_PER_S) * 2.0**steps)
 
     def is_ramped_up(self, now: float) -> bool:
-        """Tell whether it has ended for so long that nothing is held back any more."""
+        """Tell whether the limit ended so long ago that calls are no longer held back."""
         return self.state.ended and now >= self.heard_at + RAMP_UP_S
 
 
 def supersedes(state: LimitState, heard_at: float, known: AdvertisedLimit) -> bool:
-    """Tell whether a word counts more than what is known of the same life."""
+    """Tell whether a report takes precedence over the known state of the same incarnation."""
     if state.ended:
         return heard_at > known.heard_at - TIE_WINDOW_S
     if known.state.ended:
@@ -100,9 +104,9 @@
 
 
 class AdvertisedLimits:
-    """Hold limits by replica; `on_changed` is told what other boxes should know.
+    """Hold limits by replica; `on_changed` is called for what other boxes should know.
 
-    Listeners learn that some limit is another one now, whoever has heard it.
+    `listeners` are called when a limit changes, whichever box heard it.
     """
 
     def __init__(
@@ -120,14 +124,14 @@
         self.cached_digest: str | None = None
 
     def limit_of(self, replica: Replica) -> AdvertisedLimit | None:
-        """Return the limit of a replica's life, also while calls come back after its end."""
+        """Return a replica's limit, also while the rate rises after its end, or `None`."""
         found = self.by_replica.get(replica.id)
         if found is None or replica.started_ms > found.state.started_ms:
             return None
         return None if found.is_ramped_up(self.clock.monotonic()) else found
 
     def rate_of(self, replica: Replica) -> float | None:
-        """Return the requests a second that a replica takes from all boxes, if it is limited."""
+        """Return the requests per second that all boxes may send, `None` without a limit."""
         found = self.limit_of(replica)
         return found.rate(self.clock.monotonic()) if found is not None else None
 
@@ -139,12 +143,12 @@
         return self.clock.monotonic() - found.since >= ENFORCEMENT_DELAY_S
 
     def on_notice(self, replica: Replica, notice: Notice) -> None:
-        """Take in what an answer names, or that it names nothing any more."""
+        """Apply the limit that an answer advertises, or the end of a limit."""
         now = self.clock.monotonic()
         known = self.limit_of(replica)
         if notice.limit_per_s is not None:
-            born = max(replica.started_ms, known.state.started_ms if known is not None else 0.0)
-            state = LimitState(born, notice.limit_per_s, ended=False)
+            started_ms = max(replica.started_ms, known.state.started_ms if known is not None else 0.0)
+            state = LimitState(started_ms, notice.limit_per_s, ended=False)
         elif known is None or not notice.executed or now - known.heard_at < REORDER_WINDOW_S:
             return
         else:
@@ -156,7 +160,7 @@
         self.on_changed(replica.id)
 
     def merge(self, replica: str, service: str, state: LimitState, age_s: float, source: str) -> bool:
-        """Take in what another box has heard; tell whether that is news."""
+        """Merge a report from another box; return whether it was new."""
         heard_at = self.clock.monotonic() - age_s
         known = self.by_replica.get(replica)
         if known is None and state.ended:
@@ -170,7 +174,7 @@
         return True
 
     def store(self, replica: str, service: str, state: LimitState, heard_at: float, source: str) -> None:
-        """Keep what was heard of a replica in place of what is known."""
+        """Replace the known state of a replica's limit, and notify listeners and the observer."""
         self.cached_digest = None
         now = self.clock.monotonic()
         known = self.by_replica.get(replica)
@@ -188,18 +192,18 @@
             self.observer.on_limit(replica, service, state.per_s, source)
 
     def on_sent(self, replica: Replica) -> None:
-        """Count a call to a replica that limits."""
+        """Count a call to a replica with a limit."""
         found = self.limit_of(replica)
         if found is not None:
             found.sent += 1
 
     def control_call_available_in_s(self, replica: Replica) -> float:
-        """Return when a call without new work may go to a replica, 0 for now."""
+        """Return the seconds until a control call may be sent to a replica, 0 for now."""
         found = self.limit_of(replica)
         return found.control_calls.available_in_s(self.clock.monotonic()) if found is not None else 0.0
 
     def take_control_call(self, replica: Replica) -> bool:
-        """Count a call without new work if it may go; tell whether it may."""
+        """Count a control call if one is allowed now; return whether it is."""
         found = self.limit_of(replica)
         if found is None:
             return True
@@ -210,7 +214,7 @@
         return True
 
     def expire(self, known: Container[str]) -> None:
-        """Forget the limits of replicas that are gone, and those that ended long ago."""
+        """Remove the limits of unknown replicas, and those that ended long ago."""
         oldest = self.clock.monotonic() - ENDED_RETENTION_S
         for name, item in list(self.by_replica.items()):
             if name not in known or (item.state.ended and item.heard_at < oldest):
@@ -218,7 +222,7 @@
                 self.cached_digest = None
 
     def digest(self) -> str:
-        """Return what is alike at boxes that know the same limits; empty for none."""
+        """Return a digest that is equal at boxes that know the same limits, '' for none."""
         if self.cached_digest is None:
             named = [f'{k}={v.state.per_s}' for k, v in self.by_replica.items() if not v.state.ended]
             self.cached_digest = digest_of(sorted(named))
--- a/packages/core/calicopath_core/permits/messages.py
+++ b/packages/core/calicopath_core/permits/messages.py
@@ -1,4 +1,4 @@
-"""Define what a box asks of the one that lends permits; times are spans in seconds."""
+"""Define the messages between boxes and the permit issuer; times are durations in seconds."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 
 class PermitRequest(msgspec.Struct, frozen=True, tag='pa'):
-    """Ask for a permit to call one of some replicas, the best first.
+    """Request a permit to call one of some replicas, best first.
 
-    `number` is the asking box's own; a permit is waited for up to `wait_s`, `priority` 0 first.
+    `number` identifies the request at its box. It may wait up to `wait_s` for a permit; `priority`
+    0 is served first.
     """
 
     number: int
@@ -19,7 +20,7 @@
 
 
 class PermitAnswer(msgspec.Struct, frozen=True, tag='pe'):
-    """Lend a permit for one replica, or none: then one may come in `opens_in_s`."""
+    """Grant a permit for one replica, '' for none; then one may come in `available_in_s`."""
 
     number: int
     replica: str
--- a/packages/core/calicopath_core/permits/sharing.py
+++ b/packages/core/calicopath_core/permits/sharing.py
@@ -1,4 +1,4 @@
-"""Have every box know which replicas have named limits, and which name none any more."""
+"""Share between boxes which replicas advertise limits, and which no longer do."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
     from calicopath_core.permits.limits import AdvertisedLimits
 
 MAX_REPORTS_PER_MESSAGE = 200
-"""Words told in one message, the latest ones: 8 KB."""
+"""Maximum number of reports in one message, the latest ones: 8 KB."""
 
 REPEAT_S = 0.3
-"""How long own words are repeated: many boxes hear the same in one moment, and digests heal what
+"""How long own reports are repeated: many boxes hear the same at one time, and digests repair what
 is lost."""
 
 
 class LimitReport(msgspec.Struct, frozen=True, array_like=True):
-    """Tell what one life of a replica has named, and how many seconds ago that was heard."""
+    """Report the limit of one incarnation of a replica, and how many seconds ago it was heard."""
 
     replica: str
     started_ms: float
@@ -35,13 +35,13 @@
 
 
 class LimitNews(News, frozen=True, tag='lm'):
-    """Tell a box of limits that replicas have named in answers."""
+    """Report limits that replicas advertised in answers."""
 
     reports: tuple[LimitReport, ...] = msgspec.field(name='words')
 
 
 class LimitSharing(NewsSharing[str, LimitNews]):
-    """Exchange which replicas limit what they take; `service_of` names a replica's service."""
+    """Exchange advertised limits with other boxes; `service_of` returns a replica's service."""
 
     def __init__(
         self,
@@ -60,23 +60,23 @@
         self.service_of = service_of
 
     def digest(self) -> str:
-        """Return what is alike at boxes that know the same limits."""
+        """Return a digest that is equal at boxes that know the same limits."""
         return self.limits.digest()
 
     def holds(self, key: str) -> bool:
-        """Tell whether a replica's word is kept."""
+        """Tell whether a replica's limit is held."""
         return key in self.limits.by_replica
 
     def news_of(self, keys: Iterable[str]) -> LimitNews:
-        """Return what is known of some replicas."""
+        """Return a message with the limits of some replicas."""
         return self.message(keys, whole=False)
 
     def everything(self, *, whole: bool) -> LimitNews:
-        """Return what is known of every replica."""
+        """Return a message with the limits of all replicas."""
         return self.message(self.limits.by_replica, whole=whole)
 
     def message(self, names: Iterable[str], *, whole: bool) -> LimitNews:
-        """Return the latest words of some replicas."""
+        """Return a message with the latest limits among some replicas."""
         now = self.clock.monotonic()
         items = [(name, self.limits.by_replica[name]) for name in names]
         reports = [LimitReport(name, *item.state, now - item.heard_at) for name, item in items]
@@ -84,20 +84,20 @@
         return LimitNews(sender=self.own_address, whole=whole, reports=tuple(reports[:MAX_REPORTS_PER_MESSAGE]))
 
     def merge(self, news: LimitNews) -> list[str]:
-        """Join another box's words; return which were news."""
+        """Merge another box's reports; return the replicas whose limits were new."""
         return [report.replica for report in news.reports if self.merge_report(report, news.sender)]
 
     def merge_report(self, report: LimitReport, sender: str) -> bool:
-        """Join one word; tell whether it was news."""
+        """Merge one report; return whether it was new."""
         state = LimitState(report.started_ms, report.per_s, report.ended)
         service = self.service_of(report.replica)
         return self.limits.merge(report.replica, service, state, report.age_s, sender)
 
     def lacks(self, news: LimitNews) -> bool:
-        """Tell whether this box knows of a limit that is not in another's news."""
-        told = {report.replica for report in news.reports}
+        """Tell whether this box knows of a limit that another box's message lacks."""
+        reported = {report.replica for report in news.reports}
         held = self.limits.by_replica
-        return any(not item.state.ended and name not in told for name, item in held.items())
+        return any(not item.state.ended and name not in reported for name, item in held.items())
 
 
 LIMIT_MESSAGES = (LimitNews,)
--- a/packages/core/calicopath_core/permits/tests/holder_tests.py
+++ b/packages/core/calicopath_core/permits/tests/holder_tests.py
@@ -1,4 +1,4 @@
-"""Test that permits of one box keep limits exactly, and that what they allow is used."""
+"""Test that a single permit issuer keeps limits exactly and uses them fully."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 SPAN_S = 4.0
 
 
-def desk(number: int) -> Replica:
-    """Return a replica."""
+def desk_replica(number: int) -> Replica:
+    """Return a replica of the service `desk`."""
     return Replica(f'i-{number}', 'desk', f'i-{number}:1', 'north', 6, False)
 
 
 class Fleet:
-    """Hold boxes that ask, two that may lend, and when calls were permitted."""
+    """Simulate boxes that request permits and two issuers, and record when calls were permitted."""
 
     def __init__(self, *, boxes: int, per_s: list[float], delay_s: float = 0.001) -> None:
         self.delay_s = delay_s
-        self.replicas = [desk(number) for number in range(len(per_s))]
-        self.target = 0
+        self.replicas = [desk_replica(number) for number in range(len(per_s))]
+        self.issuer = 0
         self.calls: list[tuple[float, str]] = []
-        self.lost: set[int] = set()
+        self.lost_issuers: set[int] = set()
         clock = VirtualClock()
         table = ReplicaTable()
         table.replace(self.replicas, 0.0)
@@ -51,8 +51,8 @@
             PermitClient(
                 clock=clock,
                 own_address=f'{number}',
-                issuer_address=lambda: str(self.target),
-                send=self.to_holder,
+                issuer_address=lambda: str(self.issuer),
+                send=self.to_issuer,
             )
             for number in range(boxes)
         ]
@@ -69,22 +69,22 @@
             for number in range(2)
         ]
 
-    def to_holder(self, address: str, message: msgspec.Struct) -> None:
-        """Bring an ask to a box that lends, unless that is lost."""
+    def to_issuer(self, address: str, message: msgspec.Struct) -> None:
+        """Deliver a request to an issuer, unless it is lost."""
         assert isinstance(message, PermitRequest)
         number = int(address)
-        if number not in self.lost:
+        if number not in self.lost_issuers:
             loop = asyncio.get_running_loop()
             loop.call_later(self.delay_s, self.holders[number].on_request, message)
 
     def to_client(self, address: str, message: msgspec.Struct) -> None:
-        """Bring an answer to a box."""
+        """Deliver an answer to a box."""
         assert isinstance(message, PermitAnswer)
         loop = asyncio.get_running_loop()
         loop.call_later(self.delay_s, self.clients[int(address)].on_answer, message)
 
     async def request(self, box: int, *, wait_s: float = 1.0, priority: int = 0) -> Permit:
-        """Ask for a permit and use it."""
+        """Request a permit and use it."""
         client = self.clients[box]
         permit = await client.request_permit(self.replicas, wait_s=wait_s, priority=priority)
         if permit.replica:
@@ -93,7 +93,7 @@
         return permit
 
     async def load(self, per_s: float, for_s: float, *, wait_s: float = 1.0) -> list[Permit]:
-        """Ask at all boxes in turn and return what came of it."""
+        """Send requests from all boxes in turn and return the resulting permits."""
         tasks = []
         for number in range(max(1, round(per_s * for_s))):
             box = number % len(self.clients)
@@ -101,17 +101,17 @@
             await asyncio.sleep(1 / per_s)
         return await asyncio.gather(*tasks)
 
-    def take_over(self) -> None:
-        """Have the other box lend from now on."""
-        self.lost.add(self.target)
-        self.target = 1 - self.target
-        self.lost.discard(self.target)
-        self.holders[self.target].on_activate()
+    def switch_issuer(self) -> None:
+        """Let the other issuer take over."""
+        self.lost_issuers.add(self.issuer)
+        self.issuer = 1 - self.issuer
+        self.lost_issuers.discard(self.issuer)
+        self.holders[self.issuer].on_activate()
         for client in self.clients:
             client.on_issuer_changed()
 
-    def most(self, replica: str, since: float = 0.0) -> int:
-        """Return the most calls to a replica in some 4 s."""
+    def max_calls(self, replica: str, since: float = 0.0) -> int:
+        """Return the largest number of calls to a replica within any 4 s."""
         times = [at for at, name in self.calls if name == replica and at >= since]
         ends = (bisect.bisect_left(times, at + SPAN_S) for at in times)
         return max((end - begin for begin, end in enumerate(ends)), default=0)
@@ -119,7 +119,7 @@
 
 class HolderCase(VirtualCase):
     def play(self, work: Callable[[], Coroutine[None, None, None]]) -> None:
-        """Do some work on virtual time."""
+        """Run a coroutine on virtual time."""
         self.run_virtual(work())
 
 
@@ -145,12 +145,12 @@
             fleet = Fleet(boxes=boxes, per_s=per_s, delay_s=delay_s)
             loop = asyncio.get_running_loop()
             for at in changes:
-                loop.call_later(at, fleet.take_over)
+                loop.call_later(at, fleet.switch_issuer)
             await fleet.load(overload * sum(per_s), 10.0)
             for limit, replica in zip(per_s, fleet.replicas, strict=True):
-                # Each box that lends has begun with an empty bucket, and may let a burst go.
+                # Each issuer starts with an empty bucket and may allow one burst.
                 bursts = (1 + len(changes)) * (1 + 0.1 * limit)
-                self.assertLessEqual(fleet.most(replica.id), SPAN_S * limit + bursts)
+                self.assertLessEqual(fleet.max_calls(replica.id), SPAN_S * limit + bursts)
 
         self.play(work)
 
@@ -159,38 +159,38 @@
             for limit in (0.5, 2.0, 20.0):
                 fleet = Fleet(boxes=8, per_s=[limit] * 4)
                 await asyncio.sleep(CONTESTED_S)
-                begun = asyncio.get_running_loop().time()
+                started_at = asyncio.get_running_loop().time()
                 await fleet.load(12 * limit, 40.0)
-                used = sum(at < begun + 40.0 for at, _ in fleet.calls)
+                used = sum(at < started_at + 40.0 for at, _ in fleet.calls)
                 self.assertGreaterEqual(used, 0.9 * 4 * limit * 40.0)
 
         self.play(work)
 
-    def test_one_that_takes_up_lends_half_at_first_and_begins_empty(self) -> None:
+    def test_a_new_issuer_grants_half_at_first_and_begins_empty(self) -> None:
         async def work() -> None:
             fleet = Fleet(boxes=8, per_s=[10.0])
             await asyncio.sleep(CONTESTED_S + 10.0)
-            fleet.take_over()
-            begun = asyncio.get_running_loop().time()
+            fleet.switch_issuer()
+            started_at = asyncio.get_running_loop().time()
             await fleet.load(40.0, CONTESTED_S)
-            early = [at for at, _ in fleet.calls if at < begun + CONTESTED_S]
-            self.assertGreaterEqual(min(early), begun + 0.1)
+            early = [at for at, _ in fleet.calls if at < started_at + CONTESTED_S]
+            self.assertGreaterEqual(min(early), started_at + 0.1)
             self.assertLessEqual(len(early), 0.5 * 10.0 * CONTESTED_S + 2)
             self.assertGreaterEqual(len(early), 0.4 * 10.0 * CONTESTED_S)
 
         self.play(work)
 
-    def test_one_that_takes_up_again_begins_empty_too(self) -> None:
+    def test_an_issuer_that_takes_over_again_begins_empty_too(self) -> None:
         async def work() -> None:
             fleet = Fleet(boxes=8, per_s=[2.0])
             await fleet.load(4.0, 4.0)
-            fleet.take_over()
+            fleet.switch_issuer()
             await asyncio.sleep(60.0)
-            fleet.take_over()
-            begun = asyncio.get_running_loop().time()
+            fleet.switch_issuer()
+            started_at = asyncio.get_running_loop().time()
             await fleet.load(40.0, 3.0)
-            late = [at for at, _ in fleet.calls if at >= begun]
-            self.assertGreaterEqual(min(late), begun + 0.8)
+            late = [at for at, _ in fleet.calls if at >= started_at]
+            self.assertGreaterEqual(min(late), started_at + 0.8)
 
         self.play(work)
 
@@ -199,9 +199,9 @@
             fleet = Fleet(boxes=8, per_s=[2.0])
             await fleet.load(4.0, 8.0)
             await asyncio.sleep(3600.0)
-            begun = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             await fleet.load(100.0, 4.0)
-            self.assertLessEqual(fleet.most('i-0', since=begun), 2.0 * SPAN_S + 2)
+            self.assertLessEqual(fleet.max_calls('i-0', since=started_at), 2.0 * SPAN_S + 2)
 
         self.play(work)
 
@@ -214,8 +214,8 @@
             asked_at = asyncio.get_running_loop().time()
             tasks = [asyncio.create_task(fleet.request(n % 4, wait_s=3.0)) for n in range(20)]
             await asyncio.sleep(0.1)
-            told = [task.result() for task in tasks if task.done()]
-            refused = [permit for permit in told if not permit.replica]
+            done = [task.result() for task in tasks if task.done()]
+            refused = [permit for permit in done if not permit.replica]
             self.assertGreaterEqual(len(refused), 15)
             self.assertTrue(all(permit.available_in_s > 2.0 for permit in refused))
             await asyncio.gather(*tasks)
@@ -247,16 +247,16 @@
             waiting = [asyncio.create_task(fleet.request(n, wait_s=3.0)) for n in range(2)]
             await asyncio.sleep(0.1)
             fleet.holders[0].waiting.clear()
-            fleet.take_over()
+            fleet.switch_issuer()
             permits = await asyncio.gather(*waiting)
             self.assertTrue(all(permit.replica for permit in permits))
 
         self.play(work)
 
-    def test_a_lender_that_does_not_answer_costs_a_moment(self) -> None:
+    def test_an_issuer_that_does_not_answer_causes_a_short_delay(self) -> None:
         async def work() -> None:
             fleet = Fleet(boxes=2, per_s=[5.0])
-            fleet.lost.add(0)
+            fleet.lost_issuers.add(0)
             asked_at = asyncio.get_running_loop().time()
             permit = await fleet.request(1, wait_s=0.0)
             self.assertEqual('', permit.replica)
@@ -276,5 +276,5 @@
 
 
 def new_client() -> PermitClient:
-    """Return a box that asks nobody."""
+    """Return a client whose requests are not delivered."""
     return PermitClient(clock=VirtualClock(), own_address='0', issuer_address=lambda: '0', send=mock.Mock())
--- a/packages/core/calicopath_core/permits/tests/limits_tests.py
+++ b/packages/core/calicopath_core/permits/tests/limits_tests.py
@@ -1,4 +1,4 @@
-"""Test what is kept of the limits that replicas name, and whose word counts."""
+"""Test which limits are held, and which of several reports takes precedence."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 class LimitsCase(VirtualCase):
     def play(self, work: Callable[[AdvertisedLimits], Coroutine[None, None, None]]) -> None:
-        """Do some work with limits on virtual time that does not begin at 0."""
+        """Run a coroutine with limits on virtual time that does not begin at 0."""
 
         async def scenario() -> None:
             await asyncio.sleep(100.0)
@@ -42,7 +42,7 @@
 
 
 def new_limits() -> AdvertisedLimits:
-    """Return limits of which nothing is known."""
+    """Return an empty set of limits."""
     observer = mock.Mock(spec=NoticeObserver)
     return AdvertisedLimits(clock=VirtualClock(), observer=observer, on_changed=mock.Mock())
 
@@ -84,7 +84,7 @@
 
         self.play(work)
 
-    def test_another_life_has_no_limit(self) -> None:
+    def test_another_incarnation_has_no_limit(self) -> None:
         async def work(limits: AdvertisedLimits) -> None:
             limits.on_notice(DESK, LIMIT)
             self.assertIsNone(limits.rate_of(DESK._replace(started_ms=6.0)))
@@ -130,10 +130,10 @@
 
 class OtherBoxes(LimitsCase):
     def merge(self, limits: AdvertisedLimits, heard: LimitState, age_s: float) -> bool:
-        """Take in another box's word."""
+        """Merge a report from another box."""
         return limits.merge('i', 'desk', heard, age_s, 'box-2')
 
-    def test_a_word_counts_once_and_an_older_one_not_at_all(self) -> None:
+    def test_a_report_counts_once_and_an_older_one_not_at_all(self) -> None:
         async def work(limits: AdvertisedLimits) -> None:
             self.assertFalse(self.merge(limits, ENDED, 0.0))
             self.assertTrue(self.merge(limits, NAMED, 1.0))
@@ -178,7 +178,7 @@
 
 
 def exchange(sender: AdvertisedLimits, receiver: AdvertisedLimits) -> None:
-    """Tell one box what another has heard."""
+    """Send one box's limits to another."""
     now = sender.clock.monotonic()
     for name, item in sender.by_replica.items():
         receiver.merge(name, 'desk', item.state, now - item.heard_at, 'box-2')
