--- a/bench/permits.py
+++ b/bench/permits.py
@@ -81,7 +81,9 @@
         for replica in replicas:
             limits.on_notice(replica, Notice(limit_per_s=per_s))
         self.clients = [
-            PermitClient(clock=clock, own_address=f'{n}', issuer_address=lambda: '0', send=self.send)
+            PermitClient(
+                clock=clock, own_address=f'{n}', issuer_address=lambda: '0', send=self.send
+            )
             for n in range(boxes)
         ]
         self.holder = LimitIssuer(
--- a/packages/core/calicopath_core/claims/forwarding.py
+++ b/packages/core/calicopath_core/claims/forwarding.py
@@ -1,4 +1,4 @@
-"""Send operations on claims to the boxes that batch them, over the peers' messages."""
+"""Forward operations on claims to the owners of their shards, by messages between boxes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from calicopath_core.claims.executors import ClaimPeers, GroupId, LocalExecutor
+from calicopath_core.claims.executors import GroupId, LocalExecutor, ShardOwners
 from calicopath_core.claims.operations import Op, OpResult, StoredClaim
 from calicopath_core.routing.selectors import rendezvous_weight
 from calicopath_core.store.base import StoreError, StoreUnavailable
@@ -21,7 +21,7 @@
 
 
 class OpRequest(msgspec.Struct, frozen=True, tag='o'):
-    """Ask the box that batches a shard to carry an operation out."""
+    """Ask the owner of a shard to execute an operation."""
 
     sender: str
     reply_to: str
@@ -32,7 +32,7 @@
 
 
 class OpReply(msgspec.Struct, frozen=True, tag='r'):
-    """Answer an operation; `error` is empty if it was carried out."""
+    """Return the result of an operation; `error` is empty if it was executed."""
 
     number: int
     granted: bool
@@ -40,33 +40,33 @@
     error: str
 
 
-class PeerClaims(ClaimPeers):
-    """Choose each shard's owner by rendezvous hashing over the live boxes."""
+class GossipShardOwners(ShardOwners):
+    """Choose the owner of each shard by rendezvous hashing over the live boxes."""
 
     def __init__(self, *, gossip: Gossip, local: LocalExecutor, clock: Clock) -> None:
         self.gossip = gossip
         self.local = local
         self.clock = clock
-        self.numbers = itertools.count(1)
+        self.request_numbers = itertools.count(1)
         self.pending: dict[int, asyncio.Future[OpResult]] = {}
-        self.serving: set[asyncio.Task[None]] = set()
+        self.serve_tasks: set[asyncio.Task[None]] = set()
         self.owners: dict[int, str | None] = {}
-        self.owners_at = -OWNER_REFRESH_S
-        gossip.handle(OpRequest, self.on_request)
-        gossip.handle(OpReply, self.on_reply)
+        self.owners_refreshed_at = -OWNER_REFRESH_S
+        gossip.register_handler(OpRequest, self.on_request)
+        gossip.register_handler(OpReply, self.on_reply)
 
-    def owner(self, shard: int) -> str | None:
-        """Return the address of a shard's owner, or nothing if this box is it."""
+    def owner_address(self, shard: int) -> str | None:
+        """Return the address of a shard's owner, or `None` if it is this box."""
         now = self.clock.monotonic()
-        if now - self.owners_at >= OWNER_REFRESH_S:
+        if now - self.owners_refreshed_at >= OWNER_REFRESH_S:
             self.owners.clear()
-            self.owners_at = now
+            self.owners_refreshed_at = now
         if shard not in self.owners:
             self.owners[shard] = self.choose_owner(shard, now)
         return self.owners[shard]
 
     def choose_owner(self, shard: int, now: float) -> str | None:
-        """Rank the live boxes for a shard."""
+        """Choose the live box with the highest rendezvous weight for a shard."""
         own = self.gossip.members.own
         boxes = [
             member.info
@@ -76,9 +76,9 @@
         best = max([own, *boxes], key=lambda info: rendezvous_weight(info.name, str(shard)))
         return None if best is own else best.address
 
-    async def ask(self, address: str, group: GroupId, op: Op) -> OpResult:
-        """Send an operation and wait for its reply."""
-        number = next(self.numbers)
+    async def forward(self, address: str, group: GroupId, op: Op) -> OpResult:
+        """Send an operation and wait for its result; raise `StoreUnavailable` on an error reply."""
+        number = next(self.request_numbers)
         future: asyncio.Future[OpResult] = asyncio.get_running_loop().create_future()
         self.pending[number] = future
         own = self.gossip.members.own
@@ -90,13 +90,13 @@
             del self.pending[number]
 
     def on_request(self, message: OpRequest) -> None:
-        """Carry out another box's operation."""
+        """Start a task that executes another box's operation."""
         task = asyncio.get_running_loop().create_task(self.serve(message))
-        self.serving.add(task)
-        task.add_done_callback(self.serving.discard)
+        self.serve_tasks.add(task)
+        task.add_done_callback(self.serve_tasks.discard)
 
     async def serve(self, message: OpRequest) -> None:
-        """Write the operation with whatever else waits, and reply."""
+        """Execute an operation in a batch with other waiting ones, and reply."""
         group = GroupId(message.shard, message.slot)
         try:
             result = await self.local.execute(group, message.op)
@@ -107,7 +107,7 @@
         self.gossip.send(message.reply_to, reply)
 
     def on_reply(self, message: OpReply) -> None:
-        """Hand a reply to whoever waits; a late one goes nowhere."""
+        """Pass a reply to the waiting caller; ignore a late one."""
         future = self.pending.get(message.number)
         if future is None or future.done():
             return
--- a/packages/core/calicopath_core/execution/run.py
+++ b/packages/core/calicopath_core/execution/run.py
@@ -5,7 +5,7 @@
 import hashlib
 from typing import TYPE_CHECKING
 
-from calicopath_core.crashes.suspects import content_name
+from calicopath_core.crashes.suspects import request_fingerprint
 from calicopath_core.exceptions import CalicopathError
 from calicopath_core.structure.calls import CallId, StageInput
 from calicopath_core.structure.stages import StageKind
@@ -71,7 +71,7 @@
         """Return what names what is asked: pipeline and workspace, then the body."""
         asked = f'{self.plan.workspace}/{self.plan.pipeline}'.encode()
         pipeline = hashlib.blake2b(asked, digest_size=NAME_BYTES).hexdigest()
-        return content_name(pipeline, self.request.body)
+        return request_fingerprint(pipeline, self.request.body)
 
     @property
     def repeatable(self) -> bool:
@@ -115,13 +115,13 @@
         """Count this request, by stage name, among those that will ask the pools for slots."""
         self.pending = pools
         for pool in pools.values():
-            pool.expect(self.request.priority)
+            pool.add_pending(self.request.priority)
 
     def got_slot(self, stage: StagePlan) -> None:
         """Count this request out of those that a stage's pool still expects."""
         pool = self.pending.pop(stage.name, None)
         if pool is not None:
-            pool.unexpect(self.request.priority)
+            pool.remove_pending(self.request.priority)
 
     def expect_no_more(self) -> None:
         """Count this request out of every pool that still expects it."""
--- a/packages/core/calicopath_core/fleet/deployment.py
+++ b/packages/core/calicopath_core/fleet/deployment.py
@@ -112,7 +112,7 @@
     idle_s: float
 
 
-class Tenant(NamedTuple):
+class Workspace(NamedTuple):
     """Describe a workspace; its priority, if set, takes precedence over a route's."""
 
     name: str
@@ -133,16 +133,18 @@
         version: int,
         routes: tuple[Route, ...],
         services: tuple[ServiceSpec, ...],
-        tenants: tuple[Tenant, ...],
+        workspaces: tuple[Workspace, ...],
         limits: ClientLimits = DEFAULT_LIMITS,
     ) -> None:
         self.version = version
         self.routes = routes
-        self.tenants = tenants
+        self.workspaces = workspaces
         self.services = {service.name: service for service in services}
         self.limits = limits
-        self.has_tenants = bool(tenants)
-        self.tenants_by_key = {key: tenant for tenant in tenants for key in tenant.keys}
+        self.has_workspaces = bool(workspaces)
+        self.workspaces_by_key = {
+            key: workspace for workspace in workspaces for key in workspace.keys
+        }
         self.routes_by_prefix = {(route.host, route.prefix): route for route in routes}
 
     def route_for(self, host: str, path: str) -> Route | None:
@@ -155,9 +157,9 @@
             end = path.rfind('/', 0, end)
         return None
 
-    def tenant_for(self, key: str) -> Tenant | None:
+    def workspace_for(self, key: str) -> Workspace | None:
         """Return the workspace that owns an API key, or `None`."""
-        return self.tenants_by_key.get(key)
+        return self.workspaces_by_key.get(key)
 
 
 class DeploymentView:
--- a/packages/core/calicopath_core/fleet/evacuations.py
+++ b/packages/core/calicopath_core/fleet/evacuations.py
@@ -15,7 +15,7 @@
 class Evacuation(NamedTuple):
     """Describe an evacuated failure domain; `revision` is the store's revision of the record."""
 
-    zone: str
+    failure_domain: str
     revision: int
 
 
@@ -50,16 +50,18 @@
 
     def replace_all(self, evacuations: Iterable[Evacuation]) -> None:
         """Replace all evacuations by a complete list."""
-        listed = {item.zone: item for item in evacuations}
-        changes = [(zone, None) for zone in self.active if zone not in listed]
+        listed = {item.failure_domain: item for item in evacuations}
+        changes = [
+            (failure_domain, None) for failure_domain in self.active if failure_domain not in listed
+        ]
         self.apply_changes([*changes, *listed.items()])
 
     def apply_changes(self, changes: Iterable[tuple[str, Evacuation | None]]) -> None:
         """Apply the newest state of some failure domains; `None` ends an evacuation."""
         before = frozenset(self.active)
-        for zone, evacuation in changes:
+        for failure_domain, evacuation in changes:
             if evacuation is None:
-                self.end_evacuation(zone)
+                self.end_evacuation(failure_domain)
             else:
                 self.start_evacuation(evacuation)
         after = frozenset(self.active)
@@ -68,15 +70,15 @@
 
     def start_evacuation(self, evacuation: Evacuation) -> None:
         """Start an evacuation; a rewritten record of an active one keeps its start time."""
-        known = self.active.get(evacuation.zone)
+        known = self.active.get(evacuation.failure_domain)
         if known is not None:
-            self.active[evacuation.zone] = known._replace(evacuation=evacuation)
+            self.active[evacuation.failure_domain] = known._replace(evacuation=evacuation)
             return
-        self.active[evacuation.zone] = ActiveEvacuation(evacuation, self.wall_clock())
+        self.active[evacuation.failure_domain] = ActiveEvacuation(evacuation, self.wall_clock())
         self.on_evacuation_started(evacuation)
 
-    def end_evacuation(self, zone: str) -> None:
+    def end_evacuation(self, failure_domain: str) -> None:
         """End an evacuation."""
-        known = self.active.pop(zone, None)
+        known = self.active.pop(failure_domain, None)
         if known is not None:
             self.on_evacuation_ended(known)
--- a/packages/core/calicopath_core/fleet/feed.py
+++ b/packages/core/calicopath_core/fleet/feed.py
@@ -174,7 +174,9 @@
             self.apply_listing(listing)
             return False
         since = self.position
-        wait_s = PROBE_WAIT_S if self.failing_since is not None else self.policy.watch_wait_s(self.kind)
+        wait_s = (
+            PROBE_WAIT_S if self.failing_since is not None else self.policy.watch_wait_s(self.kind)
+        )
         found = await self.store.watch(self.kind, since.revision, wait_s)
         self.on_contact()
         self.apply_watch_result(since, found)
--- a/packages/core/calicopath_core/fleet/leaving.py
+++ b/packages/core/calicopath_core/fleet/leaving.py
@@ -106,7 +106,11 @@
     def expire(self, known: Container[str]) -> None:
         """Remove old departures of replicas that are no longer known."""
         oldest = self.clock.monotonic() - RETENTION_S
-        old = [name for name, item in self.departures.items() if item.heard_at < oldest and name not in known]
+        old = [
+            name
+            for name, item in self.departures.items()
+            if item.heard_at < oldest and name not in known
+        ]
         for name in old:
             self.forget(name)
         self.cached_digest = None
@@ -128,7 +132,9 @@
     def digest(self) -> str:
         """Return a digest that is equal at boxes that share the same departures, '' for none."""
         if self.cached_digest is None:
-            self.cached_digest = digest_of(self.digest_entry(name) for name in self.shared_replicas())
+            self.cached_digest = digest_of(
+                self.digest_entry(name) for name in self.shared_replicas()
+            )
         return self.cached_digest
 
 
--- a/packages/core/calicopath_core/fleet/leaving_sharing.py
+++ b/packages/core/calicopath_core/fleet/leaving_sharing.py
@@ -61,11 +61,11 @@
         """Tell whether a replica's departure is held."""
         return key in self.leaving.departures
 
-    def news_of(self, keys: Iterable[str]) -> LeavingNews:
+    def news_for(self, keys: Iterable[str]) -> LeavingNews:
         """Return a message with the departures of some replicas."""
         return self.message(keys, whole=False)
 
-    def everything(self, *, whole: bool) -> LeavingNews:
+    def full_news(self, *, whole: bool) -> LeavingNews:
         """Return a message with all shared departures."""
         return self.message(self.leaving.shared_replicas(), whole=whole)
 
@@ -73,7 +73,9 @@
         """Return a message with the latest departures among some replicas."""
         now, held = self.clock.monotonic(), self.leaving.departures
         reports = [
-            LeavingReport(name, held[name].started_ms, now - held[name].heard_at, held[name].lost_address)
+            LeavingReport(
+                name, held[name].started_ms, now - held[name].heard_at, held[name].lost_address
+            )
             for name in names
         ]
         reports.sort(key=lambda report: report.age_s)
@@ -91,7 +93,7 @@
             )
         ]
 
-    def lacks(self, news: LeavingNews) -> bool:
+    def knows_more_than(self, news: LeavingNews) -> bool:
         """Tell whether this box shares a departure that another box's message lacks."""
         reported = {report.replica: report.lost_address for report in news.reports}
         held = self.leaving.departures
--- a/packages/core/calicopath_core/fleet/outages.py
+++ b/packages/core/calicopath_core/fleet/outages.py
@@ -93,7 +93,11 @@
 
     def is_probe_due(self, kind: RecordKind) -> bool:
         """Tell whether the next call of a kind is the probe, which should end soon."""
-        return kind is PROBE_KIND and self.outage_since is not None and not self.probe_answered(self.outage_since)
+        return (
+            kind is PROBE_KIND
+            and self.outage_since is not None
+            and not self.probe_answered(self.outage_since)
+        )
 
     def probe_answered(self, since: float) -> bool:
         """Tell whether the store has answered the probe since a given time."""
--- a/packages/core/calicopath_core/fleet/relay_messages.py
+++ b/packages/core/calicopath_core/fleet/relay_messages.py
@@ -13,7 +13,7 @@
 
 # msgspec evaluates these annotations at run time.
 from calicopath_core.fleet.contact import StoreContact
-from calicopath_core.fleet.deployment import ClientLimits, Deployment, Route, ServiceSpec, Tenant
+from calicopath_core.fleet.deployment import ClientLimits, Deployment, Route, ServiceSpec, Workspace
 from calicopath_core.fleet.evacuations import Evacuation
 from calicopath_core.fleet.positions import Position
 from calicopath_core.fleet.replicas import Replica
@@ -64,7 +64,7 @@
     version: int
     routes: tuple[Route, ...]
     services: tuple[ServiceSpec, ...]
-    tenants: tuple[Tenant, ...]
+    workspaces: tuple[Workspace, ...]
     limits: ClientLimits
 
 
@@ -86,7 +86,7 @@
     if isinstance(record, Deployment):
         services = tuple(record.services.values())
         return DeploymentFields(
-            record.version, record.routes, services, record.tenants, record.limits
+            record.version, record.routes, services, record.workspaces, record.limits
         )
     return record
 
--- a/packages/core/calicopath_core/fleet/relays.py
+++ b/packages/core/calicopath_core/fleet/relays.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from calicopath_core.fleet.contact import UNKNOWN
-from calicopath_core.scheduling.election import CANDIDATES
+from calicopath_core.scheduling.election import CANDIDATE_COUNT
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -115,7 +115,12 @@
         """Set which boxes are relays and keep the state of those already known."""
         self.relays = relays
         others = [box for box in self.relays if box.name != self.own.name]
-        others.sort(key=lambda box: (box.zone != self.own.zone, rendezvous_key(self.own.name, box.name)))
+        others.sort(
+            key=lambda box: (
+                box.failure_domain != self.own.failure_domain,
+                rendezvous_key(self.own.name, box.name),
+            )
+        )
         self.candidates = [box.address for box in others]
         self.relay_states = {
             address: self.relay_states.get(address) or RelayState() for address in self.candidates
@@ -159,7 +164,9 @@
         """Return the address of the relay in use, or `None`."""
         if self.is_relay:
             return None
-        usable = (address for address in self.candidates if self.relay_states[address].is_usable(now))
+        usable = (
+            address for address in self.candidates if self.relay_states[address].is_usable(now)
+        )
         return next(usable, None)
 
     def store_fails_relays(self, now: float) -> bool:
@@ -180,13 +187,13 @@
     answers 975 pings a second, a relay 325 subscriptions.
     """
     oldest = sorted(boxes, key=lambda box: (box.small, box.order, box.name))
-    ranked = oldest[CANDIDATES:] + oldest[:CANDIDATES]
+    ranked = oldest[CANDIDATE_COUNT:] + oldest[:CANDIDATE_COUNT]
     wanted = max(MIN_RELAYS, math.ceil(len(ranked) / MAX_BOXES_PER_RELAY))
-    zones: dict[str, int] = {}
+    failure_domains: dict[str, int] = {}
     places = []
     for box in ranked:
-        place = zones.get(box.zone, 0)
-        zones[box.zone] = place + 1
+        place = failure_domains.get(box.failure_domain, 0)
+        failure_domains[box.failure_domain] = place + 1
         places.append((box.small, place))
     order = sorted(range(len(ranked)), key=lambda number: (*places[number], number))
     return [ranked[number] for number in order[:wanted]]
--- a/packages/core/calicopath_core/fleet/replicas.py
+++ b/packages/core/calicopath_core/fleet/replicas.py
@@ -28,7 +28,7 @@
     id: str
     service: str
     address: str
-    zone: str
+    failure_domain: str
     slots: int
     draining: bool
     cold: bool = False
@@ -156,10 +156,10 @@
         for listener in self.listeners:
             listener()
 
-    def set_evacuated(self, zones: frozenset[str]) -> None:
+    def set_evacuated(self, failure_domains: frozenset[str]) -> None:
         """Set which failure domains are evacuated: no caller gives their replicas new work."""
-        if zones != self.evacuated:
-            self.evacuated = zones
+        if failure_domains != self.evacuated:
+            self.evacuated = failure_domains
             self.changed()
 
     def is_leaving(self, replica: Replica) -> bool:
@@ -181,7 +181,7 @@
             return Exclusion.GONE
         if found.draining:
             return Exclusion.DRAINING
-        if found.zone in self.evacuated:
+        if found.failure_domain in self.evacuated:
             return Exclusion.EVACUATED
         # A replica's own answers announce that it leaves up to 15 s before its entry does during a
         # store outage; an entry that says `ready` does not cancel that.
--- a/packages/core/calicopath_core/fleet/restoring.py
+++ b/packages/core/calicopath_core/fleet/restoring.py
@@ -177,7 +177,11 @@
             changes = [Change(name, held.unconfirmed[name].record) for name in due]
             if changes and held.position is not None:
                 self.on_changes(kind, held.position, changes)
-            for name in [name for name, item in held.tombstones.items() if item.gone_at < now - TOMBSTONE_RETENTION_S]:
+            for name in [
+                name
+                for name, item in held.tombstones.items()
+                if item.gone_at < now - TOMBSTONE_RETENTION_S
+            ]:
                 if name not in held.unconfirmed:
                     del held.tombstones[name]
 
@@ -187,6 +191,6 @@
     if isinstance(gone, Replica) and isinstance(listed, Replica):
         return listed.started_ms <= gone.started_ms
     if isinstance(gone, BoxAddress) and isinstance(listed, BoxAddress):
-        return listed.life == gone.life
+        return listed.incarnation == gone.incarnation
     # The revision distinguishes successive evacuations of the same failure domain.
     return isinstance(gone, Evacuation) and gone == listed
--- a/packages/core/calicopath_core/fleet/subscription.py
+++ b/packages/core/calicopath_core/fleet/subscription.py
@@ -202,7 +202,9 @@
     def announce(self) -> None:
         """Send this relay's status to the boxes that do not subscribe to it."""
         for box in self.boxes:
-            if box.name != self.own.name and not self.publisher.is_subscribed(box.address, ANNOUNCE_INTERVAL_S):
+            if box.name != self.own.name and not self.publisher.is_subscribed(
+                box.address, ANNOUNCE_INTERVAL_S
+            ):
                 self.send(box.address, self.status())
 
     async def record_relays(self) -> None:
--- a/packages/core/calicopath_core/fleet/tests/evacuations_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/evacuations_tests.py
@@ -17,12 +17,16 @@
         self.now = 100.0
         self.changes: list[str] = []
         self.table = ReplicaTable()
-        for zone in 'ab':
-            self.table.put(Replica(f'r-{zone}', 's', f'{zone}:1', zone, 1, False))
+        for failure_domain in 'ab':
+            self.table.put(
+                Replica(f'r-{failure_domain}', 's', f'{failure_domain}:1', failure_domain, 1, False)
+            )
         self.evacuations = Evacuations(
             wall_clock=lambda: self.now,
-            on_evacuation_started=lambda item: self.changes.append(f'out {item.zone}'),
-            on_evacuation_ended=lambda held: self.changes.append(f'back {held.evacuation.zone}'),
+            on_evacuation_started=lambda item: self.changes.append(f'out {item.failure_domain}'),
+            on_evacuation_ended=lambda held: self.changes.append(
+                f'back {held.evacuation.failure_domain}'
+            ),
             on_changed=self.table.set_evacuated,
         )
 
@@ -62,7 +66,9 @@
         self.assertEqual(['r-a', 'r-b'], sorted(self.usable()))
 
     def test_a_name_that_is_no_zone_stops_nothing(self) -> None:
-        self.evacuations.apply_changes([('nowhere', Evacuation('nowhere', 7)), ('', Evacuation('', 8))])
+        self.evacuations.apply_changes(
+            [('nowhere', Evacuation('nowhere', 7)), ('', Evacuation('', 8))]
+        )
         self.assertEqual(['r-a', 'r-b'], sorted(self.usable()))
 
     def test_relays_tell_both(self) -> None:
--- a/packages/core/calicopath_core/fleet/tests/gate_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/gate_tests.py
@@ -5,12 +5,17 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from calicopath_core.crashes.fate import ReplicaFate
-from calicopath_core.exchanges.messages import ReplicaReach
-from calicopath_core.fleet.backoffs import RETENTION_S, MAX_BACKOFF_S, MAX_JITTER_S, TRIAL_CALL_WAIT_S
-from calicopath_core.fleet.leaving import RETENTION_S as WORD_KEEP_S
+from calicopath_core.crashes.fate import ReplicaCrashProbe
+from calicopath_core.exchanges.messages import ReplicaProber
+from calicopath_core.fleet.backoffs import (
+    MAX_BACKOFF_S,
+    MAX_JITTER_S,
+    RETENTION_S,
+    TRIAL_CALL_WAIT_S,
+)
 from calicopath_core.fleet.leaving import MAX_DEPARTURES
-from calicopath_core.fleet.notices import EMPTY_NOTICE, Exclusion, ReplicaExcluded, Notice
+from calicopath_core.fleet.leaving import RETENTION_S as WORD_KEEP_S
+from calicopath_core.fleet.notices import EMPTY_NOTICE, Exclusion, Notice, ReplicaExcluded
 from calicopath_core.fleet.replicas import Replica, ReplicaTable
 from calicopath_core.permits.limits import ENFORCEMENT_DELAY_S
 from testkit.cases import VirtualCase
@@ -19,7 +24,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from calicopath_core.backends.base import Reach
+    from calicopath_core.backends.base import ProbeResult
     from calicopath_core.fleet.gate import CallGate
 
 FIRST = Replica('i', 'desk', 'a:1', 'north', 6, False, started_ms=100.0)
@@ -167,8 +172,8 @@
         self.play(work)
 
     def test_the_end_of_one_that_said_it_leaves_is_no_crash(self) -> None:
-        class Silent(ReplicaReach):
-            async def reach(self, replica: Replica, watch_s: float) -> Reach:
+        class Silent(ReplicaProber):
+            async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
                 raise AssertionError
 
         async def work(gate: CallGate) -> None:
@@ -176,8 +181,8 @@
                 gate.on_notice(FIRST, LEAVES)
                 if is_removed:
                     gate.replicas.remove('i', 0.0)
-                fate = ReplicaFate(reach=Silent(), replicas=gate.replicas, replica=FIRST)
-                self.assertFalse(await fate.lapses())
+                fate = ReplicaCrashProbe(reach=Silent(), replicas=gate.replicas, replica=FIRST)
+                self.assertFalse(await fate.entry_expires())
 
         self.play(work)
 
--- a/packages/core/calicopath_core/fleet/tests/lives_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/lives_tests.py
@@ -8,7 +8,7 @@
 
 from calicopath_core.exchanges.balancer import Balancer
 from calicopath_core.fleet.replicas import Replica, ReplicaTable
-from calicopath_core.scheduling.engines import EngineBoard
+from calicopath_core.scheduling.engines import EnginePool
 from calicopath_core.scheduling.messages import Prompt, PromptPart
 from calicopath_core.scheduling.stages import StageQueue
 from calicopath_core.scheduling.tests.work import SPEC, job
@@ -24,9 +24,12 @@
         super().setUp()
         self.table = ReplicaTable()
         self.balancer = Balancer(
-            replicas=self.table, gate=new_gate(self.table), zone='north', rng=random.Random(1)
+            replicas=self.table,
+            gate=new_gate(self.table),
+            failure_domain='north',
+            rng=random.Random(1),
         )
-        self.board = EngineBoard(slots=2, kv_tokens=10_000)
+        self.board = EnginePool(slots=2, kv_tokens=10_000)
         self.queue = StageQueue(service='engine', spec=SPEC)
         self.table.listeners.append(self.pass_on_replicas)
         self.table.put(FIRST)
@@ -40,17 +43,17 @@
     def record_state(self) -> None:
         """Record failures, a run and a booking for the replica."""
         for _ in range(5):
-            self.balancer.of(FIRST).on_failure(1.0)
+            self.balancer.stats_of(FIRST).on_failure(1.0)
         item = job('j', prompt=PROMPT)
         choice = self.board.choose(item, 1.0)
         assert choice is not None
-        self.board.begin(choice, item, 1.0)
-        self.board.ended('i', 'j', failed=True, now=1.0)
-        self.queue.book('i', 'handle', 1000, 1.0)
+        self.board.start_run(choice, item, 1.0)
+        self.board.on_run_ended('i', 'j', failed=True, now=1.0)
+        self.queue.book_result('i', 'handle', 1000, 1.0)
 
     def check_is_new(self, *, is_new: bool) -> None:
         """Check whether no state is held for the replica."""
-        self.assertEqual(is_new, self.balancer.of(FIRST).ejected_until == 0.0)
+        self.assertEqual(is_new, self.balancer.stats_of(FIRST).ejected_until == 0.0)
         self.assertEqual(is_new, self.board.engines['i'].failures == 0)
         self.assertEqual(is_new, not self.queue.replicas['i'].bookings)
 
--- a/packages/core/calicopath_core/fleet/tests/relays_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/relays_tests.py
@@ -12,9 +12,9 @@
 from calicopath_core.fleet.relay_messages import RelayStatus, decode_changes, encode_changes
 from calicopath_core.fleet.relays import (
     MAX_BOXES_PER_RELAY,
+    MAX_CONTACT_AGE_S,
     MIN_RELAYS,
     RELAY_TIMEOUT_S,
-    MAX_CONTACT_AGE_S,
     RelaySelection,
     choose_relays,
 )
@@ -23,11 +23,11 @@
 from testkit.gateway_world import deployment, replicas
 
 
-def box(number: int, zone: str = 'a', **changes: Any) -> BoxAddress:
+def box(number: int, failure_domain: str = 'a', **changes: Any) -> BoxAddress:
     """Return a box whose place in the order of registration is its number."""
-    return BoxAddress(f'b{number}', f'b{number}:7', zone, f'life-{number}', number)._replace(
-        **changes
-    )
+    return BoxAddress(
+        f'b{number}', f'b{number}:7', failure_domain, f'life-{number}', number
+    )._replace(**changes)
 
 
 def relay_status(address: str, **changes: Any) -> RelayStatus:
--- a/packages/core/calicopath_core/permits/client.py
+++ b/packages/core/calicopath_core/permits/client.py
@@ -88,13 +88,17 @@
         """Return the seconds until it is useful to request a permit for a replica again."""
         return max(0.0, self.unavailable_until.get(replica, 0.0) - self.clock.monotonic())
 
-    async def request_permit(self, replicas: Iterable[Replica], *, wait_s: float, priority: int) -> Permit:
+    async def request_permit(
+        self, replicas: Iterable[Replica], *, wait_s: float, priority: int
+    ) -> Permit:
         """Return a permit for one of some replicas, best first, or when one may be available."""
         names = tuple(item.id for item in replicas)
         request = PermitRequest(next(self.numbers), self.own_address, names, wait_s, priority)
         limit_s = wait_s + ANSWER_TIMEOUT_S
         answer: asyncio.Future[Permit] = asyncio.get_running_loop().create_future()
-        self.pending[request.number] = PendingRequest(request, self.clock.monotonic() + limit_s, answer)
+        self.pending[request.number] = PendingRequest(
+            request, self.clock.monotonic() + limit_s, answer
+        )
         self.send(self.issuer_address(), request)
         try:
             async with asyncio.timeout(limit_s):
@@ -125,7 +129,11 @@
             if not item.answer.done():
                 wait_s = max(0.0, item.until - ANSWER_TIMEOUT_S - now)
                 request = PermitRequest(
-                    item.request.number, self.own_address, item.request.replicas, wait_s, item.request.priority
+                    item.request.number,
+                    self.own_address,
+                    item.request.replicas,
+                    wait_s,
+                    item.request.priority,
                 )
                 self.send(self.issuer_address(), request)
 
@@ -142,7 +150,9 @@
     def expire(self) -> None:
         """Remove expired permits, and refusals that no longer apply."""
         now = self.clock.monotonic()
-        self.unavailable_until = {name: at for name, at in self.unavailable_until.items() if at > now}
+        self.unavailable_until = {
+            name: at for name, at in self.unavailable_until.items() if at > now
+        }
         for name, held in list(self.granted.items()):
             if held[-1] < now:
                 self.unused += len(held)
--- a/packages/core/calicopath_core/permits/holder.py
+++ b/packages/core/calicopath_core/permits/holder.py
@@ -213,7 +213,9 @@
             return
         self.last_serial += 1
         until = now + request.wait_s
-        self.waiting.append(WaitingRequest(request.priority, self.last_serial, request, until, names))
+        self.waiting.append(
+            WaitingRequest(request.priority, self.last_serial, request, until, names)
+        )
         self.waiting.sort(key=lambda item: (item.priority, item.serial))
         self.schedule_serve()
 
--- a/packages/core/calicopath_core/permits/sharing.py
+++ b/packages/core/calicopath_core/permits/sharing.py
@@ -67,11 +67,11 @@
         """Tell whether a replica's limit is held."""
         return key in self.limits.by_replica
 
-    def news_of(self, keys: Iterable[str]) -> LimitNews:
+    def news_for(self, keys: Iterable[str]) -> LimitNews:
         """Return a message with the limits of some replicas."""
         return self.message(keys, whole=False)
 
-    def everything(self, *, whole: bool) -> LimitNews:
+    def full_news(self, *, whole: bool) -> LimitNews:
         """Return a message with the limits of all replicas."""
         return self.message(self.limits.by_replica, whole=whole)
 
@@ -81,7 +81,9 @@
         items = [(name, self.limits.by_replica[name]) for name in names]
         reports = [LimitReport(name, *item.state, now - item.heard_at) for name, item in items]
         reports.sort(key=lambda report: report.age_s)
-        return LimitNews(sender=self.own_address, whole=whole, reports=tuple(reports[:MAX_REPORTS_PER_MESSAGE]))
+        return LimitNews(
+            sender=self.own_address, whole=whole, reports=tuple(reports[:MAX_REPORTS_PER_MESSAGE])
+        )
 
     def merge(self, news: LimitNews) -> list[str]:
         """Merge another box's reports; return the replicas whose limits were new."""
@@ -93,7 +95,7 @@
         service = self.service_of(report.replica)
         return self.limits.merge(report.replica, service, state, report.age_s, sender)
 
-    def lacks(self, news: LimitNews) -> bool:
+    def knows_more_than(self, news: LimitNews) -> bool:
         """Tell whether this box knows of a limit that another box's message lacks."""
         reported = {report.replica for report in news.reports}
         held = self.limits.by_replica
--- a/packages/core/calicopath_core/permits/tests/holder_tests.py
+++ b/packages/core/calicopath_core/permits/tests/holder_tests.py
@@ -277,4 +277,6 @@
 
 def new_client() -> PermitClient:
     """Return a client whose requests are not delivered."""
-    return PermitClient(clock=VirtualClock(), own_address='0', issuer_address=lambda: '0', send=mock.Mock())
+    return PermitClient(
+        clock=VirtualClock(), own_address='0', issuer_address=lambda: '0', send=mock.Mock()
+    )
--- a/packages/core/calicopath_core/permits/tests/limits_tests.py
+++ b/packages/core/calicopath_core/permits/tests/limits_tests.py
@@ -9,14 +9,14 @@
 from calicopath_core.fleet.notices import EMPTY_NOTICE, Notice, NoticeObserver
 from calicopath_core.fleet.replicas import Replica
 from calicopath_core.permits.limits import (
-    ENFORCEMENT_DELAY_S,
     ENDED_RETENTION_S,
+    ENFORCEMENT_DELAY_S,
     MIN_PER_S,
-    REORDER_WINDOW_S,
     RAMP_UP_S,
+    REORDER_WINDOW_S,
     TIE_WINDOW_S,
-    LimitState,
     AdvertisedLimits,
+    LimitState,
 )
 from testkit.cases import VirtualCase
 from testkit.virtual import VirtualClock
--- a/packages/daemon/calicopathd/gateway/following.py
+++ b/packages/daemon/calicopathd/gateway/following.py
@@ -52,8 +52,8 @@
     ) -> None:
         self.evacuations = Evacuations(
             wall_clock=clock.wall,
-            on_evacuation_started=observer.on_zone_taken_out,
-            on_evacuation_ended=observer.on_zone_given_back,
+            on_evacuation_started=observer.on_failure_domain_taken_out,
+            on_evacuation_ended=observer.on_failure_domain_given_back,
             on_changed=replicas.set_evacuated,
         )
         self.publisher = Publisher(own_address=own.address, clock=clock, send=send)
--- a/packages/daemon/calicopathd/gateway/notices.py
+++ b/packages/daemon/calicopathd/gateway/notices.py
@@ -49,7 +49,9 @@
     ) -> None:
         self.leaving = LeavingReplicas(clock=clock, observer=observer)
         self.replicas = ReplicaTable(leaving=self.leaving, on_draining=observer.on_draining)
-        self.permits = PermitClient(clock=clock, own_address=own_address, issuer_address=lender, send=send)
+        self.permits = PermitClient(
+            clock=clock, own_address=own_address, issuer_address=lender, send=send
+        )
         self.limits = AdvertisedLimits(clock=clock, observer=observer, on_changed=self.on_limit)
         self.limits.listeners.append(self.permits.on_limits_changed)
         self.gate = CallGate(
@@ -103,8 +105,8 @@
 
     def tell_hubs(self) -> None:
         """Tell the hubs what is new here."""
-        self.leaving_sharing.tell_hubs()
-        self.limit_sharing.tell_hubs()
+        self.leaving_sharing.notify_hubs()
+        self.limit_sharing.notify_hubs()
 
     def handle(self, message: msgspec.Struct) -> None:
         """Take in a message about replicas or permits."""
--- a/packages/daemon/calicopathd/gateway/run.py
+++ b/packages/daemon/calicopathd/gateway/run.py
@@ -123,7 +123,7 @@
         if settings is None:
             return
         self.box.settings = settings
-        self.box.executor.context.budgets.set_terms(settings.retry_budget)
+        self.box.executor.context.retry_budgets.set_terms(settings.retry_budget)
         state = self.settings_file.state
         events.emit(log, events.GATEWAY_RELOADED, box=settings.box, digest=state.digest)
 
@@ -154,7 +154,7 @@
         age_s = box.contact().age_s
         self.figures.set_state(
             ready=float(box.ready()),
-            scheduling=float(box.client.target == box.own.address),
+            scheduling=float(box.client.scheduler_address == box.own.address),
             config_version=box.config_version(),
             store_age_seconds=-1.0 if math.isinf(age_s) else age_s,
             replicas=len(box.replicas.replicas),
@@ -164,7 +164,7 @@
             permits_waiting=len(box.notices.holder.waiting),
             permits_unused=box.notices.permits.unused,
             requests_suspected=len(box.ledger.suspects),
-            boxes_listed=box.election.boxes_sharing(),
+            boxes_listed=box.election.box_count(),
             jobs=len(box.scheduler.jobs),
             groups=box.election.groups,
             loop_lag_seconds=box.group_rule.lag.value_s,
@@ -192,7 +192,7 @@
         left_s = grace_s - (self.box.clock.monotonic() - begun)
         if not await self.exchanges.wait_idle(max(0.0, left_s - REFUSE_MARGIN_S)):
             events.emit(log, events.GATEWAY_REFUSING, in_progress=self.exchanges.in_progress)
-            self.box.client.refuse_waiting()
+            self.box.client.reject_waiting()
             self.box.notices.permits.refuse_pending()
             await self.exchanges.wait_idle(REFUSE_MARGIN_S)
         await self.withdraw()
--- a/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from calicopath_core.fleet.notices import EMPTY_NOTICE, Exclusion, Notice
-from calicopath_core.scheduling.election import CANDIDATES
+from calicopath_core.scheduling.election import CANDIDATE_COUNT
 from testkit.cases import VirtualCase
 from testkit.notice_fleet import NoticeFleet
 
@@ -99,7 +99,7 @@
         async def work(fleet: NoticeFleet) -> None:
             self.hear(fleet, 'box-3', 'engine-4', LEAVES)
             await asyncio.sleep(0.3)
-            for number in range(CANDIDATES - 1):
+            for number in range(CANDIDATE_COUNT - 1):
                 fleet.kill(f'box-{number}')
             await asyncio.sleep(3.0)
             self.assertEqual(set(fleet.boxes), self.knowing(fleet, 'engine-4'))
@@ -136,7 +136,9 @@
             await fleet.settle()
             reached = [item.replica for item in fleet.notices.arrivals]
             self.assertEqual((200, [engines[0].id]), (sink.status, reached))
-            self.assertEqual(0, len(box.executor.context.budgets.of('engine').repeats))
+            self.assertEqual(
+                0, len(box.executor.context.retry_budgets.for_service('engine').retries)
+            )
 
         self.play(work)
 
@@ -206,7 +208,9 @@
             await asyncio.sleep(0.1)
             fleet.kill('box-0')
             await asyncio.sleep(2.0)
-            scheduler = self.box(fleet, self.box(fleet, 'box-3').client.target.split(':')[0])
+            scheduler = self.box(
+                fleet, self.box(fleet, 'box-3').client.scheduler_address.split(':')[0]
+            )
             now = scheduler.clock.monotonic()
             held = scheduler.scheduler.boards.backoffs.of_box('box-3:7', now)
             self.assertEqual({'engine-4', 'engine-5'}, set(held))
--- a/packages/daemon/calicopathd/gateway/tests/replaced_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/replaced_tests.py
@@ -43,7 +43,9 @@
             self.assertEqual([], [sink.reason for sink in sinks if sink.status != 200])
 
         fleet = self.play(work)
-        came = Counter(item.replica for item in fleet.notices.arrivals if item.notice.from_other_replica)
+        came = Counter(
+            item.replica for item in fleet.notices.arrivals if item.notice.from_other_replica
+        )
         self.assertTrue(came)
         self.assertLessEqual(max(came.values()), MOST_CALLS)
 
--- a/packages/daemon/calicopathd/gateway/tests/restored_store_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/restored_store_tests.py
@@ -67,7 +67,9 @@
             for version in range(10, 10 + others):
                 fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(version))
             await asyncio.sleep(DRAIN_S)
-            self.assertEqual({Exclusion.DRAINING}, bars(fleet, leaving), f'{count} boxes, {others} more')
+            self.assertEqual(
+                {Exclusion.DRAINING}, bars(fleet, leaving), f'{count} boxes, {others} more'
+            )
             fleet.stages.calls.clear()
             await fleet.load('draft', 0.2, for_s=4.0)
             called = {name for name, _ in fleet.stages.calls}
@@ -211,7 +213,7 @@
             await asyncio.sleep(5.0)
             self.assertIn('box-new', fleet.store.records[RecordKind.BOX])
             for box in fleet.boxes.values():
-                self.assertEqual(count + 1, box.box.election.boxes_sharing())
+                self.assertEqual(count + 1, box.box.election.box_count())
             self.assertEqual(1, len(fleet.schedulers()))
 
         for count in (FEW, MANY):
@@ -227,7 +229,7 @@
             await fleet.store.go_back(copy, AWAY_S)
             await asyncio.sleep(5.0)
             listed = fleet.store.records[RecordKind.BOX]['box-1']
-            self.assertEqual(again.box.life, getattr(listed, 'life', ''))
+            self.assertEqual(again.box.life, getattr(listed, 'incarnation', ''))
 
         for count in (FEW, MANY):
             self.play(count, work)
@@ -256,7 +258,7 @@
             await asyncio.sleep(APPLY_S)
             self.assertNotIn('box-2', fleet.store.records[RecordKind.BOX])
             for box in fleet.boxes.values():
-                self.assertEqual(len(fleet.boxes), box.box.election.boxes_sharing())
+                self.assertEqual(len(fleet.boxes), box.box.election.box_count())
 
         for count in (FEW, MANY):
             self.play(count, work)
--- a/testkit/gateway_world.py
+++ b/testkit/gateway_world.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from calicopath_core.exchanges.budget import BudgetTerms
+from calicopath_core.exchanges.budget import RetryBudgetTerms
 from calicopath_core.exchanges.messages import (
     Exchange,
 )
@@ -16,18 +16,23 @@
     RouteKind,
     ServiceSpec,
     StageSpec,
-    Tenant,
     WeightedService,
+    Workspace,
 )
 from calicopath_core.fleet.replicas import Replica
 from calicopath_core.scheduling.messages import Prompt, PromptPart
 
-ZONES = ('north', 'south')
+FAILURE_DOMAINS = ('north', 'south')
 HOST = 'example.test'
 KEY = 'key-1'
-TERMS = BudgetTerms(0.2, 50.0, 10.0)
+TERMS = RetryBudgetTerms(0.2, 50.0, 10.0)
 STAGE = StageSpec(
-    concurrency=1, batch=4, call_s=0.2, piece_s=0.04, result_capacity_bytes=9_000_000, result_ttl_s=4.0
+    concurrency=1,
+    batch=4,
+    call_s=0.2,
+    piece_s=0.04,
+    result_capacity_bytes=9_000_000,
+    result_ttl_s=4.0,
 )
 RESULT_BYTES = 1_000_000
 EVENTS = 6
@@ -74,17 +79,24 @@
             ServiceSpec('rank', '/healthz', 100, STAGE, None),
             ServiceSpec('desk', '/healthz', 100, None, None),
         ),
-        'tenants': (Tenant('hire', (KEY,), None),),
+        'workspaces': (Workspace('hire', (KEY,), None),),
     }
     return Deployment(**(fields | changes))
 
 
 def replicas() -> list[Replica]:
-    """Return the replicas of the test deployment: one of each service in each zone."""
+    """Return the replicas of the test deployment: one of each service in each failure domain."""
     return [
-        Replica(f'{service}-{zone}', service, f'{service}-{zone}:1', zone, 6, False)
+        Replica(
+            f'{service}-{failure_domain}',
+            service,
+            f'{service}-{failure_domain}:1',
+            failure_domain,
+            6,
+            False,
+        )
         for service in ('engine', 'look', 'rank', 'desk')
-        for zone in ZONES
+        for failure_domain in FAILURE_DOMAINS
     ]
 
 
--- a/tools/mutants/notices.py
+++ b/tools/mutants/notices.py
@@ -79,7 +79,7 @@
     Mutant(
         'runs come back gradually',
         f'{CORE}/scheduling/backoffs.py',
-        'return shun is not None and shun.trial_until > now',
+        'return avoidance is not None and avoidance.trial_until > now',
         'return False',
         PLACING,
     ),
@@ -93,7 +93,7 @@
     Mutant(
         'an engine that turns away draws nothing',
         f'{CORE}/scheduling/backoffs.py',
-        'return shun is not None and shun.until > now',
+        'return avoidance is not None and avoidance.until > now',
         'return False',
         PLACING,
     ),
@@ -115,7 +115,7 @@
     Mutant(
         'stages that want nothing',
         f'{CORE}/scheduling/stages.py',
-        'if self.back_s(item.replica) <= 0]',
+        'if self.backoff_left_s(item.replica) <= 0]',
         'if item]',
         f'{CORE}/scheduling/tests/stages_tests.py::Failing',
     ),
@@ -129,7 +129,7 @@
     Mutant(
         'every answer is read',
         'platform/calicopath_platform/replicas.py',
-        'self.listener.on_notice(replica, decode_notice(call.head))',
+        'self.interceptor.on_notice(replica, decode_notice(call.head))',
         'pass',
         f'{WIRE}::Answers',
     ),
