--- a/packages/core/calicopath_core/fleet/relays.py
+++ b/packages/core/calicopath_core/fleet/relays.py
@@ -141,19 +141,19 @@
         found: list[str] = []
         usable_count = 0
         for address in self.candidates:
-            source = self.relay_states[address]
+            state = self.relay_states[address]
             found.append(address)
-            usable_count += source.is_usable(now) or source.asked_at == -math.inf
-            source.asked_at = now
+            usable_count += state.is_usable(now) or state.asked_at == -math.inf
+            state.asked_at = now
             if usable_count >= RELAYS_PER_BOX:
                 break
         return found
 
     def on_status(self, status: RelayStatus, now: float) -> None:
         """Store a relay's status; statuses of boxes that are not candidates are ignored."""
-        source = self.relay_states.get(status.sender)
-        if source is not None:
-            source.update(status, now)
+        state = self.relay_states.get(status.sender)
+        if state is not None:
+            state.update(status, now)
 
     def current_relay(self, now: float) -> RelayState | None:
         """Return the relay through which this box receives the store's changes, or `None`."""
@@ -176,8 +176,8 @@
         """
         if self.is_relay:
             return False
-        alive = [source for source in self.relay_states.values() if source.is_alive(now)]
-        return bool(alive) and not any(source.has_store_contact(now) for source in alive)
+        alive = [state for state in self.relay_states.values() if state.is_alive(now)]
+        return bool(alive) and not any(state.has_store_contact(now) for state in alive)
 
 
 def choose_relays(boxes: Iterable[BoxAddress]) -> list[BoxAddress]:
--- a/packages/core/calicopath_core/fleet/restoring.py
+++ b/packages/core/calicopath_core/fleet/restoring.py
@@ -2,8 +2,7 @@
 
 A restored store has lost its last seconds. Its first list of a new era contains records that were
 removed since the copy was taken, and lacks records created since; operators and replicas write
-these again within seconds.
-Until then the records that this box knew of before stay in force:
+these again within seconds. Until then the records that this box knew of before stay in force:
 
 - A record known to be removed stays removed, unless it is written again or stays listed for longer
   than the entry of a stopped writer would.
@@ -144,7 +143,7 @@
     def hold_back_s(self, kind: RecordKind) -> float:
         """Return how long a removed record that is listed again is held back, in seconds."""
         if kind is RecordKind.BOX:
-            # A box has a new incarnation with each start, so the old one never returns.
+            # A box has a new incarnation with each start, so a removed one is never valid again.
             return math.inf
         return self.entry_ttl_s if kind is RecordKind.REPLICA else KEEP_MISSING_S
 
--- a/packages/core/calicopath_core/fleet/starting.py
+++ b/packages/core/calicopath_core/fleet/starting.py
@@ -90,12 +90,12 @@
     async def ask_relays(self) -> None:
         """Return once all records are known, or once the box should read them from the store."""
         await self.wait_until(lambda: self.registered, FIRST_CALL_WAIT_S)
-        noted = await self.recorded_relays()
-        if any(box.name == self.own.name for box in noted):
+        recorded = await self.recorded_relays()
+        if any(box.name == self.own.name for box in recorded):
             # This box was a relay before it restarted; after a crash of all boxes the others wait
             # for it.
             return
-        if noted and await self.subscribe_and_wait(noted):
+        if recorded and await self.subscribe_and_wait(recorded):
             return
         await self.wait_until(lambda: self.registered, REGISTRATION_WAIT_S)
         self.readable_kinds = frozenset({RecordKind.BOX})
--- a/packages/core/calicopath_core/fleet/subscription.py
+++ b/packages/core/calicopath_core/fleet/subscription.py
@@ -136,9 +136,9 @@
     def contact(self) -> StoreContact:
         """Return the store contact of the relay in use, or of this box itself."""
         now = self.clock.monotonic()
-        source = self.relay_selection.current_relay(now)
-        if source is not None:
-            return source.contact_now(now)
+        relay = self.relay_selection.current_relay(now)
+        if relay is not None:
+            return relay.contact_now(now)
         return self.feeds[RecordKind.REPLICA].contact()
 
     def on_listed(self, boxes: Iterable[BoxAddress]) -> None:
@@ -179,9 +179,9 @@
         self.relay_selection.on_status(status, now)
         if not all(feed.synced for feed in self.feeds.values()):
             self.subscribe(status.sender)
-        source = self.relay_selection.current_relay(now)
-        if source is not None and source.contact.steady_s < RETURN_GRACE_S:
-            self.on_disrupted(now - source.contact.steady_s)
+        relay = self.relay_selection.current_relay(now)
+        if relay is not None and relay.contact.steady_s < RETURN_GRACE_S:
+            self.on_disrupted(now - relay.contact.steady_s)
 
     def on_update(self, update: RelayUpdate) -> None:
         """Apply the records that a relay sent; report an update that cannot be decoded."""
@@ -213,8 +213,8 @@
         Writes once per change and era; a failed write is retried in the next round.
         """
         relays = tuple(self.relay_selection.relays)
-        is_noted = relays == self.recorded_relays and self.recorded_era >= self.era()
-        if not self.relay_selection.is_first_relay or self.leaving or is_noted:
+        is_recorded = relays == self.recorded_relays and self.recorded_era >= self.era()
+        if not self.relay_selection.is_first_relay or self.leaving or is_recorded:
             return
         try:
             self.recorded_era = await self.store.write_relays(relays)
@@ -266,7 +266,7 @@
 
     def report_relay_change(self, now: float) -> None:
         """Report when the box switches to another relay, or to none."""
-        source = self.relay_selection.current_relay_address(now)
-        if source != self.current_relay_address:
-            self.current_relay_address = source
-            self.on_relay_changed(source)
+        address = self.relay_selection.current_relay_address(now)
+        if address != self.current_relay_address:
+            self.current_relay_address = address
+            self.on_relay_changed(address)
--- a/packages/core/calicopath_core/fleet/tests/relays_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/relays_tests.py
@@ -84,10 +84,10 @@
     def test_the_relay_of_the_same_failure_domain_is_heard_first_and_another_beside_it(
         self,
     ) -> None:
-        asked = self.choice.subscription_targets(0.0)
-        self.assertEqual('b4:7', asked[0])
-        self.assertEqual(2, len(asked))
-        for address in asked:
+        targets = self.choice.subscription_targets(0.0)
+        self.assertEqual('b4:7', targets[0])
+        self.assertEqual(2, len(targets))
+        for address in targets:
             self.choice.on_status(relay_status(address), 0.1)
         self.assertEqual('b4:7', self.choice.current_relay_address(0.2))
 
--- a/packages/core/calicopath_core/fleet/tests/replicas_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/replicas_tests.py
@@ -77,7 +77,9 @@
     def setUp(self) -> None:
         super().setUp()
         self.reported: list[bool] = []
-        self.table = ReplicaTable(on_draining=lambda replica: self.reported.append(replica.draining))
+        self.table = ReplicaTable(
+            on_draining=lambda replica: self.reported.append(replica.draining)
+        )
         self.table.replace([ONE._replace(started_ms=5.0), TWO], 0.0)
         self.table.put(ONE._replace(started_ms=5.0, draining=True))
 
--- a/packages/core/calicopath_core/permits/client.py
+++ b/packages/core/calicopath_core/permits/client.py
@@ -94,22 +94,22 @@
         """Return a permit for one of some replicas, best first, or when one may be available."""
         names = tuple(item.id for item in replicas)
         request = PermitRequest(next(self.numbers), self.own_address, names, wait_s, priority)
-        limit_s = wait_s + ANSWER_TIMEOUT_S
+        timeout_s = wait_s + ANSWER_TIMEOUT_S
         answer: asyncio.Future[Permit] = asyncio.get_running_loop().create_future()
         self.pending[request.number] = PendingRequest(
-            request, self.clock.monotonic() + limit_s, answer
+            request, self.clock.monotonic() + timeout_s, answer
         )
         self.send(self.issuer_address(), request)
         try:
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 permit = await answer
         except TimeoutError:
             permit = Permit('', ANSWER_TIMEOUT_S)
         finally:
             del self.pending[request.number]
         if not permit.replica:
-            closed_s = min(MAX_UNAVAILABLE_S, max(MIN_UNAVAILABLE_S, permit.available_in_s))
-            until = self.clock.monotonic() + closed_s
+            unavailable_s = min(MAX_UNAVAILABLE_S, max(MIN_UNAVAILABLE_S, permit.available_in_s))
+            until = self.clock.monotonic() + unavailable_s
             self.unavailable_until.update(dict.fromkeys(names, until))
         return permit
 
--- a/packages/core/calicopath_core/permits/holder.py
+++ b/packages/core/calicopath_core/permits/holder.py
@@ -260,7 +260,9 @@
         if not self.waiting or self.timer is not None:
             return
         first_requests = {item.replica_ids: item.request for item in self.waiting}
-        waits = [self.wait_s(self.callable_replicas(ask), 0) for ask in first_requests.values()]
+        waits = [
+            self.wait_s(self.callable_replicas(request), 0) for request in first_requests.values()
+        ]
         next_expiry_s = min(item.until for item in self.waiting) - self.clock.monotonic()
         delay_s = max(MIN_SERVE_DELAY_S, min(*waits, next_expiry_s))
         self.timer = asyncio.get_running_loop().call_later(delay_s, self.serve)
--- a/packages/core/calicopath_core/permits/limits.py
+++ b/packages/core/calicopath_core/permits/limits.py
@@ -147,7 +147,9 @@
         now = self.clock.monotonic()
         known = self.limit_of(replica)
         if notice.limit_per_s is not None:
-            started_ms = max(replica.started_ms, known.state.started_ms if known is not None else 0.0)
+            started_ms = max(
+                replica.started_ms, known.state.started_ms if known is not None else 0.0
+            )
             state = LimitState(started_ms, notice.limit_per_s, ended=False)
         elif known is None or not notice.executed or now - known.heard_at < REORDER_WINDOW_S:
             return
