--- a/packages/core/calicopath_core/__init__.py
+++ b/packages/core/calicopath_core/__init__.py
@@ -1,5 +1,5 @@
-"""Decide how requests run, without any I/O of its own.
+"""Decide how requests run, without performing I/O.
 
-Time, randomness, stores and endpoints come in as arguments, so that the same code serves
-the daemon, the tests on a fake clock and the bench.
+Clocks, random generators, stores and endpoints are passed as arguments, so that the daemon, the
+tests on a fake clock and the benchmarks run the same code.
 """
--- a/packages/core/calicopath_core/backends/__init__.py
+++ b/packages/core/calicopath_core/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Define what calicopath needs of engines, stage pools and plain services."""
+"""Define the interfaces to engines, stage pools and plain services."""
--- a/packages/core/calicopath_core/backends/base.py
+++ b/packages/core/calicopath_core/backends/base.py
@@ -1,4 +1,4 @@
-"""Define the interfaces to endpoints and the errors of a call."""
+"""Define the interfaces to endpoints and the errors of calls."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ProbeResult(enum.Enum):
-    """Say what an attempt to connect has shown."""
+    """Name the result of a connection attempt: refused, opened, or no reply."""
 
     REFUSED = 'refused'
     OPEN = 'open'
@@ -30,13 +30,13 @@
 
 
 class BackendError(CalicopathError):
-    """Report that a call gave no answer that may be used."""
+    """Report that a call gave no usable answer."""
 
 
 class NotStarted(BackendError):
-    """Report that a call provably did not run: it never reached the endpoint, or was declined.
+    """Report that a call provably did not run: it did not reach the endpoint, or was declined.
 
-    `retry_after_s` is what the endpoint asked for, if it did.
+    `retry_after_s` is the endpoint's `Retry-After`, `None` if it sent none.
     """
 
     def __init__(self, message: str, *, retry_after_s: float | None = None) -> None:
@@ -45,9 +45,9 @@
 
 
 class Declined(NotStarted):
-    """Report that an endpoint answered that it did not run a call: it works, and is reached.
+    """Report that a reachable endpoint answered that it did not run a call.
 
-    `turned_away` says that it had too much to do, not that something is wrong with the call.
+    `turned_away` is true if it was overloaded, false if it declined for another reason.
     """
 
     def __init__(
@@ -58,15 +58,15 @@
 
 
 class MayHaveRun(BackendError):
-    """Report that a call may have run, in whole or in part."""
+    """Report that a call may have run, completely or in part."""
 
 
 class ConnectionBroken(MayHaveRun):
-    """Report that a call's connection broke while it was at work: the endpoint may have ended."""
+    """Report that the connection broke during a call: the endpoint may have crashed."""
 
 
 class WrongAnswer(MayHaveRun):
-    """Report an answer that does not belong to the call, or is not a valid answer at all."""
+    """Report an answer that is invalid or belongs to another call."""
 
 
 class StagePool(ABC):
@@ -78,7 +78,7 @@
 
 
 class PlainService(ABC):
-    """Call the services beside the model engines."""
+    """Call plain services, which run no model."""
 
     @abstractmethod
     async def call(self, endpoint: Endpoint, call: StageCall) -> StageOutput:
@@ -86,29 +86,35 @@
 
 
 class Engine(ABC):
-    """Generate tokens."""
+    """Generate tokens on a model engine."""
 
     @abstractmethod
     def generate(
         self, endpoint: Endpoint, call: GenerationCall
     ) -> AsyncIterator[Token | GenerationEnd]:
-        """Yield tokens from `call.offset` on and then the end; raise as a stage call does."""
+        """Yield the tokens from `call.offset` on, then the end.
+
+        Raise `NotStarted`, `MayHaveRun` or `WrongAnswer`.
+        """
 
     @abstractmethod
     async def cancel(self, endpoint: Endpoint, call: GenerationCall) -> None:
-        """Ask an engine to stop a generation; a failure to do so is not reported."""
+        """Ask an engine to stop a generation; errors are not reported."""
 
 
 class EndpointProber(ABC):
-    """Look whether endpoints can be reached."""
+    """Probe whether endpoints accept connections."""
 
     @abstractmethod
     async def probe(self, endpoint: Endpoint, watch_s: float) -> ProbeResult:
-        """Return what an attempt to connect shows; one that opens is watched for a while."""
+        """Return the result of a connection attempt.
+
+        A connection that opens is observed for `watch_s` seconds.
+        """
 
 
 class Backends:
-    """Hold one adapter for each kind of endpoint, and how to look whether any is there."""
+    """Hold one adapter for each kind of endpoint, and the prober for all of them."""
 
     def __init__(
         self, *, engine: Engine, pool: StagePool, service: PlainService, prober: EndpointProber
--- a/packages/core/calicopath_core/exceptions.py
+++ b/packages/core/calicopath_core/exceptions.py
@@ -1,7 +1,7 @@
-"""Define the base of the errors that a user may see."""
+"""Define the base class of errors that are shown to users."""
 
 from __future__ import annotations
 
 
 class CalicopathError(Exception):
-    """Report a problem to a user in one line, without a traceback."""
+    """Report a problem that is shown to the user in one line, without a traceback."""
--- a/packages/core/calicopath_core/exchanges/__init__.py
+++ b/packages/core/calicopath_core/exchanges/__init__.py
@@ -1,1 +1,1 @@
-"""Pass callers' HTTP exchanges through to replicas, byte for byte."""
+"""Forward callers' HTTP exchanges to replicas, byte for byte."""
--- a/packages/core/calicopath_core/exchanges/balancer.py
+++ b/packages/core/calicopath_core/exchanges/balancer.py
@@ -1,4 +1,4 @@
-"""Choose a replica of a plain service, by this box's own calls and what answers tell."""
+"""Choose a replica of a plain service from this box's own calls and reported load."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 
 INITIAL_LATENCY_S = 0.05
 SMOOTHING_WEIGHT = 0.2
-"""The weight of the newest call in averages of time and failures."""
+"""Weight of the newest call in the moving averages of latency and failure rate."""
 
 REMOTE_PENALTY_S = 0.002
-"""What a replica in another failure domain counts as, beside its time: two crossings of 0.5 ms
-and the bytes that they carry."""
+"""Cost added for a replica in another failure domain: two crossings of 0.5 ms each, and the
+transfer of the bytes."""
 
 FAILURE_COST_FACTOR = 20.0
-"""How many times its usual time a call to a replica counts as that fails every call."""
+"""Factor by which a failure rate of 1 raises the cost of a call."""
 
 FAILURES_TO_EJECT = 3
 MIN_EJECTION_S = 1.0
 MAX_EJECTION_S = 8.0
 REPORT_TTL_S = 0.5
-"""How long a reported load is believed."""
+"""How long a reported load is used."""
 
 
 class LoadReport(NamedTuple):
-    """Hold what a replica tells of its load."""
+    """Hold the load that a replica reports: its running and waiting calls and its slots."""
 
     running: int
     waiting: int
@@ -40,7 +40,7 @@
 
 
 class ReplicaStats:
-    """Hold what this box knows of one replica; times are monotonic seconds."""
+    """Track one replica's calls, latency and failures; times are in monotonic seconds."""
 
     def __init__(self) -> None:
         self.in_flight = 0
@@ -52,19 +52,19 @@
         self.reported_at = 0.0
 
     def estimated_calls(self, now: float) -> float:
-        """Return how many calls are believed to be there, those of others included."""
+        """Return the estimated number of calls at the replica, including those of other boxes."""
         if self.report is None or now - self.reported_at > REPORT_TTL_S:
             return float(self.in_flight)
         return max(float(self.in_flight), float(self.report.running + self.report.waiting))
 
     def on_success(self, took_s: float) -> None:
-        """Note an answer in time."""
+        """Record an answer that came in time."""
         self.latency_s += SMOOTHING_WEIGHT * (took_s - self.latency_s)
         self.failure_rate *= 1 - SMOOTHING_WEIGHT
         self.consecutive_failures = 0
 
     def on_failure(self, now: float) -> None:
-        """Note a failed call; several in a row leave the replica alone for a while."""
+        """Record a failed call; several in a row eject the replica for a while."""
         self.failure_rate += SMOOTHING_WEIGHT * (1 - self.failure_rate)
         self.consecutive_failures += 1
         if self.consecutive_failures >= FAILURES_TO_EJECT:
@@ -72,13 +72,17 @@
             self.ejected_until = now + ejection_s
 
     def on_report(self, report: LoadReport, now: float) -> None:
-        """Note a reported load."""
+        """Record a reported load."""
         self.report = report
         self.reported_at = now
 
 
 class Balancer:
-    """Hold what is known of the replicas of plain services."""
+    """Choose among the replicas of plain services by expected cost.
+
+    `cold_rate_of` returns the requests per second that this box may send to one cold replica of a
+    service, or `None` if they are not limited.
+    """
 
     def __init__(
         self,
@@ -98,21 +102,24 @@
         replicas.listeners.append(self.drop_removed)
 
     def drop_removed(self) -> None:
-        """Drop what is known of replicas that are gone."""
+        """Drop the statistics of replicas that have been removed."""
         for name in list(self.stats):
             if name not in self.replicas.replicas:
                 del self.stats[name]
         self.cold_limiter.drop_removed(self.replicas.replicas)
 
     def stats_of(self, replica: Replica) -> ReplicaStats:
-        """Return what is known of a replica."""
+        """Return a replica's statistics, created on first use."""
         found = self.stats.get(replica.id)
         if found is None:
             found = self.stats[replica.id] = ReplicaStats()
         return found
 
     def choose(self, service: str, excluded: set[str], now: float) -> Replica | None:
-        """Return the better of two replicas drawn, or of all if there are few."""
+        """Return the replica with the lowest expected cost, or `None` if none may be called.
+
+        Ejected replicas are used only when all usable ones are ejected. Ties are broken at random.
+        """
         usable = [item for item in self.gate.usable(service) if item.id not in excluded]
         usable = self.cold_limiter.allowed(usable, now)
         if not usable:
@@ -125,16 +132,16 @@
         return found
 
     def permit_candidates(self, service: str, excluded: set[str], now: float) -> list[Replica]:
-        """Return the replicas that may be called with a permit, the quickest first."""
+        """Return the replicas that may be called with a permit, lowest expected cost first."""
         found = [item for item in self.gate.limited(service) if item.id not in excluded]
         return sorted(self.cold_limiter.allowed(found, now), key=lambda item: self.cost_s(item, now))
 
     def min_latency_s(self, replicas: Iterable[Replica]) -> float:
-        """Return what the quickest of some replicas usually takes."""
+        """Return the lowest average latency among some replicas, in seconds."""
         return min((self.stats_of(item).latency_s for item in replicas), default=0.0)
 
     def cost_s(self, replica: Replica, now: float) -> float:
-        """Return what a call is expected to take, failures and distance counted."""
+        """Return the expected seconds for a call, weighted for failures and distance."""
         stats = self.stats_of(replica)
         slots = max(1, replica.slots)
         queueing = max(0.0, stats.estimated_calls(now) + 1 - slots) / slots
--- a/packages/core/calicopath_core/exchanges/budget.py
+++ b/packages/core/calicopath_core/exchanges/budget.py
@@ -1,4 +1,4 @@
-"""Bound repeated sends by what all boxes together may repeat."""
+"""Limit retries to this box's share of the fleet's retry budget."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from typing import NamedTuple
 
 USABLE_BUDGET_RATIO = 0.5
-"""The part of the fleet's budget that is used: a restarted box forgets what it has repeated."""
+"""Part of the fleet's budget that is used; a restarted box loses its count of retries."""
 
 
 class RetryBudgetTerms(NamedTuple):
-    """Hold the fleet's budget: repeats in `window_s` <= `ratio` x requests + `slack`."""
+    """Define the fleet's budget: retries in `window_s` <= `ratio` x requests + `slack`."""
 
     ratio: float
     slack: float
@@ -18,7 +18,7 @@
 
 
 class WindowRetryBudget:
-    """Count one service's requests and repeats on this box over a sliding window."""
+    """Count one service's requests and retries on this box over a sliding window."""
 
     def __init__(self, *, terms: RetryBudgetTerms) -> None:
         self.terms = terms
@@ -30,7 +30,7 @@
         self.requests.append(now)
 
     def try_spend(self, now: float, boxes: int) -> bool:
-        """Take one repeat if this box's share allows it."""
+        """Spend one retry if this box's share allows it; `boxes` share the slack evenly."""
         window_start = now - self.terms.window_s
         for times in (self.requests, self.retries):
             while times and times[0] <= window_start:
@@ -43,21 +43,21 @@
 
 
 class RetryBudgets:
-    """Hold one budget a service."""
+    """Hold one retry budget per service."""
 
     def __init__(self, *, terms: RetryBudgetTerms) -> None:
         self.terms = terms
         self.by_service: dict[str, WindowRetryBudget] = {}
 
     def for_service(self, service: str) -> WindowRetryBudget:
-        """Return a service's budget."""
+        """Return a service's budget, created on first use."""
         found = self.by_service.get(service)
         if found is None:
             found = self.by_service[service] = WindowRetryBudget(terms=self.terms)
         return found
 
     def set_terms(self, terms: RetryBudgetTerms) -> None:
-        """Take changed terms in; what was counted stays."""
+        """Apply changed terms to all services; the counts are kept."""
         self.terms = terms
         for budget in self.by_service.values():
             budget.terms = terms
--- a/packages/core/calicopath_core/exchanges/content.py
+++ b/packages/core/calicopath_core/exchanges/content.py
@@ -1,4 +1,4 @@
-"""Tell requests that ask the same from others, whichever box they come to."""
+"""Compute fingerprints of requests, equal on all boxes for requests with the same content."""
 
 from __future__ import annotations
 
@@ -15,26 +15,27 @@
     from calicopath_core.exchanges.messages import Exchange
 
 DIGEST_BYTES = 8
-"""Of a million contents two are named alike by chance once in 37 million times."""
+"""With 8 bytes, a million fingerprints contain a collision with a chance of 1 in 37 million."""
 
 
 def content_of(exchange: Exchange, workspace: str | None) -> str:
-    """Return what names a request's content: path and caller's workspace, body, and prompt.
+    """Return the fingerprint of a request's path, workspace, body and prompt.
 
-    A repeat has another identifier, deadline, headers and perhaps query, and the same content.
+    A retry by the caller may differ in identifier, deadline, headers and query, but has the same
+    fingerprint.
     """
     caller = (workspace or '').encode()
     path = digest_of([exchange.path.encode(), caller])
     body = digest_of([exchange.body])
     if exchange.prompt is None:
         return content_name(path, body)
-    # What is expected to come out is a guess, which may differ with each try.
+    # The number of output tokens is an estimate and may differ between attempts.
     prompt = msgspec.structs.replace(exchange.prompt, tokens_out=0)
     return content_name(path, body, digest_of([msgspec.msgpack.encode(prompt), caller]))
 
 
 def digest_of(parts: Iterable[bytes]) -> str:
-    """Return a digest of some bytes, by which nothing of them can be read."""
+    """Return a one-way digest of some byte strings, as hexadecimal digits."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
         digest.update(len(part).to_bytes(4))
--- a/packages/core/calicopath_core/exchanges/context.py
+++ b/packages/core/calicopath_core/exchanges/context.py
@@ -1,4 +1,4 @@
-"""Hold what every exchange of a box shares, and how an exchange ended."""
+"""Define the state of an exchange and the services that all exchanges of a box share."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
 STATUS_GATEWAY_TIMEOUT = 504
 
 SHORT_RETRY_AFTER_S = 0.3
-"""When a caller may come back after a refusal that has nothing to do with load."""
+"""`Retry-After` of a refusal that is not caused by load."""
 
 
 TIMER_SLACK_S = 0.005
-"""Timers may fire this much before a deadline by rounding; it counts as passed then."""
+"""A deadline counts as passed this much early, since timers may fire early by rounding."""
 
 
 class RefusedExchange(CalicopathError):
-    """Report that a request ends with an answer of our own; with 503 it provably did not run."""
+    """Report that the gateway itself answers a request; status 503 means that it did not run."""
 
     def __init__(self, status: int, reason: str, *, retry_after_s: float | None = None) -> None:
         super().__init__(reason)
@@ -49,7 +49,7 @@
 
 
 def failure_kind(error: Exception) -> str:
-    """Return in one word how an attempt failed, for logs and figures."""
+    """Return how an attempt failed, as one word for logs and metrics."""
     if isinstance(error, ConnectionBroken):
         return 'broken'
     if isinstance(error, Declined):
@@ -62,7 +62,10 @@
 
 
 class ExchangeState:
-    """Follow one exchange: its route and deadline, what was tried, how it ended."""
+    """Track one exchange: its route and deadline, its attempts and its outcome.
+
+    `deadline_at` and `sent_at` are in monotonic seconds.
+    """
 
     def __init__(
         self,
@@ -95,77 +98,77 @@
         self.detail = ''
 
     def expired(self, now: float) -> bool:
-        """Tell whether the time to answer is over."""
+        """Return whether the deadline has passed."""
         return now >= self.deadline_at - TIMER_SLACK_S
 
     @property
     def services(self) -> tuple[str, ...]:
-        """Return the services that the request needs: those of its stages, then its own."""
+        """Return the services that the request needs: those of its stages, then its target."""
         return (*(phase.service for phase in self.route.phases), self.service)
 
     def on_send(self, replica: str, now: float) -> None:
-        """Note that the request goes to a replica."""
+        """Record that the request is being sent to a replica."""
         self.tried_replicas.append(replica)
         self.sends += 1
         self.sent_at = now
 
     def on_send_cancelled(self) -> None:
-        """Note that it did not go there after all."""
+        """Undo the last `on_send`, because the request was not sent."""
         self.tried_replicas.pop()
         self.sends -= 1
 
     @property
     def excluded_replicas(self) -> set[str]:
-        """Return the replicas that are not chosen for it any more."""
+        """Return the replicas that must not be chosen again: those tried and those skipped."""
         return {*self.tried_replicas, *self.skipped_replicas}
 
     def may_run_again(self) -> bool:
-        """Tell whether the request may run on one more replica."""
+        """Return whether the route allows the request to run on another replica."""
         if self.may_have_run and not self.route.repeatable:
             return False
         return self.runs < max(1, self.route.max_attempts)
 
 
 class ExchangeObserver(ABC):
-    """Learn of what happens to exchanges."""
+    """Receive events about exchanges, for logs and metrics."""
 
     @abstractmethod
     def on_ended(self, state: ExchangeState, took_s: float) -> None:
-        """Note how an exchange ended."""
+        """Handle the end of an exchange that had a route."""
 
     @abstractmethod
     def on_refused(self, exchange: Exchange, refusal: RefusedExchange) -> None:
-        """Note an exchange that was refused before it had a route."""
+        """Handle an exchange that was refused before it had a route."""
 
     @abstractmethod
     def on_attempt_failed(
         self, state: ExchangeState, replica: str, error: Exception, left_s: float
     ) -> None:
-        """Note an attempt that gave no whole answer, and the time that was left."""
+        """Handle an attempt without a complete answer; `left_s` is the time to the deadline."""
 
     @abstractmethod
     def on_replica_skipped(self, state: ExchangeState, replica: str, bar: Bar) -> None:
-        """Note a replica that was chosen for a request and must not get it."""
+        """Handle a replica that was chosen for a request but must not be called by this box."""
 
     @abstractmethod
     def on_permit_wait_ended(
         self, state: ExchangeState, replica: str, waited_s: float, opens_in_s: float
     ) -> None:
-        """Note a request that only limited replicas could serve, and the permit it got, if any."""
+        """Handle the end of a wait for a permit; `replica` is empty if none was granted."""
 
     @abstractmethod
     def on_blocked_refused(self, state: ExchangeState) -> None:
-        """Note a request that is not sent since replicas end under what it asks."""
+        """Handle a request that is not sent because requests like it crash replicas."""
 
 
 CRASHES_REPLICAS = 'crashes-replicas'
-"""The reason that is given for a request under which too many replicas have ended."""
+"""Refusal reason for a request whose fingerprint has crashed too many replicas."""
 
 
 def check_not_blocked(context: ExchangeContext, state: ExchangeState) -> None:
-    """Raise `RefusedExchange` if too many replicas have ended under what the request asks.
+    """Raise `RefusedExchange` if the request's fingerprint is blocked for crashing replicas.
 
-    Asked anew before each send: other boxes may have seen what this one has not.
+    This runs before each send, since other boxes may have reported crashes in the meantime.
     """
     wait_s = context.crashes.blocked_s(state.content, state.services)
     if wait_s is None:
@@ -177,7 +180,7 @@
 
 
 class ExchangeContext(NamedTuple):
-    """Hold what exchanges share on one box."""
+    """Hold the services that all exchanges of a box share."""
 
     clock: Clock
     view: DeploymentView
--- a/packages/core/calicopath_core/exchanges/events.py
+++ b/packages/core/calicopath_core/exchanges/events.py
@@ -1,14 +1,14 @@
-"""Split a stream of server-sent events, so that only whole events are passed on."""
+"""Split a stream of server-sent events so that only complete events are forwarded."""
 
 from __future__ import annotations
 
 SEPARATORS = (b'\n\n', b'\r\n\r\n')
 MAX_EVENT_BYTES = 1024 * 1024
-"""An event that grows beyond this is no event."""
+"""Longest event that is buffered; a longer one is treated as an invalid stream."""
 
 
 class EventSplitter:
-    """Take bytes in and give whole events out; remembers the identifier of the last one."""
+    """Turn chunks of bytes into complete events and keep the identifier of the last one."""
 
     def __init__(self) -> None:
         self.buffer = b''
@@ -16,7 +16,10 @@
         self.count = 0
 
     def feed(self, data: bytes) -> bytes:
-        """Return the bytes of the events that are now whole."""
+        """Return the bytes of all events that are now complete.
+
+        Raise `ValueError` if an incomplete event exceeds `MAX_EVENT_BYTES`.
+        """
         self.buffer += data
         end = max(self.buffer.rfind(sep) + len(sep) if sep in self.buffer else 0 for sep in SEPARATORS)
         if end == 0:
--- a/packages/core/calicopath_core/exchanges/executor.py
+++ b/packages/core/calicopath_core/exchanges/executor.py
@@ -1,4 +1,4 @@
-"""Serve one exchange from its arrival to its one final answer."""
+"""Serve an exchange from its arrival to its final answer."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 class ExchangeExecutor:
-    """Serve exchanges by the deployment in force when they arrive."""
+    """Serve exchanges, each by the deployment that is in force when it arrives."""
 
     def __init__(self, *, context: ExchangeContext) -> None:
         self.context = context
 
     async def serve(self, exchange: Exchange, sink: ReplySink) -> None:
-        """Answer an exchange, and note how it ended."""
+        """Answer an exchange and report its outcome to the observer."""
         state: ExchangeState | None = None
         try:
             state = self.admit(exchange)
@@ -56,7 +56,7 @@
                 self.context.observer.on_ended(state, took_s)
 
     def admit(self, exchange: Exchange) -> ExchangeState:
-        """Return the exchange's ticket; raise `RefusedExchange` if it isn't allowed."""
+        """Return the state of a new exchange; raise `RefusedExchange` if it is not admitted."""
         deployment = self.context.view.current
         if deployment is None or not self.context.may_serve():
             raise RefusedExchange(STATUS_UNAVAILABLE, 'not-ready', retry_after_s=SHORT_RETRY_AFTER_S)
@@ -79,14 +79,17 @@
 
 
 def priority_of(route: Route, workspace: Workspace | None) -> int:
-    """Return a request's rank, 0 first: the workspace's priority decides, then the route's."""
+    """Return a request's priority, 0 first: the workspace's comes before the route's."""
     if workspace is None or workspace.priority is None:
         return route.priority
     return workspace.priority * ROUTE_PRIORITIES + route.priority
 
 
 def workspace_of(deployment: Deployment, route: Route, exchange: Exchange) -> Workspace | None:
-    """Return the workspace whose key a request carries; raise `RefusedExchange` if it needs one."""
+    """Return the workspace of a request's API key, or `None` for an anonymous request.
+
+    Raise `RefusedExchange` if the route needs a key and the request has no valid one.
+    """
     workspace = deployment.workspace_for(exchange.key) if exchange.key is not None else None
     if workspace is None and deployment.has_workspaces and not route.anonymous:
         raise RefusedExchange(STATUS_UNAUTHORIZED, 'unknown-key')
@@ -94,7 +97,11 @@
 
 
 def choose_service(route: Route, exchange: Exchange) -> str:
-    """Return the service of a request; on a split route, by chance that follows its identifier."""
+    """Return the service of a request.
+
+    On a route with a traffic split the draw is seeded by the request's identifier, so that the
+    same identifier always gets the same service.
+    """
     if len(route.services) == 1:
         return route.services[0].service
     remaining = random.Random(exchange.call_id).random() * sum(item.weight for item in route.services)
@@ -106,7 +113,7 @@
 
 
 def send_refusal(state: ExchangeState | None, sink: ReplySink, refusal: RefusedExchange) -> None:
-    """Give the answer of our own; a stream that has begun is cut instead."""
+    """Send the gateway's own answer, or abort the answer if a stream has already begun."""
     if state is not None:
         state.outcome = 'refused' if refusal.status == STATUS_UNAVAILABLE else 'failed'
         state.detail = refusal.reason
--- a/packages/core/calicopath_core/exchanges/messages.py
+++ b/packages/core/calicopath_core/exchanges/messages.py
@@ -1,4 +1,4 @@
-"""Define an exchange: a caller's request, what a replica gets of it, and the answer's way back."""
+"""Define a caller's request, its forwarding to a replica, and the interface for the answer."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
     from calicopath_core.scheduling.messages import Prompt
 
 OVERLOAD_STATUSES = (429, 503)
-"""With what a replica declines that has too much to do."""
+"""Statuses with which an overloaded replica declines a request."""
 
 Headers = tuple[tuple[str, str], ...]
 
 
 class Exchange(NamedTuple):
-    """Hold one request as it came; `received_at` is in monotonic seconds.
+    """Hold one request as it was received; `received_at` is in monotonic seconds.
 
-    `headers` are those to be passed on unchanged; what the product reads of the others is in
-    fields of its own.
+    `headers` are forwarded unchanged. Headers that the gateway interprets are not among them; their
+    values are in other fields.
     """
 
     call_id: str
@@ -44,7 +44,7 @@
 
 
 class OutboundRequest(NamedTuple):
-    """Hold what a replica is sent beside the request itself."""
+    """Hold a request to a replica and the values that the gateway adds to it."""
 
     exchange: Exchange
     replica: Replica
@@ -54,11 +54,11 @@
     inputs: tuple[str, ...]
     last_event_id: str | None
     needs_verified_connection: bool
-    """Whether the call must go over a connection that is known to be good."""
+    """Whether the call must use a connection that is known to be open."""
 
 
 class AnswerHead(NamedTuple):
-    """Hold the head of a replica's answer; `declined` means that it provably did not run."""
+    """Hold the head of a replica's answer; `declined` means that the request did not run."""
 
     status: int
     headers: Headers
@@ -67,37 +67,43 @@
 
     @property
     def turned_away(self) -> bool:
-        """Tell whether the replica declined since it has too much to do."""
+        """Return whether the replica declined because it is overloaded."""
         return self.declined and self.status in OVERLOAD_STATUSES
 
     @property
     def success(self) -> bool:
-        """Tell whether the status is 2xx."""
+        """Return whether the status is 2xx."""
         return 200 <= self.status < 300
 
 
 class ReplicaAnswer(ABC):
-    """Read one answer; an answer left before its end closes its connection."""
+    """Read one answer; closing it before its end closes its connection."""
 
     head: AnswerHead
 
     @abstractmethod
     async def read(self) -> bytes | None:
-        """Return the next bytes of the body, nothing at its end; raise `MayHaveRun` if cut."""
+        """Return the next bytes of the body, `None` at its end.
+
+        Raise `MayHaveRun` if the connection breaks first.
+        """
 
     @abstractmethod
     def close(self) -> None:
-        """Be done with the answer; cuts the connection if the answer is not whole."""
+        """Release the answer; close its connection if the body was not read to its end."""
 
 
 class ReplicaProber(ABC):
-    """Look whether replicas can be reached; `listener` learns of every call and answer."""
+    """Probe whether replicas accept connections; `interceptor` is notified of calls and answers."""
 
     interceptor: ReplicaListener = Deaf()
 
     @abstractmethod
     async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
-        """Return what an attempt to connect shows; one that opens is watched for a while."""
+        """Return the result of a connection attempt.
+
+        A connection that opens is observed for `watch_s` seconds.
+        """
 
 
 class ReplicaClient(ReplicaProber):
@@ -105,32 +111,35 @@
 
     @abstractmethod
     async def send(self, outbound: OutboundRequest) -> ReplicaAnswer:
-        """Return the answer's head and body; raise `NotStarted`, `MayHaveRun`, `WrongAnswer`."""
+        """Send a request and return its answer once the head has come.
+
+        Raise `NotStarted`, `MayHaveRun` or `WrongAnswer`.
+        """
 
 
 class ReplySink(ABC):
-    """Give a caller its answer."""
+    """Write the answer to a caller."""
 
     @abstractmethod
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
 
     @abstractmethod
     def begin(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer whose length is not known."""
+        """Send the head of an answer of unknown length."""
 
     @abstractmethod
     async def send(self, data: bytes) -> None:
-        """Send some of the body; waits while the caller does not read."""
+        """Send a part of the body; wait while the caller does not read."""
 
     @abstractmethod
     def finish(self) -> None:
-        """End a whole body."""
+        """End a body that is complete."""
 
     @abstractmethod
     def abort(self) -> None:
-        """End an answer that is not whole so that it cannot look whole."""
+        """End an incomplete answer in a way that the caller can tell from a complete one."""
 
     @abstractmethod
     def refuse(self, status: int, reason: str, retry_after_s: float | None) -> None:
-        """Send an answer of our own: nothing of a replica is in it."""
+        """Send an error answer that the gateway itself makes."""
--- a/packages/core/calicopath_core/exchanges/plain.py
+++ b/packages/core/calicopath_core/exchanges/plain.py
@@ -1,4 +1,4 @@
-"""Pass a request through to a plain service and its whole answer back."""
+"""Forward a request to a plain service and return its complete answer."""
 
 from __future__ import annotations
 
@@ -30,25 +30,25 @@
     from calicopath_core.fleet.replicas import Replica
 
 MAX_SENDS = 4
-"""Replicas that one request may be sent to, those counted that declined it."""
+"""Most replicas that one request is sent to, including those that decline it."""
 
 ATTEMPT_TIMEOUT_FACTOR = 8.0
 MIN_ATTEMPT_TIMEOUT_S = 0.25
-"""How many times its usual time a replica may take over a request that another may run, and the
-least such time."""
+"""Timeout of an attempt that may be repeated elsewhere: this multiple of the replica's average
+latency, but at least the minimum."""
 
 MAX_PERMIT_WAIT_RATIO = 0.5
-"""The part of its time left that a request may wait for a permit: where more is asked than limits
-allow, waits grow to this, and a run that begins at its deadline is a permit lost."""
+"""Part of the time left that a request may wait for a permit. Under overload waits grow to this
+bound, and a permit is wasted on a run that begins at its deadline."""
 
 MAX_RETRY_AFTER_JITTER = 1.5
-"""By how much more than the time to the next permit refused callers are told to wait, by chance."""
+"""Upper bound of the random factor on the time to the next permit in `Retry-After`."""
 
 STATUS_SERVER_ERROR = 500
 
 
 class CompleteAnswer:
-    """Hold an answer read to its end."""
+    """Hold an answer whose body was read to its end."""
 
     def __init__(self, *, head: AnswerHead, body: bytes) -> None:
         self.head = head
@@ -56,7 +56,7 @@
 
 
 async def serve_plain(context: ExchangeContext, state: ExchangeState, sink: ReplySink) -> None:
-    """Send a request to one replica after the other until one answers whole."""
+    """Send a request to one replica after another until one gives a complete answer."""
     while True:
         check_not_blocked(context, state)
         replica = await choose_with_permit(context, state)
@@ -93,7 +93,7 @@
     *,
     answered: bool = False,
 ) -> None:
-    """Find out whether a replica has ended, before the request is sent once more."""
+    """Probe whether a replica has crashed and report it, before the request is sent again."""
     ran = not isinstance(error, NotStarted | WrongAnswer)
     if ran and not state.expired(context.clock.monotonic()):
         fate = ReplicaFate(reach=context.replica_client, replicas=context.replicas, replica=replica)
@@ -104,10 +104,10 @@
 
 
 async def choose_with_permit(context: ExchangeContext, state: ExchangeState) -> Replica | None:
-    """Return the replica to try next with a permit if it needs one, nothing to choose again.
+    """Return the replica to try next, holding a permit if it needs one.
 
-    Raise `RefusedExchange` if there is none. A permit is waited for only where nobody can be called
-    without.
+    Return `None` if the choice must be repeated; raise `RefusedExchange` if no replica is left. The
+    request waits for a permit only if no replica can be called without one.
     """
     now = context.clock.monotonic()
     replica = context.balancer.choose(state.service, state.excluded_replicas, now)
@@ -135,7 +135,10 @@
 def no_replica_refusal(
     context: ExchangeContext, state: ExchangeState, permit_available_in_s: float | None = None
 ) -> RefusedExchange:
-    """Return how a request ends for which there is no replica, or no permit in time."""
+    """Return the refusal of a request for which there is no replica, or no permit in time.
+
+    `permit_available_in_s` is `None` if no replica was waited for.
+    """
     if state.may_have_run:
         return RefusedExchange(STATUS_BAD_GATEWAY, 'no-other-endpoint')
     if permit_available_in_s is None:
@@ -146,12 +149,12 @@
 
 
 def min_retry_after_s(context: ExchangeContext, state: ExchangeState) -> float:
-    """Return when a caller may come back: not before the first replica that may be called."""
+    """Return the `Retry-After` of a refusal: the seconds until a replica may be called again."""
     return max(SHORT_RETRY_AFTER_S, context.gate.first_back_s(state.service))
 
 
 def try_spend_retry(context: ExchangeContext, state: ExchangeState) -> bool:
-    """Tell whether a request that ran may be sent once more, and take it from the budget."""
+    """Return whether a request may be sent again, and spend one retry of the budget if so."""
     if state.sends >= MAX_SENDS or not state.may_run_again():
         return False
     if all(item.id in state.excluded_replicas for item in context.gate.usable(state.service)):
@@ -161,7 +164,7 @@
 
 
 def check_retry_allowed(context: ExchangeContext, state: ExchangeState, error: BackendError) -> None:
-    """Return if the request may be sent once more; else raise how it ends."""
+    """Return if the request may be sent again; else raise `RefusedExchange`."""
     now = context.clock.monotonic()
     if not state.expired(now) and try_spend_retry(context, state):
         return
@@ -175,7 +178,7 @@
 
 
 async def attempt(context: ExchangeContext, state: ExchangeState, replica: Replica) -> CompleteAnswer:
-    """Send a request to one replica and read the whole answer."""
+    """Send a request to one replica, read the complete answer and update the statistics."""
     started_at = context.clock.monotonic()
     stats = context.balancer.stats_of(replica)
     stats.in_flight += 1
@@ -214,7 +217,7 @@
 
 
 async def call_replica(context: ExchangeContext, state: ExchangeState, replica: Replica) -> CompleteAnswer:
-    """Make one call; raise `NotStarted` if the replica declined it."""
+    """Make one call and read its answer; raise `Declined` if the replica declined it."""
     now = context.clock.monotonic()
     outbound = OutboundRequest(
         exchange=state.exchange,
@@ -240,7 +243,7 @@
 
 
 async def read_all(answer: ReplicaAnswer) -> bytes:
-    """Return a whole body."""
+    """Return the complete body of an answer."""
     parts = []
     while (data := await answer.read()) is not None:
         parts.append(data)
--- a/packages/core/calicopath_core/exchanges/streams.py
+++ b/packages/core/calicopath_core/exchanges/streams.py
@@ -1,4 +1,4 @@
-"""Pass a stream of events through, and go on with it at another engine if it breaks."""
+"""Forward a stream of events, and resume it at another engine if it breaks."""
 
 from __future__ import annotations
 
@@ -28,29 +28,29 @@
     from calicopath_core.scheduling.messages import Placed
 
 MAX_SENDS = 4
-"""Engines that one request may be sent to, those counted that declined it."""
+"""Most engines that one request is sent to, including those that decline it."""
 
 MAX_SKIPPED_REPLICAS = 4
-"""Engines that were chosen for one request although this box must not call them, before it is
-refused. Each question names those that it knows of, so that it takes as many surprises."""
+"""Most engines that the scheduler may choose for one request although this box must not call them;
+then the request is refused. Each placement request lists the engines skipped so far."""
 
 FIRST_EVENT_TIMEOUT_S = 2.0
 FIRST_EVENT_COST_FACTOR = 3.0
-"""How long the first event of a stream that may be resumed is waited for: this, and so many times
-what the scheduler expects."""
+"""Timeout for the first event of a resumable stream: this, plus this multiple of the duration that
+the scheduler expects."""
 
 EVENT_GAP_TIMEOUT_S = 1.2
-"""How long the next event of a stream that may be resumed is waited for. The users count a pause
-of 0.5 s as late and give up after some 4 s."""
+"""Timeout for the next event of a resumable stream. Clients count a gap of 0.5 s as late and give
+up after about 4 s."""
 
 MAX_PERMIT_WAIT_S = 0.2
-"""How long a permit is waited for that did not come with the place at an engine."""
+"""Longest wait for a permit that the scheduler did not grant with the placement."""
 
 STATUS_CONFLICT = 409
 
 
 class Stream:
-    """Run one streaming exchange."""
+    """Run one streaming exchange, on several engines in turn if need be."""
 
     def __init__(self, *, context: ExchangeContext, state: ExchangeState, sink: ReplySink) -> None:
         self.context = context
@@ -62,12 +62,12 @@
         self.first_event_received = False
 
     async def serve(self) -> None:
-        """Place and run the stream until it is whole or can't be gone on with."""
+        """Place and run the stream until it is complete or can't be resumed."""
         while not await self.attempt():
             pass
 
     async def attempt(self) -> bool:
-        """Place the request once and run it there; say whether the exchange is over."""
+        """Place the request once and run it there; return whether the exchange is over."""
         job = self.context.new_job_id()
         failed = turned_away = False
         try:
@@ -75,7 +75,7 @@
             replica = self.context.replicas.replicas.get(placed.replica)
             bar = Bar.GONE if replica is None else self.context.gate.bar_of(replica)
             if replica is None or bar is not None:
-                # This box knows of the replica what the scheduler did not; nothing was sent.
+                # This box knows an exclusion that the scheduler did not; nothing was sent.
                 return self.skip_replica(placed, bar or Bar.GONE)
             await self.take_permit(placed, replica)
             check_not_blocked(self.context, self.state)
@@ -99,9 +99,9 @@
             self.context.scheduler.ended(job, failed=failed, turned_away=turned_away)
 
     async def take_permit(self, placed: Placed, replica: Replica) -> None:
-        """Hold the permit that came with a place; ask for one if the limit was not known there.
+        """Use the permit granted with a placement; request one if the scheduler knew of no limit.
 
-        To have another engine chosen would have the stages' work done again.
+        Choosing another engine instead would repeat the work of the stages.
         """
         permits = self.context.gate.permits
         if placed.permit:
@@ -110,7 +110,10 @@
             await permits.ask([replica], wait_s=MAX_PERMIT_WAIT_S, priority=self.state.priority)
 
     def skip_replica(self, placed: Placed, bar: Bar) -> bool:
-        """Have another engine chosen, unless that went wrong too often."""
+        """Record a skipped engine so that another is chosen; return `False`.
+
+        Raise `RefusedExchange` after too many skipped engines.
+        """
         self.context.observer.on_replica_skipped(self.state, placed.replica, bar)
         self.state.skipped_replicas.append(placed.replica)
         if len(self.state.skipped_replicas) > MAX_SKIPPED_REPLICAS:
@@ -118,7 +121,7 @@
         return False
 
     async def place(self, job: str) -> Placed:
-        """Return the engine for this attempt; raise `RefusedExchange` if there is none."""
+        """Ask the scheduler for an engine; raise `RefusedExchange` if there is none."""
         request = self.placement_request(job)
         try:
             async with asyncio.timeout(self.left_s()):
@@ -129,7 +132,7 @@
             raise self.refusal('deadline-passed', None) from error
 
     def refusal(self, reason: str, retry_after_s: float | None) -> RefusedExchange:
-        """Return how the exchange ends without another attempt."""
+        """Return the refusal that ends the exchange, by whether the request may have run."""
         if not self.state.may_have_run:
             return RefusedExchange(
                 STATUS_UNAVAILABLE, reason, retry_after_s=retry_after_s or SHORT_RETRY_AFTER_S
@@ -138,7 +141,7 @@
         return RefusedExchange(STATUS_GATEWAY_TIMEOUT if late else STATUS_BAD_GATEWAY, reason)
 
     def placement_request(self, job: str) -> Place:
-        """Return what the scheduler is asked."""
+        """Return the message that asks the scheduler for an engine."""
         state, exchange = self.state, self.state.exchange
         spent_s = self.context.clock.monotonic() - exchange.received_at
         counts = exchange.piece_counts
@@ -168,11 +171,11 @@
         )
 
     def left_s(self) -> float:
-        """Return the seconds until the exchange must have ended."""
+        """Return the seconds until the exchange's deadline, at least 0."""
         return max(0.0, self.state.deadline_at - self.context.clock.monotonic())
 
     async def run(self, job: str, placed: Placed, replica: Replica) -> bool:
-        """Send the request to an engine and pass its events on; say whether it is over."""
+        """Send the request to an engine and forward its events; return whether it is over."""
         state = self.state
         state.on_send(replica.id, self.context.clock.monotonic())
         self.first_event_received = False
@@ -191,7 +194,7 @@
             answer.close()
 
     async def send(self, placed: Placed, replica: Replica) -> ReplicaAnswer:
-        """Send the request and return the answer's head."""
+        """Send the request and return the answer once its head has come."""
         state = self.state
         outbound = OutboundRequest(
             exchange=state.exchange,
@@ -213,17 +216,17 @@
             state.may_have_run = True
             state.runs += 1
             if isinstance(error, TimeoutError):
-                raise MayHaveRun(f'{replica.id} gave no head in {timeout_s:.3f} s') from error
+                raise MayHaveRun(f'{replica.id} sent no head within {timeout_s:.3f} s') from error
             raise
 
     def first_event_timeout_s(self, placed: Placed) -> float:
-        """Return how long the first event is waited for."""
+        """Return the timeout for the first event, in seconds."""
         if not self.state.route.repeatable:
             return self.left_s()
         return min(self.left_s(), FIRST_EVENT_TIMEOUT_S + FIRST_EVENT_COST_FACTOR * placed.cost_s)
 
     async def forward_failure(self, answer: ReplicaAnswer) -> bool:
-        """Pass an engine's own failure on, unless the stream has begun."""
+        """Forward an engine's error answer; raise `MayHaveRun` if the stream has begun."""
         body = await read_all(answer)
         if self.head_sent:
             raise MayHaveRun(f'the engine answered {answer.head.status} to a resumed stream')
@@ -234,7 +237,7 @@
         return True
 
     async def forward_events(self, job: str, placed: Placed, answer: ReplicaAnswer) -> None:
-        """Pass whole events on as they come."""
+        """Forward complete events as they come."""
         timeout_s = self.first_event_timeout_s(placed)
         self.splitter.buffer = b''
         while True:
@@ -254,15 +257,15 @@
         self.finish(answer)
 
     async def read(self, answer: ReplicaAnswer, timeout_s: float) -> bytes | None:
-        """Return the next bytes of a stream; raise `MayHaveRun` if they are too long in coming."""
+        """Return the next bytes of a stream; raise `MayHaveRun` if none come in time."""
         try:
             async with asyncio.timeout(min(timeout_s, self.left_s())):
                 return await answer.read()
         except TimeoutError as error:
-            raise MayHaveRun(f'no event came in {timeout_s:.3f} s') from error
+            raise MayHaveRun(f'no event came within {timeout_s:.3f} s') from error
 
     async def forward(self, answer: ReplicaAnswer, events: bytes) -> None:
-        """Pass whole events on, after the head of the first engine."""
+        """Send complete events to the caller, preceded by the answer's head the first time."""
         if not self.head_sent:
             self.head_sent = True
             self.state.first_byte_at = self.context.clock.monotonic()
@@ -271,7 +274,7 @@
         await self.sink.send(events)
 
     def finish(self, answer: ReplicaAnswer) -> None:
-        """End the answer as whole."""
+        """End the caller's answer as complete."""
         self.state.outcome = 'answered'
         self.context.crashes.on_survived(self.state.content, self.state.service)
         if not self.head_sent:
@@ -281,7 +284,7 @@
         self.sink.finish()
 
     def check_retry_allowed(self, error: BackendError) -> None:
-        """Return if the request may be sent once more; else raise how it ends."""
+        """Return if the request may be sent again; else raise `RefusedExchange`."""
         state = self.state
         check_not_blocked(self.context, state)
         now = self.context.clock.monotonic()
--- a/packages/core/calicopath_core/exchanges/tests/cold_tests.py
+++ b/packages/core/calicopath_core/exchanges/tests/cold_tests.py
@@ -1,4 +1,4 @@
-"""Test what boxes together send to a cold replica of a plain service."""
+"""Test the total rate at which boxes send requests to a cold replica of a plain service."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from calicopath_core.fleet.replicas import Replica, ReplicaTable
 from testkit.gates import new_gate
 
-PER_S = 6.7
-MOST_A_SECOND = 15
+COLD_RATE_PER_S = 6.7
+MAX_IN_ONE_SECOND = 15
 BOXES = 86
-ASKED_S = 6.0
+DURATION_S = 6.0
 
 
 def table(*cold: bool) -> ReplicaTable:
-    """Return a service's replicas, some of them cold."""
+    """Return a table with one replica for each flag, cold if the flag is true."""
     found = ReplicaTable()
     for number, is_cold in enumerate(cold):
         found.put(Replica(f'r{number}', 'desk', f'r{number}:1', 'a', 6, False, is_cold))
@@ -25,7 +25,7 @@
 
 
 def balancer(replicas: ReplicaTable, seed: int, rate: float | None) -> Balancer:
-    """Return a box's balancer."""
+    """Return the balancer of one box; `rate` is its limit per cold replica."""
     return Balancer(
         replicas=replicas,
         gate=new_gate(replicas),
@@ -38,23 +38,23 @@
 class Cold(testtools.TestCase):
     def test_boxes_that_do_not_know_of_each_other_keep_together_to_what_it_bears(self) -> None:
         replicas = table(True)
-        boxes = [balancer(replicas, seed, PER_S / BOXES) for seed in range(BOXES)]
+        boxes = [balancer(replicas, seed, COLD_RATE_PER_S / BOXES) for seed in range(BOXES)]
         sent: list[float] = []
         rng = random.Random(1)
         now = 0.0
-        while now < ASKED_S:
+        while now < DURATION_S:
             now += rng.expovariate(60.0)
             if rng.choice(boxes).choose('desk', set(), now) is not None:
                 sent.append(now)
-        most = max(sum(at <= other < at + 1.0 for other in sent) for at in sent)
-        self.assertLessEqual(most, MOST_A_SECOND)
-        self.assertGreater(len(sent), PER_S * ASKED_S * 0.5)
+        max_in_one_second = max(sum(at <= other < at + 1.0 for other in sent) for at in sent)
+        self.assertLessEqual(max_in_one_second, MAX_IN_ONE_SECOND)
+        self.assertGreater(len(sent), COLD_RATE_PER_S * DURATION_S * 0.5)
 
     def test_what_is_cold_is_left_to_others_and_refused_where_there_are_none(self) -> None:
-        for cold, wanted in (((True, False), {'r1'}), ((True, True), set())):
+        for cold, expected in (((True, False), {'r1'}), ((True, True), set())):
             box = balancer(table(*cold), 1, 0.001)
             chosen = {box.choose('desk', set(), 0.1 * number) for number in range(8)} - {None}
-            self.assertEqual(wanted, {item.id for item in chosen if item is not None})
+            self.assertEqual(expected, {item.id for item in chosen if item is not None})
 
     def test_a_replica_that_is_warm_again_gets_its_part_at_once(self) -> None:
         replicas = table(True)
--- a/packages/core/calicopath_core/exchanges/tests/parts_tests.py
+++ b/packages/core/calicopath_core/exchanges/tests/parts_tests.py
@@ -1,4 +1,4 @@
-"""Test the parts of an exchange: events, budgets, the choice of a replica."""
+"""Test the splitting of events, retry budgets and the choice of a replica."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
     def test_however_bytes_come_only_whole_events_go_out(self, cuts: list[int]) -> None:
         splitter = EventSplitter()
         found = b''
-        edges = [0, *sorted(cuts), len(EVENTS)]
-        for begin, end in itertools.pairwise(edges):
-            whole = splitter.feed(EVENTS[begin:end])
-            self.assertTrue(not whole or whole.endswith((b'\n\n', b'\r\n\r\n')))
-            found += whole
+        boundaries = [0, *sorted(cuts), len(EVENTS)]
+        for begin, end in itertools.pairwise(boundaries):
+            complete = splitter.feed(EVENTS[begin:end])
+            self.assertTrue(not complete or complete.endswith((b'\n\n', b'\r\n\r\n')))
+            found += complete
         self.assertEqual((EVENTS, b'', '6'), (found, splitter.buffer, splitter.last_event_id))
 
     def test_half_an_event_stays(self) -> None:
@@ -43,8 +43,8 @@
 class Budget(testtools.TestCase):
     def test_repeats_come_back_as_the_window_slides(self) -> None:
         budget = WindowRetryBudget(terms=RetryBudgetTerms(0.2, 40.0, 10.0))
-        taken = sum(budget.try_spend(0.0, 4) for _ in range(100))
-        self.assertEqual(int(USABLE_BUDGET_RATIO * 40 / 4), taken)
+        spent = sum(budget.try_spend(0.0, 4) for _ in range(100))
+        self.assertEqual(int(USABLE_BUDGET_RATIO * 40 / 4), spent)
         self.assertFalse(budget.try_spend(9.9, 4))
         self.assertTrue(budget.try_spend(10.1, 4))
 
@@ -69,7 +69,7 @@
         )
 
     def chosen(self, now: float = 0.0) -> str:
-        """Return the replica chosen."""
+        """Return the identifier of the replica that is chosen."""
         found = self.balancer.choose('s', set(), now)
         assert found is not None
         return found.id
--- a/packages/core/calicopath_core/limits/__init__.py
+++ b/packages/core/calicopath_core/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Bound what is in progress, what waits and what is tried again."""
+"""Limit calls in flight, queue waiting calls, and limit retries."""
--- a/packages/core/calicopath_core/limits/arrivals.py
+++ b/packages/core/calicopath_core/limits/arrivals.py
@@ -1,4 +1,4 @@
-"""Measure how many requests of each priority come a second."""
+"""Measure the arrival rate of requests of each priority."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
     from calicopath_core.clock import Clock
 
 WINDOW_S = 2.0
-"""Time over which the rates are averaged, with exponentially falling weight."""
+"""Time constant of the exponential average of the rates."""
 
 
 class ArrivalRates:
-    """Keep one decaying count a priority."""
+    """Keep an exponentially decaying count of arrivals per priority."""
 
     def __init__(self, *, clock: Clock) -> None:
         self.clock = clock
@@ -21,12 +21,12 @@
         self.updated_at = 0.0
 
     def count(self, priority: int) -> None:
-        """Count an arrival."""
+        """Count the arrival of a request."""
         self.decay()
         self.counts[priority] = self.counts.get(priority, 0.0) + 1.0
 
     def decay(self) -> None:
-        """Let earlier arrivals count for less."""
+        """Decay all counts to the current time."""
         now = self.clock.monotonic()
         factor = math.exp(-(now - self.updated_at) / WINDOW_S)
         self.updated_at = now
@@ -34,6 +34,6 @@
             self.counts[priority] *= factor
 
     def rate_above(self, priority: int) -> float:
-        """Return the arrivals a second of all higher priorities."""
+        """Return the arrivals per second of all priorities above `priority`."""
         self.decay()
         return sum(count for level, count in self.counts.items() if level > priority) / WINDOW_S
--- a/packages/core/calicopath_core/limits/concurrency.py
+++ b/packages/core/calicopath_core/limits/concurrency.py
@@ -1,4 +1,4 @@
-"""Limit the calls that one box has in flight at one endpoint."""
+"""Limit the calls in flight from one box to one endpoint."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class ConcurrencyLimit(ABC):
-    """Decide how many calls may be in flight at once."""
+    """Define how many calls may be in flight at once."""
 
     @property
     @abstractmethod
     def value(self) -> int:
-        """Return the calls allowed in flight, at least one."""
+        """Return the number of calls allowed in flight, at least 1."""
 
     @abstractmethod
     def on_answer(self, *, first_response_s: float, in_flight: int) -> None:
-        """Learn from a call that was answered."""
+        """Adjust the limit after an answered call; `in_flight` includes it."""
 
     @abstractmethod
     def on_overload(self) -> None:
-        """Learn from a call that was declined or timed out."""
+        """Adjust the limit after a call that the endpoint declined."""
 
 
 class FixedLimit(ConcurrencyLimit):
@@ -32,39 +32,39 @@
 
     @property
     def value(self) -> int:
-        """Return the fixed number."""
+        """Return the fixed limit."""
         return self.limit
 
     def on_answer(self, *, first_response_s: float, in_flight: int) -> None:
-        """Learn nothing."""
+        """Do nothing, since the limit is fixed."""
 
     def on_overload(self) -> None:
-        """Learn nothing."""
+        """Do nothing, since the limit is fixed."""
 
 
 class GradientLimit(ConcurrencyLimit):
-    """Follow the latency gradient, as TCP Vegas does.
+    """Adapt the limit to the latency gradient, as TCP Vegas does.
 
-    The limit grows by a little while the first response comes about as fast as it does
-    unloaded, and shrinks as soon as responses take longer, which means that calls wait at the
-    endpoint. It never exceeds the endpoint's concurrency.
+    The limit grows slowly while first responses come about as fast as when unloaded, and shrinks
+    when they take longer, which means that calls are queued at the endpoint. It never exceeds the
+    endpoint's concurrency.
     """
 
     LATENCY_TOLERANCE = 1.5
-    """Responses up to this many times the baseline count as unloaded."""
+    """Multiple of the baseline up to which a response time counts as unloaded."""
 
     ALLOWED_JITTER_S = 0.01
-    """Responses late by no more than this count as unloaded: network and scheduler do as much."""
+    """Extra delay that still counts as unloaded, since network and scheduler cause as much."""
 
     GROWTH = 0.5
     SHRINK_FACTOR = 0.9
     OVERLOAD_SHRINK_FACTOR = 0.7
     BASELINE_DRIFT = 0.01
-    """Share by which the baseline follows slower samples, so that it can rise again."""
+    """Weight with which slower samples raise the baseline, so that it can recover."""
 
     START_FACTOR = 2.0
-    """A box starts with this many times its even share: too few places at the start make it refuse
-    requests for which there is room."""
+    """Initial limit as a multiple of the box's even share. A lower one makes a new box refuse
+    requests although the endpoint has capacity."""
 
     def __init__(self, *, concurrency: int, boxes: int) -> None:
         self.ceiling = max(1, concurrency)
@@ -78,7 +78,7 @@
         return int(self.limit)
 
     def on_answer(self, *, first_response_s: float, in_flight: int) -> None:
-        """Grow when responses are fast and the limit is used; shrink when they are slow."""
+        """Grow if the response was fast and the limit is used up; shrink if it was slow."""
         baseline = self.update_baseline(first_response_s)
         if first_response_s > baseline * self.LATENCY_TOLERANCE + self.ALLOWED_JITTER_S:
             self.limit = max(MIN_LIMIT, self.limit * self.SHRINK_FACTOR)
@@ -86,7 +86,7 @@
             self.limit = min(float(self.ceiling), self.limit + self.GROWTH / self.limit)
 
     def update_baseline(self, sample_s: float) -> float:
-        """Return the least response time seen, drifting slowly upwards."""
+        """Update and return the baseline: the lowest response time, drifting slowly upwards."""
         if self.baseline_s is None or sample_s < self.baseline_s:
             self.baseline_s = sample_s
         else:
@@ -94,5 +94,5 @@
         return self.baseline_s
 
     def on_overload(self) -> None:
-        """Shrink by a larger step."""
+        """Shrink by `OVERLOAD_SHRINK_FACTOR`."""
         self.limit = max(MIN_LIMIT, self.limit * self.OVERLOAD_SHRINK_FACTOR)
--- a/packages/core/calicopath_core/limits/lag.py
+++ b/packages/core/calicopath_core/limits/lag.py
@@ -1,4 +1,4 @@
-"""Measure how late this process's own event loop is, so that it is not taken for others' faults."""
+"""Measure the lag of this process's event loop, to tell its own overload from slow endpoints."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 SAMPLE_INTERVAL_S = 0.05
 SAMPLE_WEIGHT = 0.2
-"""Weight of one measurement in the average."""
+"""Weight of one sample in the moving average."""
 
 MAX_SAMPLE_S = 0.3
-"""What one measurement counts at most: a single pause, however long, is not overload."""
+"""Upper bound of one sample, since a single long pause is not overload."""
 
 MAX_LAG_S = 0.1
-"""Lag beyond which the box takes no more requests."""
+"""Average lag above which the box admits no more requests."""
 
 
 class LoopLag:
-    """Keep the average lag of late."""
+    """Keep a moving average of the event loop's lag, in seconds."""
 
     def __init__(self, *, clock: Clock) -> None:
         self.clock = clock
@@ -28,20 +28,20 @@
 
     @property
     def is_too_high(self) -> bool:
-        """Tell whether the process has more to do than it can."""
+        """Return whether the process is overloaded."""
         return self.value_s > MAX_LAG_S
 
     async def run(self) -> None:
-        """Measure until cancelled."""
+        """Take samples until cancelled."""
         while True:
             await self.measure()
 
     async def measure(self) -> None:
-        """Measure once."""
+        """Sleep for one interval and record how late the wake-up is."""
         due_at = self.clock.monotonic() + SAMPLE_INTERVAL_S
         await asyncio.sleep(SAMPLE_INTERVAL_S)
         self.add_sample(max(0.0, self.clock.monotonic() - due_at))
 
     def add_sample(self, lag_s: float) -> None:
-        """Take one measurement in."""
+        """Add a sample to the average, at most `MAX_SAMPLE_S`."""
         self.value_s += (min(lag_s, MAX_SAMPLE_S) - self.value_s) * SAMPLE_WEIGHT
--- a/packages/core/calicopath_core/limits/queue.py
+++ b/packages/core/calicopath_core/limits/queue.py
@@ -1,4 +1,4 @@
-"""Order the calls that wait for an endpoint."""
+"""Queue the calls that wait for an endpoint, by priority, workspace and deadline."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Waiter:
-    """Wait for a slot; `deadline` is on the monotonic clock, in seconds."""
+    """Represent a call that waits for a slot; `deadline` is in monotonic seconds."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Tell whether somebody still waits."""
+        """Return whether the call still waits: its future is neither done nor cancelled."""
         return not self.future.done()
 
 
@@ -44,9 +44,9 @@
 class PriorityClass:
     """Share slots between the workspaces of one priority by start-time fair queueing.
 
-    Each workspace has a virtual time that grows by one for every slot it gets; the workspace
-    with the least goes first. One that was idle starts at the class's current time, so that it
-    cannot save up slots.
+    Each workspace has a virtual time that grows by one for every slot it gets; the workspace with
+    the lowest goes first. An idle workspace resumes at the class's virtual time, so that it can't
+    accumulate slots.
     """
 
     def __init__(self) -> None:
@@ -55,7 +55,7 @@
         self.virtual_now = 0.0
 
     def push(self, item: QueuedWaiter) -> None:
-        """Queue a waiter behind its workspace's earlier deadlines."""
+        """Queue a waiter in its workspace's queue, ordered by deadline."""
         workspace = item.waiter.workspace
         if workspace not in self.queues:
             self.queues[workspace] = []
@@ -63,7 +63,7 @@
         heapq.heappush(self.queues[workspace], item)
 
     def pop(self) -> Waiter | None:
-        """Return the next waiter still alive, or nothing."""
+        """Remove and return the next call that still waits, or `None`."""
         while self.queues:
             workspace = min(self.queues, key=lambda name: (self.virtual_times[name], name))
             queue = self.queues[workspace]
@@ -78,13 +78,13 @@
         return None
 
     def forget_idle(self) -> None:
-        """Drop idle workspaces whose virtual time has been passed."""
+        """Drop idle workspaces whose virtual time is not ahead of the class's."""
         for name in list(self.virtual_times):
             if name not in self.queues and self.virtual_times[name] <= self.virtual_now:
                 del self.virtual_times[name]
 
     def waiters(self) -> Iterator[Waiter]:
-        """Yield the live waiters in no particular order."""
+        """Yield the calls that still wait, in no particular order."""
         for queue in self.queues.values():
             for item in queue:
                 if item.waiter.is_waiting:
@@ -92,19 +92,19 @@
 
 
 class FairPriorityQueue:
-    """Serve higher priorities first, workspaces of a priority evenly, then early deadlines."""
+    """Serve higher priorities first, workspaces within one evenly, each by earliest deadline."""
 
     def __init__(self) -> None:
         self.classes: dict[int, PriorityClass] = {}
         self.sequence_numbers = itertools.count()
 
     def push(self, waiter: Waiter) -> None:
-        """Queue a waiter."""
+        """Add a waiter to the queue of its priority and workspace."""
         group = self.classes.setdefault(waiter.priority, PriorityClass())
         group.push(QueuedWaiter(waiter.deadline, next(self.sequence_numbers), waiter))
 
     def pop(self) -> Waiter | None:
-        """Return the next waiter still alive, or nothing."""
+        """Remove and return the next call that still waits, or `None`."""
         for priority in sorted(self.classes, reverse=True):
             waiter = self.classes[priority].pop()
             if waiter is not None:
@@ -112,16 +112,16 @@
         return None
 
     def count_ahead_of(self, priority: int) -> int:
-        """Count the live waiters that a newcomer of `priority` would queue behind."""
+        """Return the number of waiters of `priority` or higher."""
         return sum(
             1 for level, group in self.classes.items() if level >= priority for _ in group.waiters()
         )
 
     def waiters(self) -> Iterator[Waiter]:
-        """Yield the live waiters in no particular order."""
+        """Yield the calls that still wait, in no particular order."""
         for group in self.classes.values():
             yield from group.waiters()
 
     def __len__(self) -> int:
-        """Count the live waiters."""
+        """Return the number of calls that still wait."""
         return self.count_ahead_of(-1)
--- a/packages/core/calicopath_core/limits/retry.py
+++ b/packages/core/calicopath_core/limits/retry.py
@@ -1,10 +1,10 @@
-"""Bound retries by a share of the successes, so that a fault is not answered by a storm."""
+"""Limit retries to a share of successful calls, so that a fault does not cause a retry storm."""
 
 from __future__ import annotations
 
 
 class RetryBudget:
-    """Allow a retry for every few successes, with a small reserve for quiet times."""
+    """Earn `share` of a retry per success, up to `reserve`, with which the budget starts."""
 
     def __init__(self, *, share: float = 0.1, reserve: float = 10.0) -> None:
         self.share = share
@@ -12,11 +12,11 @@
         self.tokens = reserve
 
     def on_success(self) -> None:
-        """Earn a part of a retry."""
+        """Add `share` of a retry to the budget."""
         self.tokens = min(self.reserve, self.tokens + self.share)
 
     def try_spend(self) -> bool:
-        """Spend one retry if there is one."""
+        """Spend one retry and return `True`, or return `False` if the budget is empty."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
--- a/packages/core/calicopath_core/limits/tests/limits_tests.py
+++ b/packages/core/calicopath_core/limits/tests/limits_tests.py
@@ -1,4 +1,4 @@
-"""Test limits, queue order and retry budget."""
+"""Test concurrency limits, the order of the queue, arrival rates and the retry budget."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def waiter(workspace: str = 'a', priority: int = 5, deadline: float = 1.0) -> Waiter:
-    """Return a waiter nobody waits for."""
+    """Return a waiter whose future nobody awaits."""
     future = asyncio.get_running_loop().create_future()
     return Waiter(workspace=workspace, priority=priority, deadline=deadline, future=future)
 
@@ -74,12 +74,12 @@
     def test_waiters_that_gave_up_are_passed_over_and_not_counted(self) -> None:
         async def scenario() -> None:
             queue = FairPriorityQueue()
-            gone, live = waiter(), waiter()
-            queue.push(gone)
-            queue.push(live)
-            gone.future.cancel()
+            cancelled, waiting = waiter(), waiter()
+            queue.push(cancelled)
+            queue.push(waiting)
+            cancelled.future.cancel()
             self.assertEqual(1, len(queue))
-            self.assertIs(live, queue.pop())
+            self.assertIs(waiting, queue.pop())
 
         self.run_virtual(scenario())
 
@@ -92,8 +92,8 @@
                 queue.pop()
             for _ in range(10):
                 queue.push(waiter('new'))
-            got = [item.workspace for item in (queue.pop() for _ in range(10)) if item]
-            self.assertEqual(5, got.count('busy'))
+            served = [item.workspace for item in (queue.pop() for _ in range(10)) if item]
+            self.assertEqual(5, served.count('busy'))
 
         self.run_virtual(scenario())
 
@@ -107,9 +107,9 @@
             waiters = [waiter(name, level, deadline) for name, level, deadline in items]
             for item in waiters:
                 queue.push(item)
-            out = [queue.pop() for _ in waiters]
-            self.assertEqual({id(item) for item in waiters}, {id(item) for item in out})
-            levels = [item.priority for item in out if item]
+            popped = [queue.pop() for _ in waiters]
+            self.assertEqual({id(item) for item in waiters}, {id(item) for item in popped})
+            levels = [item.priority for item in popped if item]
             self.assertEqual(sorted(levels, reverse=True), levels)
 
         self.run_virtual(scenario())
@@ -134,8 +134,8 @@
 class Retries(testtools.TestCase):
     def test_retries_are_a_share_of_successes_after_the_reserve(self) -> None:
         budget = RetryBudget(share=0.1, reserve=2)
-        taken = [budget.try_spend() for _ in range(3)]
+        spent = [budget.try_spend() for _ in range(3)]
         for _ in range(25):
             budget.on_success()
-        taken += [budget.try_spend() for _ in range(3)]
-        self.assertEqual([True, True, False, True, True, False], taken)
+        spent += [budget.try_spend() for _ in range(3)]
+        self.assertEqual([True, True, False, True, True, False], spent)
--- a/packages/core/calicopath_core/routing/__init__.py
+++ b/packages/core/calicopath_core/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choose endpoints."""
+"""Choose the endpoint of each call."""
--- a/packages/core/calicopath_core/routing/outliers.py
+++ b/packages/core/calicopath_core/routing/outliers.py
@@ -1,4 +1,4 @@
-"""Keep calls away from endpoints that fail, without ever giving up on all of them."""
+"""Eject endpoints that fail, as a circuit breaker does, but never more than a part of them."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Health:
-    """Follow one endpoint's failures.
+    """Track one endpoint's failures and its ejection.
 
-    After several failures in a row the endpoint is ejected for a time that doubles. Then a
-    single call probes it; a success takes it back, a failure ejects it again.
+    After several failures in a row the endpoint is ejected. Then a single call probes it: a success
+    ends the ejection, a failure ejects it again for twice as long.
     """
 
     def __init__(self) -> None:
@@ -22,25 +22,25 @@
         self.probing = False
 
     def is_ejected(self, now: float) -> bool:
-        """Tell whether calls stay away, apart from the one probe that is due."""
+        """Return whether no call may be sent; `False` also when a probe is due."""
         if self.ejected_until is None:
             return False
         return now < self.ejected_until or self.probing
 
     def on_chosen(self) -> None:
-        """Note a call; the first one after an ejection is the probe."""
+        """Record a call; the first one after an ejection is the probe."""
         if self.ejected_until is not None:
             self.probing = True
 
     def on_success(self) -> None:
-        """Take the endpoint back."""
+        """Record a success, which ends an ejection."""
         self.consecutive_failures = 0
         self.ejections = 0
         self.ejected_until = None
         self.probing = False
 
     def on_failure(self, now: float, *, may_eject: bool) -> bool:
-        """Count a failure and return whether it ejects the endpoint."""
+        """Record a failure and return whether it ejects the endpoint."""
         self.consecutive_failures += 1
         if self.ejected_until is not None and not self.probing:
             return False
@@ -53,10 +53,10 @@
         return True
 
     def on_inconclusive(self) -> None:
-        """Note that a call ended without telling anything about the endpoint."""
+        """Record the end of a call that says nothing about the endpoint's health."""
         self.probing = False
 
 
 def may_eject(total: int, ejected: int) -> bool:
-    """Tell whether one more of `total` endpoints may be ejected."""
+    """Return whether one more of `total` endpoints may be ejected."""
     return (ejected + 1) <= total * MAX_EJECTED_RATIO
--- a/packages/core/calicopath_core/routing/pools.py
+++ b/packages/core/calicopath_core/routing/pools.py
@@ -1,4 +1,4 @@
-"""Hand out the slots of one service's endpoints."""
+"""Assign calls to the slots of one service's endpoints, with a queue when all are taken."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 MIN_RETRY_AFTER_S = 0.1
 MAX_QUEUED = 10_000
 TIMER_SLACK_S = 0.001
-"""How much later than a pause ends a timer is set: those may fire a rounding early."""
+"""Delay added to timers for the end of a backoff, since timers may fire early by rounding."""
 
 MAX_WAIT_S = 60.0
-"""The wait that is told when requests of higher priority take all there is."""
+"""Wait that is reported when requests of higher priority take all the capacity."""
 
 
 class PoolError(CalicopathError):
-    """Report that a call got no slot; it never left the box."""
+    """Report that a call got no slot and was not sent."""
 
 
 class NoEndpoint(PoolError):
@@ -39,7 +39,7 @@
 
 
 class NoFreeSlot(PoolError):
-    """Report that no slot came free in time; `retry_after_s` says when one should."""
+    """Report that no slot comes free in time; `retry_after_s` estimates when one will."""
 
     def __init__(self, message: str, *, retry_after_s: float) -> None:
         super().__init__(message)
@@ -47,10 +47,11 @@
 
 
 class SlotRequest(NamedTuple):
-    """Ask for a slot; times are on the monotonic clock, in seconds.
+    """Describe a call that needs a slot; times are in monotonic seconds.
 
-    `latest_start` is the time after which starting is no use. Endpoints in `exclude` are
-    taken only when there are no others.
+    `latest_start` is the time after which the call can't end in time. `expected_s` is its duration
+    when unloaded. Endpoints in `exclude` are used only if no other has a free slot; `affinity`
+    names a prompt prefix.
     """
 
     workspace: str
@@ -63,7 +64,10 @@
 
 
 class Slot:
-    """Hold a place at one endpoint until one of the ending methods is called."""
+    """Hold one call in flight at an endpoint until its outcome is reported.
+
+    Call exactly one of `answered`, `failed`, `declined` and `abandoned`.
+    """
 
     def __init__(
         self, *, pool: ServicePool, replica: Replica, expected_s: float, queued_s: float
@@ -79,7 +83,7 @@
         return self.replica.endpoint
 
     def answered(self, *, first_response_s: float, served_s: float) -> None:
-        """Give the place back after an answer."""
+        """Release the slot after an answer."""
         self.replica.health.on_success()
         self.replica.on_answer(
             first_response_s=first_response_s, served_s=served_s, expected_s=self.expected_s
@@ -88,25 +92,25 @@
         self.pool.release(self.replica)
 
     def failed(self) -> None:
-        """Give the place back after the endpoint failed."""
+        """Release the slot after the endpoint failed."""
         self.pool.note_failure(self.replica)
         self.pool.release(self.replica)
 
     def declined(self, backoff_s: float = 0.0) -> None:
-        """Give the place back after the endpoint said that it is full, and for how long."""
+        """Release the slot after the endpoint declined; `backoff_s` is its `Retry-After`."""
         self.replica.on_declined(backoff_s, self.pool.clock.monotonic())
         self.replica.health.on_inconclusive()
         self.pool.release(self.replica)
         self.pool.on_declined()
 
     def abandoned(self) -> None:
-        """Give the place back when nothing was learnt about the endpoint."""
+        """Release the slot of a call that says nothing about the endpoint's health."""
         self.replica.health.on_inconclusive()
         self.pool.release(self.replica)
 
 
 class ServicePool:
-    """Give slots to calls: by choice while there is room, in order of the queue otherwise."""
+    """Assign slots to calls: by the selector while slots are free, else in queue order."""
 
     def __init__(
         self,
@@ -130,7 +134,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def update(self, endpoints: Iterable[Endpoint]) -> None:
-        """Take over the endpoints that configuration gives; calls in flight go on."""
+        """Replace the endpoints by those of the configuration; calls in flight continue."""
         wanted = {endpoint.name: endpoint for endpoint in endpoints}
         for name in list(self.replicas):
             if name not in wanted:
@@ -146,12 +150,12 @@
         self.serve_waiters()
 
     def remove(self, name: str) -> None:
-        """Take an endpoint out; its slots still end as usual."""
+        """Remove an endpoint; calls in flight there still release their slots."""
         replica = self.replicas.pop(name)
         replica.endpoint = replica.endpoint._replace(state=EndpointState.STOPPED)
 
     def active(self) -> list[Replica]:
-        """Return the endpoints that may get new work."""
+        """Return the endpoints that are neither draining nor stopped."""
         return [
             replica
             for replica in self.replicas.values()
@@ -159,24 +163,27 @@
         ]
 
     def not_backing_off(self) -> list[Replica]:
-        """Return the active endpoints that have not asked for a pause: an order, not a choice."""
+        """Return the active endpoints without a backoff, which is always respected."""
         now = self.clock.monotonic()
         return [replica for replica in self.active() if replica.backoff_left_s(now) <= 0]
 
     def candidates(self) -> list[Replica]:
-        """Return the endpoints to call that are healthy, or all that may be called if none is."""
+        """Return the callable endpoints that are not ejected, or all callable ones if all are."""
         now = self.clock.monotonic()
         allowed = self.not_backing_off()
         healthy = [replica for replica in allowed if not replica.health.is_ejected(now)]
         return healthy or allowed
 
     def min_backoff_left_s(self) -> float:
-        """Return when the first endpoint may be called, 0 if one may now."""
+        """Return the seconds until an endpoint may be called, 0 if one may be called now."""
         now = self.clock.monotonic()
         return min((replica.backoff_left_s(now) for replica in self.active()), default=0.0)
 
     def on_declined(self) -> None:
-        """Look anew at what waits once an endpoint has asked for a pause."""
+        """Fail the waiters that can't start before the earliest backoff ends.
+
+        Called after an endpoint has declined a call. Does nothing while an endpoint may be called.
+        """
         backoff_left_s = self.min_backoff_left_s()
         if backoff_left_s <= 0:
             return
@@ -188,13 +195,17 @@
         self.serve_waiters_in(backoff_left_s)
 
     def serve_waiters_in(self, wait_s: float) -> None:
-        """Serve whoever waits when the first pause is over."""
+        """Set the timer that serves the waiters when the earliest backoff has ended."""
         if self.timer is not None:
             self.timer.cancel()
         self.timer = asyncio.get_running_loop().call_later(wait_s + TIMER_SLACK_S, self.serve_waiters)
 
     async def acquire(self, request: SlotRequest) -> Slot:
-        """Return a slot; raise `NoEndpoint` or `NoRoom` at once when there will be none."""
+        """Return a slot, waiting for one until `latest_start`.
+
+        Raise `NoEndpoint` if no endpoint is active, and `NoFreeSlot` as soon as it is known that no
+        slot comes free in time.
+        """
         requested_at = self.clock.monotonic()
         if not self.active():
             raise NoEndpoint(f'service {self.service!r} has no active endpoint')
@@ -214,7 +225,7 @@
         )
 
     async def wait_in_queue(self, request: SlotRequest) -> Replica:
-        """Wait until `pump` gives us an endpoint."""
+        """Wait in the queue until `serve_waiters` assigns an endpoint."""
         if len(self.queue) >= MAX_QUEUED:
             raise self.no_free_slot(request.priority)
         future: asyncio.Future[Replica] = asyncio.get_running_loop().create_future()
@@ -233,14 +244,14 @@
             raise
 
     def release_unclaimed(self, future: asyncio.Future[Replica]) -> None:
-        """Release a place that was handed out just as its waiter gave up."""
+        """Release a slot that was assigned just as its waiter gave up."""
         if future.done() and not future.cancelled() and future.exception() is None:
             replica = future.result()
             replica.health.on_inconclusive()
             self.release(replica)
 
     def choose(self, request: SlotRequest) -> Replica | None:
-        """Return the endpoint for a call, or nothing if none has room."""
+        """Return the endpoint for a call, or `None` if none has a free slot."""
         with_room = [replica for replica in self.candidates() if replica.has_free_slot()]
         preferred = [replica for replica in with_room if replica.name not in request.exclude]
         if not with_room:
@@ -248,22 +259,22 @@
         return self.selector.choose(preferred or with_room, request.affinity)
 
     def take_slot(self, replica: Replica, request: SlotRequest, queued_s: float) -> Slot:
-        """Occupy a place."""
+        """Count a call in flight at an endpoint and return its slot."""
         self.occupy(replica)
         return Slot(pool=self, replica=replica, expected_s=request.expected_s, queued_s=queued_s)
 
     def occupy(self, replica: Replica) -> None:
-        """Count a call in flight."""
+        """Count a new call in flight at an endpoint."""
         replica.in_flight += 1
         replica.health.on_chosen()
 
     def release(self, replica: Replica) -> None:
-        """Count a call out and serve whoever waits."""
+        """Count the end of a call and serve the waiters."""
         replica.in_flight -= 1
         self.serve_waiters()
 
     def serve_waiters(self) -> None:
-        """Hand free places to the waiters, in the queue's order."""
+        """Assign free slots to the waiters, in queue order."""
         if not self.active():
             self.fail_waiters()
             return
@@ -278,13 +289,13 @@
             waiter.future.set_result(replica)
 
     def fail_waiters(self) -> None:
-        """Tell every waiter that no endpoint is left."""
+        """Fail every waiter with `NoEndpoint`."""
         while (waiter := self.queue.pop()) is not None:
             error = NoEndpoint(f'service {self.service!r} has no active endpoint')
             waiter.future.set_exception(error)
 
     def note_failure(self, replica: Replica) -> None:
-        """Count a failure, and eject the endpoint if that is due and allowed."""
+        """Record a failure, and eject the endpoint if that is due and allowed."""
         replica.on_failure()
         now = self.clock.monotonic()
         active = self.active()
@@ -294,47 +305,47 @@
             self.ejections += 1
 
     def record_served_time(self, served_s: float) -> None:
-        """Keep the average time that a call takes."""
+        """Update the moving average of a call's service time."""
         if self.served_s is None:
             self.served_s = served_s
         self.served_s += (served_s - self.served_s) * AVERAGE_WEIGHT
 
     def record_token_gap(self, gap_s: float) -> None:
-        """Keep the average time between two tokens."""
+        """Update the moving average of the time between two tokens."""
         if self.token_gap_s is None:
             self.token_gap_s = gap_s
         self.token_gap_s += (gap_s - self.token_gap_s) * AVERAGE_WEIGHT
 
     def slowness(self) -> float:
-        """Return how many times longer than expected a call takes, by the median endpoint."""
+        """Return the median endpoint's ratio of actual to expected service time."""
         values = sorted(replica.slowness.value for replica in self.candidates())
         return values[len(values) // 2] if values else 1.0
 
     def answers_per_s(self) -> float:
-        """Estimate the calls a second that this box gets answered (Little's law)."""
+        """Estimate the calls per second that this box gets answered, by Little's law."""
         slots = sum(replica.limit.value for replica in self.candidates())
         if not self.served_s:
             return float('inf')
         return slots / self.served_s
 
     def free_slots(self) -> int:
-        """Count the places free now."""
+        """Return the number of free slots."""
         return sum(max(0, replica.limit.value - replica.in_flight) for replica in self.candidates())
 
     def add_pending(self, priority: int) -> None:
-        """Count an admitted request that will ask for a slot."""
+        """Count an admitted request that will need a slot."""
         self.pending[priority] += 1
         self.arrivals.count(priority)
 
     def remove_pending(self, priority: int) -> None:
-        """Count off a request that got its slot, or never will."""
+        """Stop counting a request that has got its slot, or no longer needs one."""
         self.pending[priority] -= 1
 
     def estimated_wait_s(self, priority: int) -> float:
         """Estimate the seconds that a new request of `priority` will wait for a slot.
 
-        Requests of higher priority that come meanwhile go first, so only what they leave of the
-        rate counts.
+        Requests of higher priority that arrive meanwhile go first, so their arrival rate is
+        subtracted from the service rate.
         """
         ahead = sum(count for level, count in self.pending.items() if level >= priority)
         waiting = ahead + 1 - self.free_slots()
@@ -354,7 +365,7 @@
 
 
 class QueuedCall(Waiter):
-    """Wait for an endpoint with everything that the choice needs."""
+    """Wait for an endpoint; holds the request that the choice needs."""
 
     def __init__(self, *, request: SlotRequest, future: asyncio.Future[Replica]) -> None:
         super().__init__(
--- a/packages/core/calicopath_core/routing/registry.py
+++ b/packages/core/calicopath_core/routing/registry.py
@@ -1,4 +1,4 @@
-"""Keep the pools of all services in step with configuration."""
+"""Update the pools of all services when the configuration changes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PoolRegistry:
-    """Hold one pool a service, with this box's subset of the service's endpoints."""
+    """Hold one pool per service, with this box's subset of the service's endpoints."""
 
     def __init__(
         self,
@@ -34,13 +34,13 @@
         view.listeners.append(self.on_updates)
 
     def pool(self, service: str) -> ServicePool:
-        """Return the pool of a service, made when it is first asked for."""
+        """Return the pool of a service, created on first use."""
         if service not in self.pools:
             self.pools[service] = self.new_pool(service)
         return self.pools[service]
 
     def on_updates(self, updates: list[ViewUpdate]) -> None:
-        """Give the pools of the services concerned their endpoints at once."""
+        """Update the pools of all services whose endpoints have changed."""
         changed: set[str] = set()
         for update in updates:
             if update.key.startswith(ENDPOINT_PREFIX):
@@ -50,7 +50,7 @@
             self.pool(service).update(self.subset.choose(endpoints))
 
     def reassign(self, key: str) -> set[str]:
-        """Put an endpoint under its service and return the services that changed."""
+        """Index an endpoint under its current service; return the services that changed."""
         changed: set[str] = set()
         before = self.service_of.pop(key, None)
         if before is not None:
--- a/packages/core/calicopath_core/routing/replicas.py
+++ b/packages/core/calicopath_core/routing/replicas.py
@@ -1,4 +1,4 @@
-"""Keep what a box knows of one endpoint."""
+"""Track the load, health and speed of one endpoint as seen by this box."""
 
 from __future__ import annotations
 
@@ -14,45 +14,45 @@
 
 MAX_PENALTY = 20.0
 FAILURE_PENALTY = 1.5
-"""Factor by which a failed call makes an endpoint look slower; each answer takes it back."""
+"""Factor by which a failed call raises an endpoint's penalty, and an answer lowers it."""
 
 DECAY_TIME_S = 10.0
-"""Time in which what was learnt fades when no call tells more, so that a replica is tried again."""
+"""Time constant with which factors decay without new samples, so that a replica is tried again."""
 
 MAX_BACKOFF_S = 60.0
-"""The longest pause that is kept to; an endpoint that asks for more is called again after this, and
-operators who want it left alone drain it."""
+"""Longest backoff that is respected. An endpoint that asks for more is called again after this;
+operators can drain it to stop calls for longer."""
 
 SLOWNESS_WEIGHT = 0.2
-"""Weight of a new sample in the moving average."""
+"""Weight of a new sample in the moving average of slowness."""
 
 
 class DecayingFactor:
-    """Hold a factor that fades to one when nothing tells more."""
+    """Hold a factor that decays to 1 without new samples."""
 
     def __init__(self, *, clock: Clock) -> None:
         self.clock = clock
-        self.initial = 1.0
+        self.set_value = 1.0
         self.set_at = clock.monotonic()
 
     @property
     def value(self) -> float:
-        """Return the factor as it is now."""
+        """Return the current factor."""
         age_s = self.clock.monotonic() - self.set_at
-        return 1.0 + (self.initial - 1.0) * math.exp(-age_s / DECAY_TIME_S)
+        return 1.0 + (self.set_value - 1.0) * math.exp(-age_s / DECAY_TIME_S)
 
     def set(self, value: float) -> None:
-        """Hold a new factor from now on."""
-        self.initial = value
+        """Set the factor; its decay starts anew."""
+        self.set_value = value
         self.set_at = self.clock.monotonic()
 
 
 class Replica:
-    """Hold this box's calls in flight at an endpoint, its health and slowness.
+    """Track this box's calls in flight at an endpoint, its health and its slowness.
 
-    Slowness is the average of how many times longer than expected its answered calls take. The
-    penalty grows with calls that fail: the choice heeds both, estimates of time only the first,
-    since calls also fail when everything is overloaded.
+    `slowness` is the moving average of actual to expected service time of answered calls. `penalty`
+    grows with failed calls. The selector uses both; time estimates use only `slowness`, since calls
+    also fail when all endpoints are overloaded.
     """
 
     def __init__(self, *, endpoint: Endpoint, limit: ConcurrencyLimit, clock: Clock) -> None:
@@ -70,25 +70,25 @@
         return self.endpoint.name
 
     def on_answer(self, *, first_response_s: float, served_s: float, expected_s: float) -> None:
-        """Learn from an answered call that should have taken `expected_s` unloaded."""
+        """Record an answered call; `expected_s` is its service time when unloaded."""
         slowness = self.slowness.value
         self.slowness.set(slowness + (served_s / expected_s - slowness) * SLOWNESS_WEIGHT)
         self.penalty.set(max(1.0, self.penalty.value / FAILURE_PENALTY))
         self.limit.on_answer(first_response_s=first_response_s, in_flight=self.in_flight)
 
     def on_failure(self) -> None:
-        """Learn from a failed call, which has no service time of its own."""
+        """Record a failed call, which raises only the penalty, having no service time."""
         self.penalty.set(min(MAX_PENALTY, self.penalty.value * FAILURE_PENALTY))
 
     def on_declined(self, backoff_s: float, now: float) -> None:
-        """Learn from a call that the endpoint would not take; it may ask for a pause."""
+        """Record a declined call and the backoff that the endpoint asked for, if any."""
         self.limit.on_overload()
         self.backoff_until = max(self.backoff_until, now + min(backoff_s, MAX_BACKOFF_S))
 
     def backoff_left_s(self, now: float) -> float:
-        """Return for how long the endpoint wants nothing yet."""
+        """Return the seconds until the endpoint's backoff ends, 0 if it has none."""
         return max(0.0, self.backoff_until - now)
 
     def has_free_slot(self) -> bool:
-        """Tell whether the limit allows one more call."""
+        """Return whether the concurrency limit allows one more call."""
         return self.in_flight < self.limit.value
--- a/packages/core/calicopath_core/routing/subset.py
+++ b/packages/core/calicopath_core/routing/subset.py
@@ -1,4 +1,4 @@
-"""Choose the endpoints of a service with which one box works, when there are many."""
+"""Choose the subset of a service's endpoints that one box uses, when there are many."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 SUBSET_SIZE = 24
 REMOTE_RATIO = 0.25
-"""Share taken from other failure domains, which carries on when the own one is gone."""
+"""Part of the subset in other failure domains, which keeps serving if the local one fails."""
 
 
 class SubsetChooser:
     """Rank a service's endpoints for one box by rendezvous hashing.
 
-    Every box ranks in its own order, so that load is spread; an endpoint that comes or goes
-    changes one place of the subsets concerned and nothing else. The own failure domain goes
-    first, and what it lacks is filled from the others.
+    Every box has its own ranking, so that load is spread over the endpoints. An added or removed
+    endpoint changes at most one member of a subset. The box's own failure domain is preferred;
+    missing members come from the others.
     """
 
     def __init__(self, *, box: str, failure_domain: str, size: int = SUBSET_SIZE) -> None:
@@ -32,7 +32,7 @@
         self.weights: dict[str, int] = {}
 
     def choose(self, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
-        """Return the subset; all endpoints if there are few."""
+        """Return the subset of active endpoints; all of them if they are few."""
         active = [item for item in endpoints if item.state is EndpointState.ACTIVE]
         if len(active) <= self.size:
             return active
@@ -46,7 +46,7 @@
         return local[: self.size - remote_count] + remote[:remote_count]
 
     def weight(self, endpoint: Endpoint) -> int:
-        """Return an endpoint's weight for this box."""
+        """Return an endpoint's rendezvous weight for this box, computed once."""
         found = self.weights.get(endpoint.name)
         if found is None:
             found = self.weights[endpoint.name] = rendezvous_weight(endpoint.name, self.box)
--- a/packages/core/calicopath_core/routing/tests/backoff_tests.py
+++ b/packages/core/calicopath_core/routing/tests/backoff_tests.py
@@ -1,9 +1,8 @@
-"""Test that an endpoint which asks for a pause as it declines gets no call in it.
+"""Test that an endpoint gets no calls during the backoff that it asked for when declining.
 
-What an endpoint asked for with `Retry-After` was read, and used for nothing but to tell a decline
-from a connection refused: the next call went there again at once, and a call for which no other
-endpoint was left was declined at once in place of waiting for the pause to end. The same cause as
-with gateway boxes, which did not read it at all.
+Guards against a `Retry-After` that is read but not respected: the next call was sent to the same
+endpoint at once, and with no other endpoint left a call was declined at once instead of waiting
+for the end of the backoff. Gateway boxes had the same fault, since they did not read the header.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 from calicopath_core.routing.tests.pools_tests import new_pool, slot_request
 from testkit.cases import VirtualCase
 
-PAUSE_S = 0.6
+BACKOFF_S = 0.6
 
 
 class Backoffs(VirtualCase):
@@ -23,10 +22,10 @@
             pool = new_pool('ab', concurrency=8)
             slots = [await pool.acquire(slot_request()) for _ in range(2)]
             first = next(slot for slot in slots if slot.endpoint.name == 'a')
-            first.declined(PAUSE_S)
+            first.declined(BACKOFF_S)
             names = [(await pool.acquire(slot_request())).endpoint.name for _ in range(5)]
             self.assertEqual({'b'}, set(names))
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(BACKOFF_S)
             self.assertEqual('a', (await pool.acquire(slot_request())).endpoint.name)
 
         self.run_virtual(scenario())
@@ -34,9 +33,9 @@
     def test_with_no_other_a_call_waits_for_the_end_of_the_pause(self) -> None:
         async def scenario() -> None:
             pool = new_pool('a', concurrency=8)
-            (await pool.acquire(slot_request())).declined(PAUSE_S)
+            (await pool.acquire(slot_request())).declined(BACKOFF_S)
             slot = await pool.acquire(slot_request())
-            self.assertAlmostEqual(PAUSE_S, slot.queued_s, places=2)
+            self.assertAlmostEqual(BACKOFF_S, slot.queued_s, places=2)
 
         self.run_virtual(scenario())
 
@@ -55,10 +54,10 @@
     def test_what_waits_is_told_at_once_when_a_long_pause_begins(self) -> None:
         async def scenario() -> None:
             pool = new_pool('a')
-            held = await pool.acquire(slot_request())
+            slot_in_use = await pool.acquire(slot_request())
             waiting = asyncio.create_task(pool.acquire(slot_request()))
             await asyncio.sleep(0.1)
-            held.declined(5.0)
+            slot_in_use.declined(5.0)
             with self.assertRaises(NoFreeSlot):
                 await waiting
             self.assertAlmostEqual(0.1, asyncio.get_running_loop().time())
@@ -69,9 +68,9 @@
         async def scenario() -> None:
             pool = new_pool('ab', concurrency=8)
             slots = [await pool.acquire(slot_request()) for _ in range(6)]
-            mine = [slot for slot in slots if slot.endpoint.name == 'a']
-            mine[0].declined(PAUSE_S)
-            mine[1].declined(0.1)
+            slots_at_a = [slot for slot in slots if slot.endpoint.name == 'a']
+            slots_at_a[0].declined(BACKOFF_S)
+            slots_at_a[1].declined(0.1)
             await asyncio.sleep(0.3)
             names = [(await pool.acquire(slot_request())).endpoint.name for _ in range(3)]
             self.assertEqual({'b'}, set(names))
--- a/packages/core/calicopath_core/routing/tests/pools_tests.py
+++ b/packages/core/calicopath_core/routing/tests/pools_tests.py
@@ -1,4 +1,4 @@
-"""Test how slots are handed out."""
+"""Test the assignment of slots, ejection, and the choice of an endpoint."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class StoppedClock(Clock):
-    """Tell no time."""
+    """Stand still at 0."""
 
     def monotonic(self) -> float:
         """Return zero."""
@@ -36,7 +36,7 @@
 
 
 def new_pool(names: str = 'ab', concurrency: int = 1) -> ServicePool:
-    """Return a pool with a few endpoints."""
+    """Return a pool with one endpoint for each letter of `names`."""
     pool = ServicePool(
         service='s',
         clock=VirtualClock(),
@@ -48,9 +48,9 @@
 
 
 def slot_request(**changes: Any) -> SlotRequest:
-    """Return a ticket with a second to start."""
-    plain = SlotRequest(workspace='w', priority=5, deadline=2.0, latest_start=1.0, expected_s=0.1)
-    return plain._replace(**changes)
+    """Return a request that must get its slot within 1 s."""
+    default = SlotRequest(workspace='w', priority=5, deadline=2.0, latest_start=1.0, expected_s=0.1)
+    return default._replace(**changes)
 
 
 class Slots(VirtualCase):
@@ -166,7 +166,7 @@
 
 class Ejection(VirtualCase):
     async def fail_calls(self, pool: ServicePool, name: str, times: int) -> None:
-        """Let calls to one endpoint fail."""
+        """Let several calls to one endpoint fail."""
         for _ in range(times):
             pool.occupy(pool.replicas[name])
             Slot(pool=pool, replica=pool.replicas[name], expected_s=0.1, queued_s=0.0).failed()
@@ -208,7 +208,7 @@
 
 class Choices(VirtualCase):
     def replicas(self, count: int) -> list[Replica]:
-        """Return replicas with room."""
+        """Return idle replicas."""
         return [
             Replica(endpoint=endpoint(f'r{n}', 8), limit=FixedLimit(limit=8), clock=StoppedClock())
             for n in range(count)
@@ -254,7 +254,7 @@
     def test_an_affinity_is_kept_until_its_home_is_clearly_busier(self) -> None:
         replicas = self.replicas(4)
         selector = ExpectedCompletionSelector(rng=random.Random(3))
-        home = rendezvous(replicas, 'p')
-        self.assertIs(home, selector.choose(replicas, 'p'))
-        home.in_flight = 7
-        self.assertIsNot(home, selector.choose(replicas, 'p'))
+        owner = rendezvous(replicas, 'p')
+        self.assertIs(owner, selector.choose(replicas, 'p'))
+        owner.in_flight = 7
+        self.assertIsNot(owner, selector.choose(replicas, 'p'))
--- a/packages/core/calicopath_core/structure/__init__.py
+++ b/packages/core/calicopath_core/structure/__init__.py
@@ -1,1 +1,1 @@
-"""Hold the typed data that the rest of the system passes around."""
+"""Define the data types that all other packages share."""
--- a/packages/core/calicopath_core/structure/calls.py
+++ b/packages/core/calicopath_core/structure/calls.py
@@ -1,4 +1,4 @@
-"""Identify stage calls and carry what goes into and comes out of them."""
+"""Define stage and generation calls, their identifiers, inputs and outputs."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class CallId(NamedTuple):
-    """Identify one attempt at one stage of one request; answers must carry it back."""
+    """Identify one attempt at one stage of one request; the answer must repeat it."""
 
     request: str
     stage: str
     attempt: int
 
     def __str__(self) -> str:
-        """Return the form that goes over the wire."""
+        """Return the form that is sent on the wire."""
         return f'{self.request}/{self.stage}/{self.attempt}'
 
 
 class StageInput(TypedDict):
-    """Carry what earlier stages produced to the next one."""
+    """Hold the results of earlier stages, the input of the next one."""
 
     text: str
     vector: NotRequired[list[float]]
@@ -28,7 +28,7 @@
 
 
 class StageOutput(TypedDict, total=False):
-    """Carry what one stage adds to the input of the next."""
+    """Hold what one stage adds to the input of the next."""
 
     vector: list[float]
     documents: list[str]
@@ -37,7 +37,7 @@
 
 
 class StageCall(NamedTuple):
-    """Ask an endpoint to run one stage; `timeout_s` is what the caller will wait."""
+    """Define a call that runs one stage; `timeout_s` is how long the caller waits."""
 
     id: CallId
     params: dict[str, Any]
@@ -48,9 +48,9 @@
 
 
 class GenerationCall(NamedTuple):
-    """Ask an engine for tokens; those before `offset` were delivered by another replica.
+    """Define a call that generates tokens, from `offset` on.
 
-    `prefix` holds the bytes of these earlier tokens.
+    Earlier tokens were delivered by another replica; `prefix` holds their bytes.
     """
 
     id: CallId
@@ -63,9 +63,9 @@
 
 
 class Token(NamedTuple):
-    """Carry one generated token; `offset` counts tokens from the start of the answer.
+    """Hold one generated token; `offset` counts tokens from the start of the answer.
 
-    A token's bytes need not end at the end of a character.
+    A token may end inside a multi-byte character.
     """
 
     call: str
@@ -74,7 +74,7 @@
 
 
 class GenerationEnd(NamedTuple):
-    """Mark the end of a generation that produced `total` tokens, from the first on."""
+    """Mark the end of a generation; `total` counts all tokens of the answer."""
 
     call: str
     total: int
--- a/packages/core/calicopath_core/structure/endpoints.py
+++ b/packages/core/calicopath_core/structure/endpoints.py
@@ -10,7 +10,7 @@
 
 
 class EndpointState(enum.StrEnum):
-    """Say what an operator wants of an endpoint."""
+    """Name the state that an operator has set for an endpoint."""
 
     ACTIVE = 'active'
     DRAINING = 'draining'
@@ -18,7 +18,7 @@
 
 
 class Endpoint(NamedTuple):
-    """Describe one replica; `concurrency` is the number of calls it serves at once."""
+    """Describe one endpoint; `concurrency` is the number of calls it serves at once."""
 
     name: str
     service: str
--- a/packages/core/calicopath_core/structure/keys.py
+++ b/packages/core/calicopath_core/structure/keys.py
@@ -1,11 +1,11 @@
-"""Build and read the keys under which configuration lives in the object store."""
+"""Build the keys under which configuration is kept in the object store."""
 
 from __future__ import annotations
 
 import re
 
 CONFIG_PREFIX = 'config/'
-"""Every object that the boxes follow lives below this prefix."""
+"""Prefix of all objects that the boxes watch."""
 
 TEMPLATE_PREFIX = CONFIG_PREFIX + 'templates/'
 PIPELINE_PREFIX = CONFIG_PREFIX + 'pipelines/'
@@ -18,7 +18,7 @@
 
 
 def is_valid_name(name: str) -> bool:
-    """Tell whether `name` may be used for a template, workspace, pipeline or endpoint."""
+    """Return whether `name` is valid for a template, workspace, pipeline or endpoint."""
     return NAME_PATTERN.match(name) is not None
 
 
@@ -38,5 +38,5 @@
 
 
 def audit_key(key: str, sequence: int) -> str:
-    """Return the key of the archived record of change number `sequence` of `key`."""
+    """Return the key of the audit record of change number `sequence` of `key`."""
     return f'{AUDIT_PREFIX}{key}/{sequence:08d}'
--- a/packages/core/calicopath_core/structure/outcomes.py
+++ b/packages/core/calicopath_core/structure/outcomes.py
@@ -1,4 +1,4 @@
-"""Define the three ways in which every request ends."""
+"""Define the three outcomes of a request: answered, refused and failed."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Say why a request was refused before it ran."""
+    """Name the reason for which a request was refused before it ran."""
 
     DEADLINE_PASSED = 'deadline-passed'
     DEADLINE_TOO_SHORT = 'deadline-too-short'
@@ -24,7 +24,7 @@
 
 
 class FailureReason(enum.StrEnum):
-    """Say why a request that may have run has no whole answer."""
+    """Name the reason for which a request that may have run has no complete answer."""
 
     DEADLINE_PASSED = 'deadline-passed'
     OVERLOADED = 'overloaded'
@@ -37,7 +37,7 @@
 
 
 class StageTiming(NamedTuple):
-    """Record what one stage took; times are in seconds."""
+    """Record the time that one stage was queued and served, and its attempts."""
 
     stage: str
     endpoint: str
@@ -47,7 +47,10 @@
 
 
 class Answered(NamedTuple):
-    """Carry the whole answer; `replayed` marks the stored answer of an earlier run."""
+    """Hold the complete answer; `replayed` marks the stored answer of an earlier run.
+
+    `digest` is that of the plan with which the request ran.
+    """
 
     output: str
     results: dict[str, Any]
@@ -57,9 +60,9 @@
 
 
 class Refused(NamedTuple):
-    """Say that the request did not run, and when to come back.
+    """Report that the request did not run; `retry_after_s` is `None` if a retry is no use.
 
-    `cause` is for the log only: it may name inner addresses.
+    `cause` is for the log only, since it may name internal addresses.
     """
 
     reason: RefusalReason
@@ -69,9 +72,9 @@
 
 
 class Failed(NamedTuple):
-    """Say that the request may have run, in whole or in part, without a whole answer.
+    """Report that the request may have run, completely or in part, without a complete answer.
 
-    `cause` is for the log only: it may name inner addresses.
+    `cause` is for the log only, since it may name internal addresses.
     """
 
     reason: FailureReason
--- a/packages/core/calicopath_core/structure/stages.py
+++ b/packages/core/calicopath_core/structure/stages.py
@@ -1,4 +1,4 @@
-"""Describe stages, templates and a workspace's pipelines."""
+"""Define stages, templates, pipelines and the plans made from them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class StageKind(enum.StrEnum):
-    """Name what a stage's endpoints do."""
+    """Name the kind of work that a stage's endpoints do."""
 
     ENCODER = 'encoder'
     RETRIEVER = 'retriever'
@@ -19,7 +19,7 @@
 
 
 class ParameterType(enum.StrEnum):
-    """Name the type that a template's parameter takes."""
+    """Name the type of a template's parameter."""
 
     STRING = 'string'
     INTEGER = 'integer'
@@ -40,8 +40,8 @@
 class StageTemplate(NamedTuple):
     """Declare one stage of a template.
 
-    `expected_ms` is what the stage takes when unloaded; `min_ms` is the least it can do with.
-    `params` may hold `${name}` references to the template's parameters.
+    `expected_ms` is the stage's duration when unloaded. `params` may contain `${name}` references
+    to the template's parameters.
     """
 
     name: str
@@ -53,7 +53,7 @@
 
 
 class Template(NamedTuple):
-    """Declare the stages, in order, that a pipeline runs."""
+    """Declare the stages that a pipeline runs, in order."""
 
     name: str
     parameters: tuple[Parameter, ...]
@@ -72,7 +72,7 @@
 
 
 class StagePlan(NamedTuple):
-    """Hold a stage with every parameter filled in."""
+    """Hold a stage whose parameters have been substituted."""
 
     name: str
     kind: StageKind
@@ -83,10 +83,10 @@
 
 
 class Plan(NamedTuple):
-    """Hold everything that one request needs; a request keeps its plan for its whole life.
+    """Hold the resolved configuration of a pipeline; a request keeps its plan until it ends.
 
-    `digest` identifies template, parameters, deadline and priority: equal digests mean that
-    two boxes, or two sides of a migration, serve the pipeline the same way.
+    `digest` identifies template, parameters, deadline and priority. Equal digests mean that two
+    boxes, or the old and new system of a migration, serve the pipeline in the same way.
     """
 
     workspace: str
@@ -98,5 +98,5 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether every stage may be run again."""
+        """Return whether every stage may be run again."""
         return all(stage.repeatable for stage in self.stages)
