--- a/packages/core/calicopath_core/exchanges/plain.py
+++ b/packages/core/calicopath_core/exchanges/plain.py
@@ -137,7 +137,7 @@
 ) -> RefusedExchange:
     """Return the refusal of a request for which there is no replica, or no permit in time.
 
-    `permit_available_in_s` is `None` if no replica was waited for.
+    `permit_available_in_s` is `None` if there was no replica with a permit to wait for.
     """
     if state.may_have_run:
         return RefusedExchange(STATUS_BAD_GATEWAY, 'no-other-endpoint')
--- a/packages/core/calicopath_core/exchanges/streams.py
+++ b/packages/core/calicopath_core/exchanges/streams.py
@@ -75,7 +75,7 @@
             replica = self.context.replicas.replicas.get(placed.replica)
             bar = Bar.GONE if replica is None else self.context.gate.bar_of(replica)
             if replica is None or bar is not None:
-                # This box knows an exclusion that the scheduler did not; nothing was sent.
+                # This box knows of an exclusion that the scheduler missed; nothing was sent.
                 return self.skip_replica(placed, bar or Bar.GONE)
             await self.take_permit(placed, replica)
             check_not_blocked(self.context, self.state)
--- a/packages/core/calicopath_core/routing/pools.py
+++ b/packages/core/calicopath_core/routing/pools.py
@@ -163,12 +163,15 @@
         ]
 
     def not_backing_off(self) -> list[Replica]:
-        """Return the active endpoints without a backoff, which is always respected."""
+        """Return the active endpoints without a backoff; unlike ejection, it always applies."""
         now = self.clock.monotonic()
         return [replica for replica in self.active() if replica.backoff_left_s(now) <= 0]
 
     def candidates(self) -> list[Replica]:
-        """Return the callable endpoints that are not ejected, or all callable ones if all are."""
+        """Return the endpoints that may be called: those not ejected, or all if all are ejected.
+
+        Endpoints with a backoff are never among them.
+        """
         now = self.clock.monotonic()
         allowed = self.not_backing_off()
         healthy = [replica for replica in allowed if not replica.health.is_ejected(now)]
