--- a/packages/core/calicopath_core/exchanges/balancer.py
+++ b/packages/core/calicopath_core/exchanges/balancer.py
@@ -68,7 +68,10 @@
         self.failure_rate += SMOOTHING_WEIGHT * (1 - self.failure_rate)
         self.consecutive_failures += 1
         if self.consecutive_failures >= FAILURES_TO_EJECT:
-            ejection_s = min(MAX_EJECTION_S, MIN_EJECTION_S * 2 ** (self.consecutive_failures - FAILURES_TO_EJECT))
+            ejection_s = min(
+                MAX_EJECTION_S,
+                MIN_EJECTION_S * 2 ** (self.consecutive_failures - FAILURES_TO_EJECT),
+            )
             self.ejected_until = now + ejection_s
 
     def on_report(self, report: LoadReport, now: float) -> None:
@@ -133,8 +136,10 @@
 
     def permit_candidates(self, service: str, excluded: set[str], now: float) -> list[Replica]:
         """Return the replicas that may be called with a permit, lowest expected cost first."""
-        found = [item for item in self.gate.limited(service) if item.id not in excluded]
-        return sorted(self.cold_limiter.allowed(found, now), key=lambda item: self.cost_s(item, now))
+        found = [item for item in self.gate.limited_replicas(service) if item.id not in excluded]
+        return sorted(
+            self.cold_limiter.allowed(found, now), key=lambda item: self.cost_s(item, now)
+        )
 
     def min_latency_s(self, replicas: Iterable[Replica]) -> float:
         """Return the lowest average latency among some replicas, in seconds."""
@@ -147,4 +152,8 @@
         queueing = max(0.0, stats.estimated_calls(now) + 1 - slots) / slots
         distance_s = 0.0 if replica.failure_domain == self.failure_domain else REMOTE_PENALTY_S
         utilization = 0.25 * stats.estimated_calls(now) / slots
-        return stats.latency_s * (1 + queueing + utilization + FAILURE_COST_FACTOR * stats.failure_rate) + distance_s
+        return (
+            stats.latency_s
+            * (1 + queueing + utilization + FAILURE_COST_FACTOR * stats.failure_rate)
+            + distance_s
+        )
--- a/packages/core/calicopath_core/exchanges/context.py
+++ b/packages/core/calicopath_core/exchanges/context.py
@@ -19,7 +19,7 @@
     from calicopath_core.exchanges.messages import Exchange, ReplicaClient
     from calicopath_core.fleet.deployment import Deployment, DeploymentView, Route
     from calicopath_core.fleet.gate import CallGate
-    from calicopath_core.fleet.notices import Bar
+    from calicopath_core.fleet.notices import Exclusion
     from calicopath_core.fleet.replicas import ReplicaTable
     from calicopath_core.scheduling.client import SchedulerClient
     from calicopath_core.scheduling.election import Election
@@ -147,7 +147,7 @@
         """Handle an attempt without a complete answer; `left_s` is the time to the deadline."""
 
     @abstractmethod
-    def on_replica_skipped(self, state: ExchangeState, replica: str, bar: Bar) -> None:
+    def on_replica_skipped(self, state: ExchangeState, replica: str, bar: Exclusion) -> None:
         """Handle a replica that was chosen for a request but must not be called by this box."""
 
     @abstractmethod
--- a/packages/core/calicopath_core/exchanges/events.py
+++ b/packages/core/calicopath_core/exchanges/events.py
@@ -21,7 +21,9 @@
         Raise `ValueError` if an incomplete event exceeds `MAX_EVENT_BYTES`.
         """
         self.buffer += data
-        end = max(self.buffer.rfind(sep) + len(sep) if sep in self.buffer else 0 for sep in SEPARATORS)
+        end = max(
+            self.buffer.rfind(sep) + len(sep) if sep in self.buffer else 0 for sep in SEPARATORS
+        )
         if end == 0:
             if len(self.buffer) > MAX_EVENT_BYTES:
                 raise ValueError('an event is larger than 1 MiB')
--- a/packages/core/calicopath_core/exchanges/executor.py
+++ b/packages/core/calicopath_core/exchanges/executor.py
@@ -10,8 +10,8 @@
     STATUS_NOT_FOUND,
     STATUS_UNAUTHORIZED,
     STATUS_UNAVAILABLE,
-    RefusedExchange,
     ExchangeState,
+    RefusedExchange,
     check_not_blocked,
 )
 from calicopath_core.exchanges.plain import serve_plain
@@ -59,7 +59,9 @@
         """Return the state of a new exchange; raise `RefusedExchange` if it is not admitted."""
         deployment = self.context.view.current
         if deployment is None or not self.context.may_serve():
-            raise RefusedExchange(STATUS_UNAVAILABLE, 'not-ready', retry_after_s=SHORT_RETRY_AFTER_S)
+            raise RefusedExchange(
+                STATUS_UNAVAILABLE, 'not-ready', retry_after_s=SHORT_RETRY_AFTER_S
+            )
         route = deployment.route_for(exchange.host, exchange.path)
         if route is None:
             raise RefusedExchange(STATUS_NOT_FOUND, 'no-route')
@@ -104,7 +106,9 @@
     """
     if len(route.services) == 1:
         return route.services[0].service
-    remaining = random.Random(exchange.call_id).random() * sum(item.weight for item in route.services)
+    remaining = random.Random(exchange.call_id).random() * sum(
+        item.weight for item in route.services
+    )
     for item in route.services:
         remaining -= item.weight
         if remaining < 0:
--- a/packages/core/calicopath_core/exchanges/messages.py
+++ b/packages/core/calicopath_core/exchanges/messages.py
@@ -5,12 +5,12 @@
 from abc import ABC, abstractmethod
 from typing import TYPE_CHECKING, NamedTuple
 
-from calicopath_core.fleet.notices import Deaf
+from calicopath_core.fleet.notices import NoInterceptor
 
 if TYPE_CHECKING:
     from calicopath_core.backends.base import ProbeResult
     from calicopath_core.exchanges.balancer import LoadReport
-    from calicopath_core.fleet.notices import ReplicaListener
+    from calicopath_core.fleet.notices import CallInterceptor
     from calicopath_core.fleet.replicas import Replica
     from calicopath_core.scheduling.messages import Prompt
 
@@ -96,7 +96,7 @@
 class ReplicaProber(ABC):
     """Probe whether replicas accept connections; `interceptor` is notified of calls and answers."""
 
-    interceptor: ReplicaListener = Deaf()
+    interceptor: CallInterceptor = NoInterceptor()
 
     @abstractmethod
     async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
--- a/packages/core/calicopath_core/exchanges/plain.py
+++ b/packages/core/calicopath_core/exchanges/plain.py
@@ -12,7 +12,7 @@
     NotStarted,
     WrongAnswer,
 )
-from calicopath_core.crashes.fate import ReplicaFate
+from calicopath_core.crashes.fate import ReplicaCrashProbe
 from calicopath_core.exchanges.context import (
     SHORT_RETRY_AFTER_S,
     STATUS_BAD_GATEWAY,
@@ -22,7 +22,7 @@
     check_not_blocked,
 )
 from calicopath_core.exchanges.messages import OutboundRequest
-from calicopath_core.fleet.notices import Barred
+from calicopath_core.fleet.notices import ReplicaExcluded
 
 if TYPE_CHECKING:
     from calicopath_core.exchanges.context import ExchangeContext, ExchangeState
@@ -64,10 +64,10 @@
             continue
         try:
             answer = await attempt(context, state, replica)
-        except Barred as error:
+        except ReplicaExcluded as error:
             state.on_send_cancelled()
             state.skipped_replicas.append(replica.id)
-            context.observer.on_replica_skipped(state, replica.id, error.bar)
+            context.observer.on_replica_skipped(state, replica.id, error.exclusion)
             continue
         except BackendError as error:
             left_s = state.deadline_at - context.clock.monotonic()
@@ -96,10 +96,12 @@
     """Probe whether a replica has crashed and report it, before the request is sent again."""
     ran = not isinstance(error, NotStarted | WrongAnswer)
     if ran and not state.expired(context.clock.monotonic()):
-        fate = ReplicaFate(reach=context.replica_client, replicas=context.replicas, replica=replica)
+        fate = ReplicaCrashProbe(
+            reach=context.replica_client, replicas=context.replicas, replica=replica
+        )
         contents = [state.content]
         await context.crashes.on_failed(
-            contents, state.service, fate, error, began=state.sent_at, answered=answered
+            contents, state.service, fate, error, run_started_at=state.sent_at, answered=answered
         )
 
 
@@ -111,10 +113,12 @@
     """
     now = context.clock.monotonic()
     replica = context.balancer.choose(state.service, state.excluded_replicas, now)
-    if replica is not None and context.gate.limits.of(replica) is None:
+    if replica is not None and context.gate.limits.limit_of(replica) is None:
         return replica
     if replica is not None:
-        permit = await context.gate.permits.ask([replica], wait_s=0.0, priority=state.priority)
+        permit = await context.gate.permits.request_permit(
+            [replica], wait_s=0.0, priority=state.priority
+        )
         return replica if permit.replica else None
     candidates = context.balancer.permit_candidates(state.service, state.excluded_replicas, now)
     if not candidates:
@@ -122,12 +126,12 @@
     left_s = state.deadline_at - now - context.balancer.min_latency_s(candidates)
     wait_s = max(0.0, MAX_PERMIT_WAIT_RATIO * left_s)
     priority = state.priority
-    permit = await context.gate.permits.ask(candidates, wait_s=wait_s, priority=priority)
+    permit = await context.gate.permits.request_permit(candidates, wait_s=wait_s, priority=priority)
     waited_s = context.clock.monotonic() - now
-    context.observer.on_permit_wait_ended(state, permit.replica, waited_s, permit.opens_in_s)
+    context.observer.on_permit_wait_ended(state, permit.replica, waited_s, permit.available_in_s)
     found = context.replicas.replicas.get(permit.replica)
     if found is None:
-        raise no_replica_refusal(context, state, permit.opens_in_s)
+        raise no_replica_refusal(context, state, permit.available_in_s)
     context.balancer.cold_limiter.on_sent(found, context.clock.monotonic())
     return found
 
@@ -144,13 +148,16 @@
     if permit_available_in_s is None:
         wait_s = min_retry_after_s(context, state)
         return RefusedExchange(STATUS_UNAVAILABLE, 'no-endpoint', retry_after_s=wait_s)
-    wait_s = max(SHORT_RETRY_AFTER_S, permit_available_in_s * context.balancer.rng.uniform(1.0, MAX_RETRY_AFTER_JITTER))
+    wait_s = max(
+        SHORT_RETRY_AFTER_S,
+        permit_available_in_s * context.balancer.rng.uniform(1.0, MAX_RETRY_AFTER_JITTER),
+    )
     return RefusedExchange(STATUS_UNAVAILABLE, 'limited', retry_after_s=wait_s)
 
 
 def min_retry_after_s(context: ExchangeContext, state: ExchangeState) -> float:
     """Return the `Retry-After` of a refusal: the seconds until a replica may be called again."""
-    return max(SHORT_RETRY_AFTER_S, context.gate.first_back_s(state.service))
+    return max(SHORT_RETRY_AFTER_S, context.gate.earliest_available_in_s(state.service))
 
 
 def try_spend_retry(context: ExchangeContext, state: ExchangeState) -> bool:
@@ -160,10 +167,14 @@
     if all(item.id in state.excluded_replicas for item in context.gate.usable(state.service)):
         return False
     now = context.clock.monotonic()
-    return context.retry_budgets.for_service(state.service).try_spend(now, context.election.boxes_sharing())
+    return context.retry_budgets.for_service(state.service).try_spend(
+        now, context.election.box_count()
+    )
 
 
-def check_retry_allowed(context: ExchangeContext, state: ExchangeState, error: BackendError) -> None:
+def check_retry_allowed(
+    context: ExchangeContext, state: ExchangeState, error: BackendError
+) -> None:
     """Return if the request may be sent again; else raise `RefusedExchange`."""
     now = context.clock.monotonic()
     if not state.expired(now) and try_spend_retry(context, state):
@@ -177,7 +188,9 @@
     ) from error
 
 
-async def attempt(context: ExchangeContext, state: ExchangeState, replica: Replica) -> CompleteAnswer:
+async def attempt(
+    context: ExchangeContext, state: ExchangeState, replica: Replica
+) -> CompleteAnswer:
     """Send a request to one replica, read the complete answer and update the statistics."""
     started_at = context.clock.monotonic()
     stats = context.balancer.stats_of(replica)
@@ -185,7 +198,9 @@
     state.on_send(replica.id, started_at)
     timeout_s = state.deadline_at - started_at
     if state.route.repeatable and state.runs + 1 < state.route.max_attempts:
-        timeout_s = min(timeout_s, max(MIN_ATTEMPT_TIMEOUT_S, ATTEMPT_TIMEOUT_FACTOR * stats.latency_s))
+        timeout_s = min(
+            timeout_s, max(MIN_ATTEMPT_TIMEOUT_S, ATTEMPT_TIMEOUT_FACTOR * stats.latency_s)
+        )
     try:
         async with asyncio.timeout(max(0.0, timeout_s)):
             answer = await call_replica(context, state, replica)
@@ -194,7 +209,7 @@
         state.runs += 1
         stats.on_failure(context.clock.monotonic())
         raise MayHaveRun(f'{replica.id} did not answer within {timeout_s:.3f} s') from error
-    except Barred:
+    except ReplicaExcluded:
         raise
     except NotStarted:
         stats.on_failure(context.clock.monotonic())
@@ -216,7 +231,9 @@
     return answer
 
 
-async def call_replica(context: ExchangeContext, state: ExchangeState, replica: Replica) -> CompleteAnswer:
+async def call_replica(
+    context: ExchangeContext, state: ExchangeState, replica: Replica
+) -> CompleteAnswer:
     """Make one call and read its answer; raise `Declined` if the replica declined it."""
     now = context.clock.monotonic()
     outbound = OutboundRequest(
@@ -232,7 +249,9 @@
     answer = await context.replica_client.send(outbound)
     try:
         if answer.head.load is not None:
-            context.balancer.stats_of(replica).on_report(answer.head.load, context.clock.monotonic())
+            context.balancer.stats_of(replica).on_report(
+                answer.head.load, context.clock.monotonic()
+            )
         body = await read_all(answer)
     finally:
         answer.close()
--- a/packages/core/calicopath_core/exchanges/streams.py
+++ b/packages/core/calicopath_core/exchanges/streams.py
@@ -17,9 +17,9 @@
 from calicopath_core.exchanges.events import EventSplitter
 from calicopath_core.exchanges.messages import OutboundRequest
 from calicopath_core.exchanges.plain import note_crash, read_all
-from calicopath_core.fleet.notices import Bar, Barred
+from calicopath_core.fleet.notices import Exclusion, ReplicaExcluded
 from calicopath_core.scheduling.client import PlacementRejected
-from calicopath_core.scheduling.messages import PhaseWork, Place, Prompt
+from calicopath_core.scheduling.messages import PhaseWork, PlaceJob, Prompt
 
 if TYPE_CHECKING:
     from calicopath_core.exchanges.context import ExchangeContext, ExchangeState
@@ -73,21 +73,23 @@
         try:
             placed = await self.place(job)
             replica = self.context.replicas.replicas.get(placed.replica)
-            bar = Bar.GONE if replica is None else self.context.gate.bar_of(replica)
+            bar = Exclusion.GONE if replica is None else self.context.gate.exclusion_of(replica)
             if replica is None or bar is not None:
                 # This box knows of an exclusion that the scheduler missed; nothing was sent.
-                return self.skip_replica(placed, bar or Bar.GONE)
+                return self.skip_replica(placed, bar or Exclusion.GONE)
             await self.take_permit(placed, replica)
             check_not_blocked(self.context, self.state)
             try:
                 return await self.run(job, placed, replica)
-            except Barred as error:
+            except ReplicaExcluded as error:
                 self.state.on_send_cancelled()
-                return self.skip_replica(placed, error.bar)
+                return self.skip_replica(placed, error.exclusion)
             except BackendError as error:
                 failed = not isinstance(error, Declined)
                 turned_away = isinstance(error, Declined) and error.turned_away
-                await note_crash(self.context, self.state, replica, error, answered=self.first_event_received)
+                await note_crash(
+                    self.context, self.state, replica, error, answered=self.first_event_received
+                )
                 raise
         except BackendError as error:
             self.context.observer.on_attempt_failed(
@@ -96,7 +98,7 @@
             self.check_retry_allowed(error)
             return False
         finally:
-            self.context.scheduler.ended(job, failed=failed, turned_away=turned_away)
+            self.context.scheduler.report_ended(job, failed=failed, turned_away=turned_away)
 
     async def take_permit(self, placed: Placed, replica: Replica) -> None:
         """Use the permit granted with a placement; request one if the scheduler knew of no limit.
@@ -105,11 +107,13 @@
         """
         permits = self.context.gate.permits
         if placed.permit:
-            permits.lend(replica.id)
-        elif self.context.gate.limits.binds(replica):
-            await permits.ask([replica], wait_s=MAX_PERMIT_WAIT_S, priority=self.state.priority)
+            permits.add_permit(replica.id)
+        elif self.context.gate.limits.requires_permit(replica):
+            await permits.request_permit(
+                [replica], wait_s=MAX_PERMIT_WAIT_S, priority=self.state.priority
+            )
 
-    def skip_replica(self, placed: Placed, bar: Bar) -> bool:
+    def skip_replica(self, placed: Placed, bar: Exclusion) -> bool:
         """Record a skipped engine so that another is chosen; return `False`.
 
         Raise `RefusedExchange` after too many skipped engines.
@@ -140,7 +144,7 @@
         late = self.state.expired(self.context.clock.monotonic())
         return RefusedExchange(STATUS_GATEWAY_TIMEOUT if late else STATUS_BAD_GATEWAY, reason)
 
-    def placement_request(self, job: str) -> Place:
+    def placement_request(self, job: str) -> PlaceJob:
         """Return the message that asks the scheduler for an engine."""
         state, exchange = self.state, self.state.exchange
         spent_s = self.context.clock.monotonic() - exchange.received_at
@@ -150,7 +154,7 @@
             for number, phase in enumerate(state.route.phases)
             if number < len(counts)
         )
-        return Place(
+        return PlaceJob(
             job=job,
             reply_to=self.context.election.own.address,
             failure_domain=self.context.failure_domain,
@@ -158,7 +162,7 @@
             piece_key=exchange.piece_key,
             priority=state.priority,
             objective_s=state.route.objective_s - spent_s,
-            deadline_s=min(self.left_s(), state.route.patience_s - spent_s),
+            deadline_s=min(self.left_s(), state.route.first_event_timeout_s - spent_s),
             service=state.service,
             phases=phases,
             prompt=exchange.prompt or Prompt('', (), 0, 0),
@@ -166,7 +170,7 @@
             resumed=bool(state.tried_replicas),
             workspace=state.workspace or '',
             content=state.content,
-            backoffs=self.context.gate.backoffs_of(state.service),
+            backoffs=self.context.gate.remaining_backoffs(state.service),
             may_have_run=state.may_have_run,
         )
 
@@ -249,7 +253,7 @@
                 continue
             if not self.first_event_received:
                 self.first_event_received = True
-                self.context.scheduler.started(job)
+                self.context.scheduler.report_started(job)
                 timeout_s = EVENT_GAP_TIMEOUT_S if self.state.route.repeatable else self.left_s()
             await self.forward(answer, events)
         if self.splitter.buffer:
@@ -290,7 +294,7 @@
         now = self.context.clock.monotonic()
         allowed = not state.expired(now) and state.sends < MAX_SENDS and state.may_run_again()
         budget = self.context.retry_budgets.for_service(state.service)
-        if allowed and budget.try_spend(now, self.context.election.boxes_sharing()):
+        if allowed and budget.try_spend(now, self.context.election.box_count()):
             return
         reason = 'deadline-passed' if state.expired(now) else 'engine-failed'
         raise self.refusal(reason, None) from error
--- a/packages/core/calicopath_core/exchanges/tests/parts_tests.py
+++ b/packages/core/calicopath_core/exchanges/tests/parts_tests.py
@@ -10,7 +10,11 @@
 from hypothesis import strategies as st
 
 from calicopath_core.exchanges.balancer import FAILURES_TO_EJECT, Balancer, LoadReport
-from calicopath_core.exchanges.budget import USABLE_BUDGET_RATIO, RetryBudgetTerms, WindowRetryBudget
+from calicopath_core.exchanges.budget import (
+    USABLE_BUDGET_RATIO,
+    RetryBudgetTerms,
+    WindowRetryBudget,
+)
 from calicopath_core.exchanges.events import MAX_EVENT_BYTES, EventSplitter
 from calicopath_core.fleet.replicas import Replica, ReplicaTable
 from testkit.gates import new_gate
@@ -65,7 +69,10 @@
         self.far = Replica('far', 's', 'b:1', 'there', 4, False)
         self.table.replace([self.near, self.far], 0.0)
         self.balancer = Balancer(
-            replicas=self.table, gate=new_gate(self.table), failure_domain='here', rng=random.Random(1)
+            replicas=self.table,
+            gate=new_gate(self.table),
+            failure_domain='here',
+            rng=random.Random(1),
         )
 
     def chosen(self, now: float = 0.0) -> str:
--- a/packages/core/calicopath_core/fleet/deployment.py
+++ b/packages/core/calicopath_core/fleet/deployment.py
@@ -48,7 +48,7 @@
     phases: tuple[Phase, ...]
     anonymous: bool
     resumable: bool
-    patience_s: float = math.inf
+    first_event_timeout_s: float = math.inf
 
     @property
     def repeatable(self) -> bool:
@@ -68,7 +68,7 @@
     batch: int
     call_s: float
     piece_s: float
-    room_bytes: float
+    result_capacity_bytes: float
     result_ttl_s: float
 
 
@@ -138,7 +138,9 @@
         self.services = {service.name: service for service in services}
         self.limits = limits
         self.has_workspaces = bool(workspaces)
-        self.workspaces_by_key = {key: workspace for workspace in workspaces for key in workspace.keys}
+        self.workspaces_by_key = {
+            key: workspace for workspace in workspaces for key in workspace.keys
+        }
         self.routes_by_prefix = {(route.host, route.prefix): route for route in routes}
 
     def route_for(self, host: str, path: str) -> Route | None:
@@ -163,7 +165,7 @@
         self.current: Deployment | None = None
         self.applied_at = 0.0
 
-    def offer(self, deployment: Deployment, now: float) -> bool:
+    def apply_if_newer(self, deployment: Deployment, now: float) -> bool:
         """Apply a deployment if it is newer than the one held; say whether it was."""
         if self.current is not None and deployment.version <= self.current.version:
             return False
--- a/packages/core/calicopath_core/limits/queue.py
+++ b/packages/core/calicopath_core/limits/queue.py
@@ -59,7 +59,9 @@
         workspace = item.waiter.workspace
         if workspace not in self.queues:
             self.queues[workspace] = []
-            self.virtual_times[workspace] = max(self.virtual_now, self.virtual_times.get(workspace, 0.0))
+            self.virtual_times[workspace] = max(
+                self.virtual_now, self.virtual_times.get(workspace, 0.0)
+            )
         heapq.heappush(self.queues[workspace], item)
 
     def pop(self) -> Waiter | None:
--- a/packages/core/calicopath_core/routing/pools.py
+++ b/packages/core/calicopath_core/routing/pools.py
@@ -201,7 +201,9 @@
         """Set the timer that serves the waiters when the earliest backoff has ended."""
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = asyncio.get_running_loop().call_later(wait_s + TIMER_SLACK_S, self.serve_waiters)
+        self.timer = asyncio.get_running_loop().call_later(
+            wait_s + TIMER_SLACK_S, self.serve_waiters
+        )
 
     async def acquire(self, request: SlotRequest) -> Slot:
         """Return a slot, waiting for one until `latest_start`.
--- a/packages/core/calicopath_core/routing/tests/pools_tests.py
+++ b/packages/core/calicopath_core/routing/tests/pools_tests.py
@@ -9,7 +9,14 @@
 from calicopath_core.clock import Clock
 from calicopath_core.limits.concurrency import FixedLimit
 from calicopath_core.routing.outliers import FAILURES_TO_EJECT, Health
-from calicopath_core.routing.pools import MAX_WAIT_S, NoEndpoint, NoFreeSlot, ServicePool, Slot, SlotRequest
+from calicopath_core.routing.pools import (
+    MAX_WAIT_S,
+    NoEndpoint,
+    NoFreeSlot,
+    ServicePool,
+    Slot,
+    SlotRequest,
+)
 from calicopath_core.routing.replicas import Replica
 from calicopath_core.routing.selectors import ExpectedCompletionSelector, rendezvous
 from calicopath_core.structure.endpoints import Endpoint, EndpointState
@@ -127,7 +134,8 @@
         async def scenario() -> None:
             pool = new_pool('ab', concurrency=2)
             names = [
-                (await pool.acquire(slot_request(exclude=frozenset('a')))).endpoint.name for _ in range(3)
+                (await pool.acquire(slot_request(exclude=frozenset('a')))).endpoint.name
+                for _ in range(3)
             ]
             self.assertEqual(['b', 'b', 'a'], names)
 
--- a/packages/core/calicopath_core/scheduling/tests/backoffs_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/backoffs_tests.py
@@ -8,13 +8,13 @@
 
 from calicopath_core.fleet.deployment import EngineSpec, ServiceSpec
 from calicopath_core.fleet.replicas import ReplicaTable
-from calicopath_core.scheduling.backoffs import LEAST_SHUN_S, TRIAL_S
+from calicopath_core.scheduling.backoffs import MIN_AVOIDANCE_S, TRIAL_TIMEOUT_S
 from calicopath_core.scheduling.interfaces import SchedulerObserver, StageCaller
 from calicopath_core.scheduling.messages import (
-    Adopt,
-    BackoffNews,
-    Place,
+    AdoptJob,
+    BackoffNotice,
     Placed,
+    PlaceJob,
     Rejected,
     RunEnded,
     RunStarted,
@@ -42,7 +42,7 @@
     def __init__(self) -> None:
         self.placed: dict[str, str] = {}
         self.rejected: dict[str, Rejected] = {}
-        self.handed: list[Adopt] = []
+        self.handed: list[AdoptJob] = []
 
     def send(self, address: str, message: msgspec.Struct) -> None:
         """Keep a message."""
@@ -50,11 +50,11 @@
             self.placed[message.job] = message.replica
         elif isinstance(message, Rejected):
             self.rejected[message.job] = message
-        elif isinstance(message, Adopt):
+        elif isinstance(message, AdoptJob):
             self.handed.append(message)
 
 
-def place(name: str, box: str = BOX, **changes: Any) -> Place:
+def place(name: str, box: str = BOX, **changes: Any) -> PlaceJob:
     """Return a question."""
     return job(name, reply_to=box, **changes).place
 
@@ -85,9 +85,9 @@
 
         self.run_virtual(scenario())
 
-    def test_a_box_is_given_none_that_wants_nothing_from_it(self) -> None:
+    def test_a_box_is_given_no_engine_that_told_it_to_back_off(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs={'e1': 3.0, 'e2': 3.0}))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs={'e1': 3.0, 'e2': 3.0}))
             for number in range(6):
                 scheduler.on_place(place(f'j{number}'))
             self.assertEqual(['e3'] * 6, list(told.placed.values()))
@@ -96,7 +96,7 @@
 
     def test_another_box_is_given_it_only_if_there_is_no_other(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs={'e1': 3.0, 'e2': 3.0}))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs={'e1': 3.0, 'e2': 3.0}))
             scheduler.on_place(place('first', OTHER))
             scheduler.on_place(place('second', OTHER))
             self.assertEqual('e3', told.placed['first'])
@@ -104,7 +104,7 @@
 
         self.play(work, slots=1)
 
-    def test_the_question_itself_tells_of_it(self) -> None:
+    def test_the_place_message_itself_carries_backoffs(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
             scheduler.on_place(place('j', backoffs={'e1': 3.0, 'e3': 3.0}))
             self.assertEqual({'j': 'e2'}, told.placed)
@@ -114,7 +114,7 @@
     def test_with_none_left_in_time_it_is_rejected_at_once_until_the_first_is_back(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
             lefts = {'e1': 9.0, 'e2': 4.0, 'e3': 8.0}
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=lefts))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=lefts))
             scheduler.on_place(place('j', objective_s=3.0, deadline_s=60.0))
             self.assertEqual('backing-off', told.rejected['j'].reason)
             self.assertLessEqual(4.0, told.rejected['j'].retry_after_s)
@@ -125,7 +125,7 @@
     def test_a_wait_that_ends_in_time_is_waited_for(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
             lefts = dict.fromkeys(ENGINES, 1.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=lefts))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=lefts))
             scheduler.on_place(place('j', objective_s=3.0))
             self.assertEqual({}, told.placed)
             await asyncio.sleep(1.1)
@@ -140,7 +140,7 @@
             scheduler.on_place(place('waits', objective_s=3.0))
             self.assertNotIn('waits', told.placed)
             lefts = dict.fromkeys(ENGINES, 5.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=lefts))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=lefts))
             self.assertEqual('backing-off', told.rejected['waits'].reason)
 
         self.play(work, slots=1)
@@ -148,7 +148,7 @@
     def test_what_may_have_run_is_held_until_its_deadline_would_pass(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
             lefts = dict.fromkeys(ENGINES, 5.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=lefts))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=lefts))
             scheduler.on_place(place('j', objective_s=3.0, may_have_run=True))
             self.assertEqual({}, told.rejected)
             await asyncio.sleep(5.1)
@@ -159,14 +159,14 @@
     def test_the_jobs_of_one_box_do_not_hold_up_those_of_others(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
             lefts = dict.fromkeys(ENGINES, 1.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=lefts))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=lefts))
             scheduler.on_place(place('waits', objective_s=2.0))
             scheduler.on_place(place('other', OTHER))
             self.assertEqual(['other'], list(told.placed))
 
         self.play(work)
 
-    def test_one_that_turns_runs_away_without_a_wish_draws_no_more_than_the_others(self) -> None:
+    def test_one_that_turns_runs_away_without_a_backoff_draws_no_more_than_the_others(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
             for number in range(100):
                 name = f'j{number}'
@@ -186,20 +186,20 @@
         async def work(scheduler: Scheduler, told: Told) -> None:
             backoffs = scheduler.boards.backoffs
             backoffs.on_turned_away('e1', 0.0)
-            self.assertTrue(backoffs.is_shunned('e1', LEAST_SHUN_S / 2))
-            backoffs.on_placed('e1', LEAST_SHUN_S)
-            self.assertTrue(backoffs.in_trial('e1', LEAST_SHUN_S + TRIAL_S / 2))
-            backoffs.on_started('e1', -1.0, LEAST_SHUN_S + TRIAL_S / 2)
-            self.assertTrue(backoffs.in_trial('e1', LEAST_SHUN_S + TRIAL_S / 2))
-            backoffs.on_started('e1', LEAST_SHUN_S, LEAST_SHUN_S + TRIAL_S / 2)
-            self.assertFalse(backoffs.in_trial('e1', LEAST_SHUN_S + TRIAL_S / 2))
+            self.assertTrue(backoffs.is_avoided('e1', MIN_AVOIDANCE_S / 2))
+            backoffs.on_placed('e1', MIN_AVOIDANCE_S)
+            self.assertTrue(backoffs.in_trial('e1', MIN_AVOIDANCE_S + TRIAL_TIMEOUT_S / 2))
+            backoffs.on_started('e1', -1.0, MIN_AVOIDANCE_S + TRIAL_TIMEOUT_S / 2)
+            self.assertTrue(backoffs.in_trial('e1', MIN_AVOIDANCE_S + TRIAL_TIMEOUT_S / 2))
+            backoffs.on_started('e1', MIN_AVOIDANCE_S, MIN_AVOIDANCE_S + TRIAL_TIMEOUT_S / 2)
+            self.assertFalse(backoffs.in_trial('e1', MIN_AVOIDANCE_S + TRIAL_TIMEOUT_S / 2))
 
         self.play(work)
 
     def test_what_waited_does_not_come_back_in_one_instant(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
             lefts = dict.fromkeys(ENGINES, 1.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=lefts))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=lefts))
             for number in range(30):
                 scheduler.on_place(place(f'j{number}', objective_s=6.0))
             await asyncio.sleep(1.1)
@@ -214,10 +214,10 @@
     def test_a_job_that_is_handed_over_takes_what_is_left_of_it_along(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
             lefts = dict.fromkeys(ENGINES, 1.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=lefts))
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=lefts))
             scheduler.on_place(place('j', objective_s=3.0))
             await asyncio.sleep(0.4)
-            scheduler.succession.give_way(OTHER)
+            scheduler.succession.step_down(OTHER)
             found = told.handed[0].place.backoffs
             self.assertEqual(set(ENGINES), set(found))
             self.assertAlmostEqual(0.6, found['e1'], places=3)
@@ -227,9 +227,9 @@
     def test_what_is_over_is_forgotten(self) -> None:
         async def work(scheduler: Scheduler, told: Told) -> None:
             lefts = dict.fromkeys(ENGINES, 1.0)
-            scheduler.on_backoffs(BackoffNews(address=BOX, backoffs=lefts))
-            scheduler.boards.forget_lost(30.0)
+            scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=lefts))
+            scheduler.boards.expire(30.0)
             backoffs = scheduler.boards.backoffs
-            self.assertEqual(({}, {}), (backoffs.by_box, backoffs.shuns))
+            self.assertEqual(({}, {}), (backoffs.by_box, backoffs.avoidances))
 
         self.play(work)
--- a/packages/daemon/calicopathd/gateway/peers.py
+++ b/packages/daemon/calicopathd/gateway/peers.py
@@ -9,27 +9,27 @@
 
 from calicopath_core.crashes.messages import CRASH_MESSAGES, CrashNews
 from calicopath_core.fleet.leaving_sharing import LEAVING_MESSAGES
-from calicopath_core.fleet.positions import NOTHING
+from calicopath_core.fleet.positions import NO_POSITION
 from calicopath_core.fleet.relay_messages import (
     RELAY_MESSAGES,
-    RelayBeat,
+    RelayStatus,
     RelayUpdate,
     Subscribe,
 )
 from calicopath_core.membership.messages import BadMessage, MessageDecoder, encode
 from calicopath_core.permits.messages import PERMIT_MESSAGES
 from calicopath_core.permits.sharing import LIMIT_MESSAGES
-from calicopath_core.scheduling.election import PING_S
+from calicopath_core.scheduling.election import PING_INTERVAL_S
 from calicopath_core.scheduling.messages import (
     MESSAGES,
-    Adopt,
-    BackoffNews,
+    AdoptJob,
+    BackoffNotice,
     EngineLoads,
     HandedOver,
-    Learned,
+    LearnedEstimates,
     Ping,
-    Place,
     Placed,
+    PlaceJob,
     Pong,
     Progress,
     Rejected,
@@ -116,21 +116,21 @@
             case Ping():
                 self.election.on_ping(message, self.clock.monotonic())
                 if message.unanswered:
-                    self.transport.renew(message.address)
+                    self.transport.drop_connection(message.address)
                 self.send(message.address, self.presence(Pong, message.sequence))
                 self.crashes.on_digest(message.address, message.crashes)
                 self.notices.on_digests(message)
             case Pong():
                 self.election.on_pong(message, self.clock.monotonic())
-            case Place():
+            case PlaceJob():
                 # Others may have noticed before this box that the former scheduler is silent.
-                self.client.check()
+                self.client.update_scheduler()
                 self.scheduler.on_place(message)
-            case Adopt():
+            case AdoptJob():
                 self.scheduler.succession.on_adopt(message)
             case EngineLoads():
                 self.scheduler.succession.on_engine_loads(message)
-            case Learned():
+            case LearnedEstimates():
                 self.scheduler.succession.on_learned(message)
             case Placed():
                 self.client.on_placed(message)
@@ -146,16 +146,16 @@
                 self.scheduler.on_ended(message)
             case Subscribe():
                 self.subscription.on_subscribe(message)
-                if NOTHING in message.positions.values():
+                if NO_POSITION in message.positions.values():
                     # A box that starts serves as soon as it has heard everything.
-                    self.crashes.send_whole(message.sender)
-            case RelayBeat():
-                self.subscription.on_beat(message)
+                    self.crashes.send_full_news(message.sender)
+            case RelayStatus():
+                self.subscription.on_status(message)
             case RelayUpdate():
                 self.subscription.on_update(message)
             case CrashNews():
                 self.crashes.on_news(message)
-            case BackoffNews():
+            case BackoffNotice():
                 self.scheduler.on_backoffs(message)
             case _:
                 self.notices.handle(message)
@@ -172,7 +172,7 @@
             contact=self.contact(),
             leaving=self.election.leaving,
             sequence=sequence,
-            groups=self.election.count,
+            groups=self.election.group_count,
             crashes=self.crashes.digest(),
             replicas=self.notices.leaving_sharing.digest(),
             limits=self.notices.limit_sharing.digest(),
@@ -183,10 +183,10 @@
         self.election.sequence += 1
         now = self.clock.monotonic()
         ping = self.presence(Ping, self.election.sequence)
-        for candidate in self.election.pinged(now):
+        for candidate in self.election.candidates_to_ping(now):
             address = candidate.box.address
-            if candidate.must_renew(now):
-                self.transport.renew(address)
+            if candidate.mark_reconnect_if_due(now):
+                self.transport.drop_connection(address)
                 self.send(address, msgspec.structs.replace(ping, unanswered=True))
             else:
                 self.send(address, ping)
@@ -197,6 +197,6 @@
         assert self.notices is not None
         while True:
             self.ping_all()
-            self.crashes.tell_hubs()
+            self.crashes.notify_hubs()
             self.notices.tell_hubs()
-            await asyncio.sleep(PING_S)
+            await asyncio.sleep(PING_INTERVAL_S)
--- a/testkit/crashing.py
+++ b/testkit/crashing.py
@@ -11,7 +11,12 @@
 from testkit.gateway_replicas import FakeBody, FakeReplicas, FakeStages, FakeStream
 
 if TYPE_CHECKING:
-    from calicopath_core.exchanges.messages import AnswerHead, Exchange, OutboundRequest, ReplicaAnswer
+    from calicopath_core.exchanges.messages import (
+        AnswerHead,
+        Exchange,
+        OutboundRequest,
+        ReplicaAnswer,
+    )
     from calicopath_core.fleet.replicas import Replica
     from calicopath_core.scheduling.interfaces import PieceCall, PieceResult
     from testkit.gateway_store import FakeStore
--- a/testkit/crashing_fleet.py
+++ b/testkit/crashing_fleet.py
@@ -12,7 +12,7 @@
 from testkit.cases import VirtualCase
 from testkit.crashing import CrashingReplicas, CrashingStages
 from testkit.gateway import GatewayFleet
-from testkit.gateway_world import KEY, FAILURE_DOMAINS, deployment, exchange, route
+from testkit.gateway_world import FAILURE_DOMAINS, KEY, deployment, exchange, route
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
--- a/testkit/gateway.py
+++ b/testkit/gateway.py
@@ -25,7 +25,7 @@
 from testkit.gateway_callers import BoxReplicas, BoxStages, Notices
 from testkit.gateway_replicas import FakeReplicas, FakeSink, FakeStages
 from testkit.gateway_store import FakeStore, FakeStoreClient
-from testkit.gateway_world import TERMS, FAILURE_DOMAINS, deployment, replicas
+from testkit.gateway_world import FAILURE_DOMAINS, TERMS, deployment, replicas
 
 EVACUATE_S = 5.0
 """How soon nothing more may reach a failure domain that is taken out, as the users' sheet says."""
@@ -51,7 +51,7 @@
             box.client.run,
             box.subscription.run,
             box.keeper.run,
-            box.following.registration.keep,
+            box.following.registration.keep_registered,
         ]
         work.extend(feed.run for feed in box.feeds.values())
         self.tasks = [asyncio.create_task(item()) for item in work]
@@ -124,7 +124,7 @@
 
     def schedulers(self) -> set[str]:
         """Return the addresses that boxes take for the scheduler."""
-        return {box.box.client.target for box in self.boxes.values()}
+        return {box.box.client.scheduler_address for box in self.boxes.values()}
 
     def serve(self, name: str, request: Exchange) -> FakeSink:
         """Have a box serve a request; return where its answer goes."""
--- a/testkit/gateway_replicas.py
+++ b/testkit/gateway_replicas.py
@@ -87,7 +87,7 @@
         """Return the room that is left, and whether a call is at work."""
         self.reports += 1
         held = sum(maker == replica.id for maker in self.live.values())
-        free_bytes = max(0.0, STAGE.room_bytes - held * RESULT_BYTES)
+        free_bytes = max(0.0, STAGE.result_capacity_bytes - held * RESULT_BYTES)
         return StageReport(free_bytes, idle=not self.at_work.get(replica.id, 0))
 
     async def free(self, replica: Replica, handles: list[str]) -> None:
@@ -101,7 +101,12 @@
     """Give events, and break after `break_after` of them."""
 
     def __init__(
-        self, *, engine: FakeReplicas, outbound: OutboundRequest, status: int, break_after: int | None
+        self,
+        *,
+        engine: FakeReplicas,
+        outbound: OutboundRequest,
+        status: int,
+        break_after: int | None,
     ) -> None:
         self.engine = engine
         self.outbound = outbound
--- a/testkit/gateway_world.py
+++ b/testkit/gateway_world.py
@@ -16,8 +16,8 @@
     RouteKind,
     ServiceSpec,
     StageSpec,
-    Workspace,
     WeightedService,
+    Workspace,
 )
 from calicopath_core.fleet.replicas import Replica
 from calicopath_core.scheduling.messages import Prompt, PromptPart
@@ -27,7 +27,12 @@
 KEY = 'key-1'
 TERMS = RetryBudgetTerms(0.2, 50.0, 10.0)
 STAGE = StageSpec(
-    concurrency=1, batch=4, call_s=0.2, piece_s=0.04, room_bytes=9_000_000, result_ttl_s=4.0
+    concurrency=1,
+    batch=4,
+    call_s=0.2,
+    piece_s=0.04,
+    result_capacity_bytes=9_000_000,
+    result_ttl_s=4.0,
 )
 RESULT_BYTES = 1_000_000
 EVENTS = 6
@@ -82,7 +87,14 @@
 def replicas() -> list[Replica]:
     """Return the replicas of the test deployment: one of each service in each failure domain."""
     return [
-        Replica(f'{service}-{failure_domain}', service, f'{service}-{failure_domain}:1', failure_domain, 6, False)
+        Replica(
+            f'{service}-{failure_domain}',
+            service,
+            f'{service}-{failure_domain}:1',
+            failure_domain,
+            6,
+            False,
+        )
         for service in ('engine', 'look', 'rank', 'desk')
         for failure_domain in FAILURE_DOMAINS
     ]
--- a/testkit/notice_fleet.py
+++ b/testkit/notice_fleet.py
@@ -30,7 +30,10 @@
         self.rng = random.Random(count)
         for service, most in (('engine', ENGINES), ('desk', DESKS), ('look', LOOKS)):
             for number in range(2, most):
-                name, failure_domain = f'{service}-{number}', FAILURE_DOMAINS[number % len(FAILURE_DOMAINS)]
+                name, failure_domain = (
+                    f'{service}-{number}',
+                    FAILURE_DOMAINS[number % len(FAILURE_DOMAINS)],
+                )
                 self.announce(Replica(name, service, f'{name}:1', failure_domain, 6, False))
 
     def announce(self, replica: Replica) -> None:
@@ -57,7 +60,7 @@
     def replace(self, *names: str) -> None:
         """Have other replicas answer at the addresses of some; the store learns nothing of it."""
         for name in names:
-            self.notices.said[name] = Notice(ran=False, is_other=True)
+            self.notices.said[name] = Notice(executed=False, from_other_replica=True)
 
     def pause(self, pause_s: float, *names: str) -> None:
         """Have replicas turn all away from now on, and ask for a pause."""
--- a/testkit/replay/load.py
+++ b/testkit/replay/load.py
@@ -157,7 +157,9 @@
         if during and rng.random() < self.pattern.hot_share:
             session = 0
         names = self.fleet.failure_domain_names
-        failure_domain = names[0] if during and rng.random() < self.pattern.moved_share else rng.choice(names)
+        failure_domain = (
+            names[0] if during and rng.random() < self.pattern.moved_share else rng.choice(names)
+        )
         return Arrival(
             at,
             f'job-{self.count}',
--- a/testkit/replay/stages.py
+++ b/testkit/replay/stages.py
@@ -129,7 +129,9 @@
     def make(self, replica: Replica, call: PieceCall, until: float, work_s: float) -> str:
         """Keep a new result and return its handle."""
         handle = f'{replica.address}/{next(self.numbers)}'
-        self.kept[handle] = Kept(replica.id, replica.failure_domain, self.size_of(call), until, work_s)
+        self.kept[handle] = Kept(
+            replica.id, replica.failure_domain, self.size_of(call), until, work_s
+        )
         return handle
 
     def expire(self, now: float) -> None:
@@ -139,7 +141,7 @@
 
     def free_bytes(self, replica: Replica, spec: StageSpec) -> float:
         """Return a replica's room."""
-        return spec.room_bytes - sum(
+        return spec.result_capacity_bytes - sum(
             item.size for item in self.kept.values() if item.maker == replica.id
         )
 
--- a/tools/soak/checks.py
+++ b/tools/soak/checks.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from tools.soak.records import Arrived, StopSeen, TurnedAway, FailureDomainOut
+    from tools.soak.records import Arrived, FailureDomainOut, StopSeen, TurnedAway
 
 CONTACT_S = 4.0
 """How long after a fault a box is not held to times; the users' pages say 3 to 4 s."""
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -16,7 +16,7 @@
 from tools.soak.limits import limits_are_kept
 from tools.soak.records import RequestKind, Seen
 from tools.soak.schedule import FaultKind, Step, draw
-from tools.soak.world import REPLICAS, FAILURE_DOMAINS, World
+from tools.soak.world import FAILURE_DOMAINS, REPLICAS, World
 
 if TYPE_CHECKING:
     from tools.soak.deadly import Repeat
@@ -77,7 +77,11 @@
         """Play it and judge."""
         plan = self.plan
         steps = draw(
-            plan.seed, seconds=plan.seconds, boxes=plan.boxes, replicas=REPLICAS, failure_domains=len(FAILURE_DOMAINS)
+            plan.seed,
+            seconds=plan.seconds,
+            boxes=plan.boxes,
+            replicas=REPLICAS,
+            failure_domains=len(FAILURE_DOMAINS),
         )
         try:
             await self.world.start()
--- a/tools/soak/schedule.py
+++ b/tools/soak/schedule.py
@@ -128,7 +128,9 @@
         return self.at_s + self.for_s
 
 
-def draw(seed: int, *, seconds: float, boxes: int, replicas: int, failure_domains: int) -> list[Step]:
+def draw(
+    seed: int, *, seconds: float, boxes: int, replicas: int, failure_domains: int
+) -> list[Step]:
     """Return the steps of a seed, in order; the same for the same arguments."""
     rng = random.Random(seed)
     kinds = [kind for kind in FaultKind if kind not in OWN_STREAMS]
@@ -166,7 +168,9 @@
     while at_s < seconds:
         for_s = rng.uniform(0.2, LONGEST_OUT_S)
         failure_domain = rng.randrange(failure_domains)
-        found.append(Step(round(at_s, 3), FaultKind.FAILURE_DOMAIN_OUT, failure_domain, for_s, LinkMode.PASS))
+        found.append(
+            Step(round(at_s, 3), FaultKind.FAILURE_DOMAIN_OUT, failure_domain, for_s, LinkMode.PASS)
+        )
         at_s += rng.expovariate(1 / FAILURE_DOMAIN_GAP_S)
     return found
 
--- a/tools/soak/tests/checks_tests.py
+++ b/tools/soak/tests/checks_tests.py
@@ -11,12 +11,12 @@
 from tools.soak.records import (
     EVENTS,
     Arrived,
+    FailureDomainOut,
     RequestKind,
     Run,
     Seen,
     StopSeen,
     TurnedAway,
-    FailureDomainOut,
 )
 from tools.soak.schedule import OWN_STREAMS, FaultKind, LinkMode, Step, calm, draw
 
@@ -203,10 +203,14 @@
 
 
 class Zones(testtools.TestCase):
-    def problems(self, began: float, failure_domain: str = 'north', steps: tuple[Step, ...] = ()) -> int:
+    def problems(
+        self, began: float, failure_domain: str = 'north', steps: tuple[Step, ...] = ()
+    ) -> int:
         """Return how many problems a run shows with a failure domain out from 10 to 20 s."""
         out = [FailureDomainOut('north', 10.0, 20.0)]
-        found = checks.failure_domains_out_get_nothing([run(began)], out, lambda name: failure_domain, list(steps))
+        found = checks.failure_domains_out_get_nothing(
+            [run(began)], out, lambda name: failure_domain, list(steps)
+        )
         return len(found)
 
     def test_new_work_in_a_zone_that_is_out_is_seen_once_all_should_know(self) -> None:
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -26,7 +26,7 @@
 from testkit.ports import free_ports
 from tools.soak.boxes import BoxProcess
 from tools.soak.links import Link
-from tools.soak.records import LimitNamed, Run, StopSeen, FailureDomainOut
+from tools.soak.records import FailureDomainOut, LimitNamed, Run, StopSeen
 from tools.soak.schedule import FaultKind, LinkMode
 
 if TYPE_CHECKING:
