--- a/packages/core/calicopath_core/exchanges/context.py
+++ b/packages/core/calicopath_core/exchanges/context.py
@@ -147,12 +147,12 @@
         """Handle an attempt without a complete answer; `left_s` is the time to the deadline."""
 
     @abstractmethod
-    def on_replica_skipped(self, state: ExchangeState, replica: str, bar: Exclusion) -> None:
+    def on_replica_skipped(self, state: ExchangeState, replica: str, exclusion: Exclusion) -> None:
         """Handle a replica that was chosen for a request but must not be called by this box."""
 
     @abstractmethod
     def on_permit_wait_ended(
-        self, state: ExchangeState, replica: str, waited_s: float, opens_in_s: float
+        self, state: ExchangeState, replica: str, waited_s: float, available_in_s: float
     ) -> None:
         """Handle the end of a wait for a permit; `replica` is empty if none was granted."""
 
--- a/packages/core/calicopath_core/exchanges/plain.py
+++ b/packages/core/calicopath_core/exchanges/plain.py
@@ -96,12 +96,12 @@
     """Probe whether a replica has crashed and report it, before the request is sent again."""
     ran = not isinstance(error, NotStarted | WrongAnswer)
     if ran and not state.expired(context.clock.monotonic()):
-        fate = ReplicaCrashProbe(
+        probe = ReplicaCrashProbe(
             reach=context.replica_client, replicas=context.replicas, replica=replica
         )
         contents = [state.content]
         await context.crashes.on_failed(
-            contents, state.service, fate, error, run_started_at=state.sent_at, answered=answered
+            contents, state.service, probe, error, run_started_at=state.sent_at, answered=answered
         )
 
 
--- a/packages/core/calicopath_core/exchanges/streams.py
+++ b/packages/core/calicopath_core/exchanges/streams.py
@@ -73,10 +73,12 @@
         try:
             placed = await self.place(job)
             replica = self.context.replicas.replicas.get(placed.replica)
-            bar = Exclusion.GONE if replica is None else self.context.gate.exclusion_of(replica)
-            if replica is None or bar is not None:
+            exclusion = (
+                Exclusion.GONE if replica is None else self.context.gate.exclusion_of(replica)
+            )
+            if replica is None or exclusion is not None:
                 # This box knows of an exclusion that the scheduler missed; nothing was sent.
-                return self.skip_replica(placed, bar or Exclusion.GONE)
+                return self.skip_replica(placed, exclusion or Exclusion.GONE)
             await self.take_permit(placed, replica)
             check_not_blocked(self.context, self.state)
             try:
@@ -113,12 +115,12 @@
                 [replica], wait_s=MAX_PERMIT_WAIT_S, priority=self.state.priority
             )
 
-    def skip_replica(self, placed: Placed, bar: Exclusion) -> bool:
+    def skip_replica(self, placed: Placed, exclusion: Exclusion) -> bool:
         """Record a skipped engine so that another is chosen; return `False`.
 
         Raise `RefusedExchange` after too many skipped engines.
         """
-        self.context.observer.on_replica_skipped(self.state, placed.replica, bar)
+        self.context.observer.on_replica_skipped(self.state, placed.replica, exclusion)
         self.state.skipped_replicas.append(placed.replica)
         if len(self.state.skipped_replicas) > MAX_SKIPPED_REPLICAS:
             raise self.refusal('no-endpoint', None)
--- a/packages/core/calicopath_core/routing/tests/subset_tests.py
+++ b/packages/core/calicopath_core/routing/tests/subset_tests.py
@@ -14,7 +14,9 @@
 def endpoints(count: int) -> list[Endpoint]:
     """Return endpoints spread over a few failure domains."""
     return [
-        Endpoint(f'e-{n}', 's', StageKind.ENGINE, 'http://h:1', f'domain-{n % FAILURE_DOMAIN_COUNT}', 8)
+        Endpoint(
+            f'e-{n}', 's', StageKind.ENGINE, 'http://h:1', f'domain-{n % FAILURE_DOMAIN_COUNT}', 8
+        )
         for n in range(count)
     ]
 
--- a/packages/daemon/calicopathd/gateway/observer.py
+++ b/packages/daemon/calicopathd/gateway/observer.py
@@ -98,7 +98,7 @@
         self.metrics.permits.inc({'service': service, 'outcome': outcome})
 
     def on_permit_wait_ended(
-        self, state: ExchangeState, replica: str, waited_s: float, opens_in_s: float
+        self, state: ExchangeState, replica: str, waited_s: float, available_in_s: float
     ) -> None:
         """Note a request that only limited replicas could serve."""
         events.emit(
@@ -108,7 +108,7 @@
             service=state.service,
             replica=replica or None,
             waited_ms=round(waited_s * 1000),
-            opens_in_ms=round(opens_in_s * 1000),
+            opens_in_ms=round(available_in_s * 1000),
         )
 
     def on_blocked_refused(self, state: ExchangeState) -> None:
@@ -177,15 +177,15 @@
         """Count a call that was chosen and not sent."""
         self.metrics.held_back.inc({'service': replica.service, 'bar': exclusion.value})
 
-    def on_replica_skipped(self, state: ExchangeState, replica: str, bar: Exclusion) -> None:
+    def on_replica_skipped(self, state: ExchangeState, replica: str, exclusion: Exclusion) -> None:
         """Note a replica that was chosen for a request and must not get it."""
-        self.metrics.passed_over.inc({'service': state.service, 'bar': bar.value})
+        self.metrics.passed_over.inc({'service': state.service, 'bar': exclusion.value})
         events.emit(
             log,
             events.REPLICA_PASSED_OVER,
             request=state.exchange.call_id,
             replica=replica,
-            bar=bar.value,
+            bar=exclusion.value,
         )
 
     def on_stage_call(
--- a/tools/mutants/catalogue.py
+++ b/tools/mutants/catalogue.py
@@ -151,7 +151,7 @@
     Mutant(
         'zones taken out',
         f'{CORE}/exchanges/streams.py',
-        'if replica is None or bar is not None:',
+        'if replica is None or exclusion is not None:',
         'if replica is None:',
         f'{EVACUATING}::Evacuating',
     ),
