--- a/packages/core/calicopath_core/scheduling/client.py
+++ b/packages/core/calicopath_core/scheduling/client.py
@@ -1,4 +1,4 @@
-"""Ask the fleet's scheduler for a place, and ask the next one when it falls silent."""
+"""Submit jobs to the fleet's scheduler, and to the next one if it falls silent."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
     from calicopath_core.scheduling.election import Election
 
 STOPPING_RETRY_S = 0.2
-"""When a caller may come back that waited at a box which has to end: at once, to another box."""
+"""Retry delay for callers of a box that stops; another box can serve them at once."""
 
 RESEND_INTERVAL_S = 1.0
-"""When a scheduler that has told nothing of a job is asked once more: a message, or an answer, may
-be lost with a connection. It begins nothing twice."""
+"""How long after the last message about a job its request is sent again: a request or an answer may
+be lost with a connection. The scheduler ignores repeated requests."""
 
 CHECK_INTERVAL_S = 0.05
 IDLE_CHECK_INTERVAL_S = 0.2
-"""How often it is looked whether another box schedules now, with and without jobs."""
+"""How often the client checks for a change of scheduler, with and without pending jobs."""
 
 
 class PlacementRejected(CalicopathError):
-    """Report that the scheduler will not place a job, and when to come back."""
+    """Report that the scheduler rejected a job, with the reason and when to retry."""
 
     def __init__(self, reason: str, *, retry_after_s: float) -> None:
         super().__init__(reason)
@@ -50,7 +50,7 @@
 
 
 class PendingJob:
-    """Hold a job that was handed to one or more schedulers."""
+    """Hold a job that was submitted to one or more schedulers, the latest one last."""
 
     def __init__(self, *, place: PlaceJob, now: float) -> None:
         self.place = place
@@ -61,7 +61,7 @@
         self.answer: asyncio.Future[Placed] = asyncio.get_running_loop().create_future()
 
     def on_progress(self, message: Progress) -> None:
-        """Keep what was made, for another scheduler."""
+        """Record results and freed phases, to pass them to another scheduler if needed."""
         for item in message.results:
             self.results[item.phase, item.index] = item
         for key, item in self.results.items():
@@ -69,9 +69,9 @@
                 self.results[key] = msgspec.structs.replace(item, freed=True)
 
     def request(self, now: float, silent_scheduler: str = '') -> PlaceJob | AdoptJob:
-        """Return what the next scheduler is asked: with what is made already, if anything is.
+        """Return the message that submits the job, with its results if there are any.
 
-        `missed` is the address of a scheduler that fell silent over the job.
+        `silent_scheduler` is the address of a scheduler that fell silent during the job.
         """
         place = self.place_with_time_left(now, silent_scheduler)
         if not self.results:
@@ -80,7 +80,7 @@
         return AdoptJob(place=place, results=tuple(self.results.values()), waited_s=waited_s)
 
     def place_with_time_left(self, now: float, silent_scheduler: str) -> PlaceJob:
-        """Return the question with the time that is left now."""
+        """Return the placement request with times reduced by the time already spent."""
         spent_s = now - self.submitted_at
         return msgspec.structs.replace(
             self.place,
@@ -93,12 +93,15 @@
 
 
 def backoffs_after(backoffs: dict[str, float], spent_s: float) -> dict[str, float]:
-    """Return what is left of backoffs after some time."""
+    """Return the backoffs that remain after `spent_s`, with the seconds left."""
     return {name: left_s - spent_s for name, left_s in backoffs.items() if left_s > spent_s}
 
 
 class SchedulerClient:
-    """Hold the jobs of this box that a scheduler knows of."""
+    """Submit this box's jobs to the current scheduler and track them until they end.
+
+    `on_scheduler` is called with the address of a new scheduler and the number of orphaned jobs.
+    """
 
     def __init__(
         self,
@@ -120,7 +123,7 @@
         self.scheduler_address = election.own.address
 
     async def place(self, place: PlaceJob) -> Placed:
-        """Return where a job runs; raise `PlacementRejected`."""
+        """Submit a job and return its placement; raise `PlacementRejected` if it is rejected."""
         now = self.clock.monotonic()
         pending_job = PendingJob(place=place, now=now)
         self.pending[place.job] = pending_job
@@ -129,7 +132,7 @@
         return await pending_job.answer
 
     def submit(self, pending_job: PendingJob, now: float) -> None:
-        """Hand a job to the scheduler of the moment; take it from one asked before."""
+        """Submit a job to the current scheduler, and withdraw it from the previous one."""
         silent_scheduler = pending_job.schedulers[-1] if pending_job.schedulers else ''
         if silent_scheduler:
             gone = RunEnded(job=pending_job.place.job, sender=self.election.own.name, failed=False)
@@ -138,26 +141,26 @@
         pending_job.schedulers.append(self.scheduler_address)
 
     def update_scheduler(self) -> None:
-        """See who schedules now."""
+        """Determine the current scheduler, and report a change."""
         now = self.clock.monotonic()
         knows = self.has_configuration()
         target = self.election.scheduler(now, self.contact(), knows=knows).address
         if target == self.scheduler_address:
             return
         self.scheduler_address = target
-        # A scheduler that leaves or gives way is still heard, and does what it was asked.
+        # A scheduler that leaves or is replaced stays reachable and completes its pending jobs.
         lost = self.orphaned_jobs(now)
         self.on_scheduler(target, len(lost))
 
     def resend_requests(self, now: float) -> None:
-        """Ask the schedulers once more that have told nothing of a job for a while."""
+        """Send requests again that got neither an answer nor progress for a while."""
         for asked in self.pending.values():
             if not asked.answer.done() and asked.schedulers and now >= asked.resend_at:
                 asked.resend_at = now + RESEND_INTERVAL_S
                 self.send(asked.schedulers[-1], asked.request(now))
 
     def orphaned_jobs(self, now: float) -> list[PendingJob]:
-        """Return the jobs not answered whose scheduler has fallen silent."""
+        """Return the unanswered jobs whose scheduler has fallen silent."""
         return [
             asked
             for asked in self.pending.values()
@@ -168,13 +171,13 @@
         ]
 
     def resubmit_orphaned(self) -> None:
-        """Ask the scheduler of the moment for jobs whose own scheduler fell silent."""
+        """Submit orphaned jobs to the current scheduler."""
         now = self.clock.monotonic()
         for asked in self.orphaned_jobs(now):
             self.submit(asked, now)
 
     async def run(self) -> None:
-        """Look often who schedules until cancelled."""
+        """Follow changes of the scheduler and resend requests until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S if self.pending else IDLE_CHECK_INTERVAL_S)
             self.update_scheduler()
@@ -182,14 +185,14 @@
             self.resend_requests(self.clock.monotonic())
 
     def on_progress(self, message: Progress) -> None:
-        """Take in what a scheduler has made of a job."""
+        """Record a job's progress."""
         asked = self.pending.get(message.job)
         if asked is not None:
             asked.resend_at = self.clock.monotonic() + RESEND_INTERVAL_S
             asked.on_progress(message)
 
     def on_handed_over(self, message: HandedOver) -> None:
-        """Wait for the scheduler that goes on with a job; ask again if it is silent already."""
+        """Wait for the scheduler that took a job over; resubmit the job if that one is silent."""
         asked = self.pending.get(message.job)
         if asked is None or asked.answer.done():
             return
@@ -197,7 +200,7 @@
         self.resubmit_orphaned()
 
     def on_placed(self, message: Placed) -> None:
-        """Take a scheduler's answer in; the first one counts."""
+        """Accept a scheduler's answer; later answers for the same job are ignored."""
         asked = self.pending.get(message.job)
         if asked is None:
             return
@@ -207,18 +210,18 @@
             asked.answer.set_result(message)
 
     def on_rejected(self, message: Rejected) -> None:
-        """Take a scheduler's refusal in."""
+        """Fail a pending job with the scheduler's reason."""
         asked = self.pending.get(message.job)
         if asked is not None and not asked.answer.done():
             error = PlacementRejected(message.reason, retry_after_s=message.retry_after_s)
             asked.answer.set_exception(error)
 
     def report_started(self, job: str) -> None:
-        """Tell that the engine has read a job's prompt."""
+        """Report that the engine has read a job's prompt."""
         self.notify_schedulers(job, RunStarted(job=job, sender=self.election.own.name))
 
     def report_ended(self, job: str, *, failed: bool, turned_away: bool = False) -> None:
-        """Tell that a job is over, and forget it."""
+        """Report that a job is over, and stop tracking it."""
         own = self.election.own.name
         self.notify_schedulers(job, RunEnded(job=job, sender=own, failed=failed, turned_away=turned_away))
         asked = self.pending.pop(job, None)
@@ -226,14 +229,14 @@
             asked.answer.cancel()
 
     def reject_waiting(self) -> None:
-        """End the wait of every job that has no place yet, since this box has to end."""
+        """Reject every job that is not placed yet, because this box is stopping."""
         for asked in self.pending.values():
             if not asked.answer.done():
                 error = PlacementRejected('stopping', retry_after_s=STOPPING_RETRY_S)
                 asked.answer.set_exception(error)
 
     def notify_schedulers(self, job: str, message: msgspec.Struct) -> None:
-        """Tell every scheduler that was asked about a job."""
+        """Send a message to every scheduler that the job was submitted to."""
         asked = self.pending.get(job)
         for target in dict.fromkeys(asked.schedulers if asked is not None else ()):
             self.send(target, message)
--- a/packages/core/calicopath_core/scheduling/freeing.py
+++ b/packages/core/calicopath_core/scheduling/freeing.py
@@ -1,4 +1,4 @@
-"""Give results up at their makers, so that these have room for others."""
+"""Free results at their producers, so that these have space for others."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
     from calicopath_core.scheduling.jobs import Result
 
 FREE_BATCH_DELAY_S = 0.01
-"""How long results that are given up are gathered, so that a maker gets one call for several."""
+"""How long freed results are collected, so that a producer gets one call for several."""
 
 
 class ResultFreeing:
-    """Hold the results to be given up, by maker; `on_freed` learns of those that are gone.
+    """Collect results to be freed by producer, and call `on_freed` once they are.
 
-    Their room counts as free only then: a call on another connection may overtake the one that
-    gives them up, and would find the room still taken. Nothing is sent to a zone that is taken out:
-    its results run out by themselves, and their room counts as taken until then. Nor is anything
-    sent to a maker that wants nothing from this box, before `back_s`.
+    Their space counts as free only then: a call on another connection may overtake the one that
+    frees them, and would find the space still taken. Nothing is sent to an evacuated failure
+    domain: its results expire by themselves, and their space counts as taken until then. Calls to a
+    producer that backs off this box wait for `backoff_left_s`.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def add(self, results: list[Result]) -> None:
-        """Have results given up soon, each once."""
+        """Mark results as freed, and free each of them once, soon."""
         for result in results:
             if result.freed:
                 continue
@@ -57,7 +57,7 @@
             self.timer = asyncio.get_running_loop().call_later(FREE_BATCH_DELAY_S, self.send)
 
     def send(self) -> None:
-        """Send what is to be given up, one call a maker."""
+        """Free the collected results with one call per producer."""
         self.timer = None
         deferred: dict[str, list[str]] = {}
         longest_backoff_s = 0.0
@@ -75,7 +75,7 @@
             self.timer = asyncio.get_running_loop().call_later(longest_backoff_s + FREE_BATCH_DELAY_S, self.send)
 
     async def free(self, replica: Replica, handles: list[str]) -> None:
-        """Give results up; if that fails they run out by themselves."""
+        """Free results at a producer; if this fails they expire by themselves."""
         try:
             await self.caller.free(replica, handles)
         except BackendError as error:
--- a/packages/core/calicopath_core/scheduling/interfaces.py
+++ b/packages/core/calicopath_core/scheduling/interfaces.py
@@ -1,4 +1,4 @@
-"""Define what the scheduler calls and tells."""
+"""Define the interfaces that the scheduler uses: stage calls, events and kept jobs."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PieceCall(NamedTuple):
-    """Describe one piece of a stage's call; `inputs` is nothing for a phase that reads none."""
+    """Describe one piece of a stage's call; `inputs` is `None` for a phase that reads no results."""
 
     call_id: str
     phase: int
@@ -26,17 +26,21 @@
 
 
 class PieceResult(NamedTuple):
-    """Hold a piece's handle, or why there is none: `late`, `gone`, `room` or `error`."""
+    """Hold the handle of a piece's result, or the reason for none.
+
+    The reasons are `late` (past its deadline), `gone` (an input is missing), `room` (no space for
+    the result) and `error`.
+    """
 
     handle: str | None
     reason: str = ''
 
 
 class StageReport(NamedTuple):
-    """Hold what a stage's replica tells of itself, as it stood some 100 ms before.
+    """Hold a stage replica's report of its state some 100 ms before.
 
-    `free_bytes` is the most that may be free for results, `idle` says that no call is at work or
-    waits there.
+    `free_bytes` is an upper bound of its free space for results; `idle` says that it has no calls
+    in progress or queued.
     """
 
     free_bytes: float
@@ -44,70 +48,70 @@
 
 
 class StageCaller(ReplicaReach):
-    """Call the replicas of stages."""
+    """Make calls to the replicas of stages."""
 
     @abstractmethod
     async def run(self, replica: Replica, calls: list[PieceCall]) -> list[PieceResult]:
-        """Make one call; raise `NotStarted` if it was declined, else `MayHaveRun`."""
+        """Make one call; raise `NotStarted` if it was declined, or `MayHaveRun` if it failed."""
 
     @abstractmethod
     async def free(self, replica: Replica, handles: list[str]) -> None:
-        """Give results up; raise `BackendError`."""
+        """Free results; raise `BackendError`."""
 
     @abstractmethod
     async def report(self, replica: Replica) -> StageReport:
-        """Return what a replica tells of itself; raise `BackendError`."""
+        """Return the state that a replica reports; raise `BackendError`."""
 
 
 class SchedulerObserver(ABC):
-    """Learn of the scheduler's decisions."""
+    """Receive the scheduler's events, for logs and metrics."""
 
     @abstractmethod
     def on_stage_call(
         self, service: str, replica: str, pieces: list[Piece], took_s: float, outcome: str
     ) -> None:
-        """Note one call to a stage's replica."""
+        """Record a finished or failed call to a stage's replica."""
 
     @abstractmethod
     def on_placed(self, job: Job, replica: Replica, cost_s: float, waited_s: float) -> None:
-        """Note the engine chosen for a job."""
+        """Record the engine chosen for a job."""
 
     @abstractmethod
     def on_rejected(self, job: Job, reason: str, retry_after_s: float) -> None:
-        """Note a job that is not placed."""
+        """Record a rejected job."""
 
     @abstractmethod
     def on_handed_over(self, job: Job, successor: str, results: int) -> None:
-        """Note a job that the next scheduler goes on with."""
+        """Record a job handed over to the next scheduler with that many results."""
 
     @abstractmethod
     def on_report_failed(self, replica: Replica, error: Exception) -> None:
-        """Note a replica that did not tell its room."""
+        """Record a replica that did not report its state."""
 
     @abstractmethod
     def on_free_failed(self, address: str, count: int, error: BackendError) -> None:
-        """Note results that could not be given up; they run out by themselves."""
+        """Record results that could not be freed; they expire by themselves."""
 
 
 class JobKeeper(ABC):
-    """Keep the jobs that calls are made for; `unplaced` are those that have no engine yet."""
+    """Manage the jobs that stage calls belong to; `unplaced` holds those without an engine."""
 
     unplaced: dict[str, Job]
 
     @abstractmethod
     def advance(self, job: Job) -> None:
-        """Begin what can be begun of a job."""
+        """Start the phases of a job that are ready."""
 
     @abstractmethod
     def reject(self, job: Job, reason: str) -> None:
-        """End a job that can't be made."""
+        """End a job that can't be completed, and tell its box why."""
 
     @abstractmethod
     def recompute_inputs(self, job: Job, piece: Piece) -> None:
-        """Make the inputs of a piece anew."""
+        """Recompute the inputs of a piece."""
 
     @abstractmethod
     def report_progress(
         self, job: Job, results: tuple[StageResult, ...], freed: tuple[int, ...]
     ) -> None:
-        """Tell a job's box what was made and given up."""
+        """Report new results and freed phases to a job's box."""
--- a/packages/core/calicopath_core/scheduling/jobs.py
+++ b/packages/core/calicopath_core/scheduling/jobs.py
@@ -1,4 +1,4 @@
-"""Follow a job through its stages: which pieces wait, run and are done."""
+"""Track a job through its stages: which pieces wait, run and have results."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 LARGE_RESULT_BYTES = 200_000
-"""A result of this size is worth keeping beside the others of its request, and making late."""
+"""Size from which a result is kept near the others of its request and is not computed early."""
 
 EARLY_MARGIN_S = 0.5
-"""How much earlier than its job's longest chain needs it a large result may be made."""
+"""How far ahead of its job's critical path a large result may be computed."""
 
 
 class Piece:
-    """Hold one piece of one phase of a job."""
+    """Represent one piece of one phase of a job."""
 
     def __init__(self, *, job: Job, phase: int, index: int, tries: int = 0) -> None:
         self.job = job
@@ -31,14 +31,14 @@
         self.has_fetched_inputs = False
 
     def set_dispatched(self, is_dispatched: bool) -> None:
-        """Note that the piece is in a call, or waits for one again."""
+        """Record whether the piece is in a call or waits for one."""
         if is_dispatched != self.is_dispatched and not self.is_stale:
             self.job.undispatched[self.phase] += -1 if is_dispatched else 1
         self.is_dispatched = is_dispatched
 
     @property
     def name(self) -> str:
-        """Return a name that no other piece has, nor another try of this one."""
+        """Return a name that is unique to this attempt of this piece."""
         return f'{self.job.id}/{self.phase}/{self.index}/{self.tries}'
 
     @property
@@ -48,13 +48,13 @@
 
     @property
     def is_stale(self) -> bool:
-        """Tell whether the piece is not wanted any more: its job is over or makes it anew."""
+        """Tell whether the piece is obsolete: its job has ended or recomputes it."""
         made = self.job.pieces.get(self.phase)
         return self.job.ended or made is None or made[self.index] is not self
 
     @property
     def preferred_failure_domain(self) -> str | None:
-        """Return the zone in which the piece should be made: its siblings', else its inputs'."""
+        """Return the failure domain to compute the piece in: its siblings', else its inputs'."""
         known = self.job.zones.get(self.phase)
         if known is not None:
             return known
@@ -65,14 +65,14 @@
 
     @property
     def has_siblings_in_progress(self) -> bool:
-        """Tell whether other pieces of the phase are made or being made, and wait for this one."""
+        """Tell whether other pieces of the phase have been dispatched and wait for this one."""
         return self.job.undispatched[self.phase] < self.phase_work.pieces
 
     def transfer_bytes(self) -> int:
-        """Return what is moved between zones if the piece is made away from home.
+        """Return the bytes moved between failure domains if the piece runs outside its preferred one.
 
-        Its inputs are fetched for it alone; its result is fetched by each piece of the phases that
-        read it, away from those of its siblings.
+        Its inputs are fetched for it alone. Its result is then apart from those of its siblings,
+        and every piece of the phases that read it has to fetch it.
         """
         phases = self.job.place.phases
         inputs = sum(item.size for item in self.job.inputs_of(self.phase))
@@ -81,7 +81,7 @@
         return inputs + (self.result_bytes * max(1, readers) if siblings else 0)
 
     def is_early(self) -> bool:
-        """Tell whether the result would only wait, and take room, until other phases are done."""
+        """Tell whether the result would only take up space until other phases are done."""
         if self.job.resumed or self.result_bytes < LARGE_RESULT_BYTES or self.phase_work.needs:
             return False
         others = [
@@ -92,12 +92,12 @@
         return max(others, default=0.0) > self.job.critical_path_s.get(self.phase, 0.0) + EARLY_MARGIN_S
 
     def slack_s(self, now: float) -> float:
-        """Return how long the piece may still wait for its job to meet the objective."""
+        """Return how long the piece may wait before its job misses its objective, in seconds."""
         return self.job.objective_at - now - self.job.critical_path_s.get(self.phase, 0.0)
 
     @property
     def has_missing_inputs(self) -> bool:
-        """Tell whether a result that the piece reads is missing or was given up."""
+        """Tell whether a result that the piece reads is missing or freed."""
         return any(
             result is None or result.freed
             for need in self.phase_work.needs
@@ -106,12 +106,12 @@
 
     @property
     def result_bytes(self) -> int:
-        """Return about how large the result is."""
+        """Return the expected size of the result."""
         return self.phase_work.result_bytes
 
 
 class Result:
-    """Hold where a piece's result lies; `zone` is its maker's, `made_at` in monotonic seconds."""
+    """Hold the location of a piece's result; `created_at` is in monotonic seconds."""
 
     def __init__(self, *, handle: str, producer: str, zone: str, size: int, created_at: float) -> None:
         self.handle = handle
@@ -123,13 +123,13 @@
 
 
 class Job:
-    """Hold a job's results by phase; times are monotonic seconds.
+    """Hold the state of a job; times are monotonic seconds.
 
-    `tail_s` holds for each phase what is expected from its call to the engine's first event,
-    `ahead_s` how much work may be begun ahead of it before the job is.
-    `uncalled` counts for each phase the pieces that have yet to be put into a call; a job `beyond`
-    its workspace's allowance gives way to those that are not; `urgency` is the rank with which it
-    goes, its own or that of more urgent jobs.
+    `critical_path_s` holds for each phase the expected seconds from its call to the engine's first
+    event, `allowed_backlog_s` the backlog up to which the job may start, in seconds of work.
+    `undispatched` counts for each phase the pieces that have not been put into a call. Jobs with
+    `is_over_allowance` yield to jobs within their workspace's allowance. `effective_priority` is
+    the job's own priority or a more urgent one.
     """
 
     def __init__(self, *, place: PlaceJob, now: float) -> None:
@@ -159,18 +159,18 @@
 
     @property
     def resumed(self) -> bool:
-        """Tell whether an engine already failed this request: its caller is waiting midway."""
+        """Tell whether an engine failed this request midway, with its caller still waiting."""
         return self.place.resumed
 
     @property
     def has_progress(self) -> bool:
-        """Tell whether work was spent on the job that would be lost with it."""
+        """Tell whether the job has calls in progress or results, which a rejection would waste."""
         return self.open_calls > 0 or any(
             item is not None for made in self.results.values() for item in made
         )
 
     def is_late(self, now: float) -> bool:
-        """Tell whether the job can't meet its objective any more, as far as its stages tell."""
+        """Tell whether the job's unfinished stages already make it miss its objective."""
         left_s = max(
             (path_s for phase, path_s in self.critical_path_s.items() if not self.is_phase_done(phase)),
             default=0.0,
@@ -178,9 +178,9 @@
         return now + left_s > self.objective_at
 
     def min_remaining_s(self) -> float:
-        """Return what the job takes at least to its engine's first event, were nothing before it.
+        """Return the least seconds to the engine's first event, as if no other work were queued.
 
-        A phase whose pieces are all in calls, or made, takes no more than what reads it.
+        Phases whose pieces have all been dispatched are not counted, only the phases that read them.
         """
         return max(
             (path_s for phase, path_s in self.critical_path_s.items() if self.undispatched[phase]), default=0.0
@@ -202,7 +202,7 @@
         return self.place.job
 
     def is_phase_done(self, phase: int) -> bool:
-        """Tell whether every piece of a phase has its result."""
+        """Tell whether every piece of a phase has a result."""
         return None not in self.results[phase]
 
     @property
@@ -211,7 +211,7 @@
         return all(self.is_phase_done(phase) for phase in self.results)
 
     def ready_phases(self) -> list[int]:
-        """Return the phases not begun whose inputs are all there."""
+        """Return the phases that have not started and whose inputs are complete."""
         return [
             number
             for number, phase in enumerate(self.place.phases)
@@ -228,7 +228,7 @@
         ]
 
     def final_phases(self) -> list[int]:
-        """Return the phases after which no other comes."""
+        """Return the phases that no other phase reads."""
         needed = {need for phase in self.place.phases for need in phase.needs}
         return [number for number in self.results if number not in needed]
 
@@ -242,7 +242,7 @@
         ]
 
     def describe_result(self, phase: int, index: int) -> StageResult | None:
-        """Describe a result for another scheduler, if it is there."""
+        """Describe a result for another scheduler, or return `None` if there is none."""
         item = self.results[phase][index]
         if item is None:
             return None
@@ -258,20 +258,20 @@
         return tuple(item for item in found if item is not None)
 
     def cross_domain_bytes(self, results: list[Result], zone: str) -> int:
-        """Return how many bytes of results lie in other zones."""
+        """Return how many bytes of some results are in other failure domains."""
         return sum(item.size for item in results if item.zone != zone)
 
     def all_results(self) -> list[Result]:
-        """Return every result made so far."""
+        """Return every result computed so far."""
         return [result for made in self.results.values() for result in made if result is not None]
 
     def are_readers_done(self, phase: int) -> bool:
-        """Tell whether every phase that reads from `phase` is done, and there is one."""
+        """Tell whether some phase reads from `phase` and all that do are done."""
         readers = [number for number, other in enumerate(self.place.phases) if phase in other.needs]
         return bool(readers) and all(self.is_phase_done(reader) for reader in readers)
 
     def have_readers_fetched(self, phase: int) -> bool:
-        """Tell whether every piece that reads from `phase` has fetched its inputs or is done."""
+        """Tell whether some phase reads from `phase` and all that do have fetched their inputs."""
         readers = [number for number, other in enumerate(self.place.phases) if phase in other.needs]
         return bool(readers) and all(self.has_phase_fetched(reader) for reader in readers)
 
@@ -285,7 +285,7 @@
         )
 
     def invalidate(self, phase: int) -> None:
-        """Forget a phase's results, and those that making them again needs and that are gone."""
+        """Discard a phase's results, and those of needed phases that must be recomputed too."""
         self.started.discard(phase)
         self.pieces.pop(phase, None)
         self.zones.pop(phase, None)
@@ -295,12 +295,12 @@
             if any(result is None or result.freed for result in self.results[need]):
                 self.invalidate(need)
         for reader, other in enumerate(self.place.phases):
-            # What waits for these results must not be asked for without them.
+            # Started phases that read these results must not run without them.
             if phase in other.needs and reader in self.started and not self.is_phase_done(reader):
                 self.invalidate(reader)
 
     def lost_phases(self, alive_replicas: Container[str]) -> list[int]:
-        """Return the phases whose results are still needed and lie at makers that are gone."""
+        """Return the phases with results that are still needed but were lost with their replicas."""
         return [
             phase
             for phase, results in self.results.items()
--- a/packages/core/calicopath_core/scheduling/messages.py
+++ b/packages/core/calicopath_core/scheduling/messages.py
@@ -1,20 +1,20 @@
-"""Define what boxes and schedulers send each other.
+"""Define the messages between boxes and schedulers.
 
-Messages are one-way; an answer is a message too. Times are spans in seconds, never points in time,
-since boxes' clocks differ.
+Messages are one-way; an answer is a message too. Times are durations in seconds, never points in
+time, because the clocks of boxes differ.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-# msgspec reads these annotations when the program runs.
+# msgspec evaluates the annotations at run time, so these imports can't be type-checking only.
 from calicopath_core.fleet.contact import StoreContact
 from calicopath_core.scheduling.fairness import Taken
 from calicopath_core.scheduling.groups import GroupCount
 
 ROUTE_PRIORITIES = 10
-"""How jobs rank: so many priorities of routes within each priority of a tenant, 0 first."""
+"""Number of route priorities within each priority of a workspace; 0 is the most urgent."""
 
 
 class PhaseWork(msgspec.Struct, frozen=True, array_like=True):
@@ -27,14 +27,14 @@
 
 
 class PromptPart(msgspec.Struct, frozen=True, array_like=True):
-    """Name one part of a prompt and its length in tokens."""
+    """Identify one part of a prompt and its length in tokens."""
 
     id: str
     tokens: int
 
 
 class Prompt(msgspec.Struct, frozen=True, array_like=True):
-    """Describe what an engine reads and makes, in tokens."""
+    """Describe the input and output of an engine, in tokens."""
 
     model: str
     parts: tuple[PromptPart, ...]
@@ -45,14 +45,15 @@
 class PlaceJob(msgspec.Struct, frozen=True, tag='pl'):
     """Ask a scheduler to run a job's stages and to choose its engine.
 
-    `job` is unique to one attempt of one request; `reply_to` is the asking box's peer address.
-    `exclude` are engines not to choose; `resumed` says that one failed the request midway,
-    `asked_before` that an earlier scheduler had let the job in and fell silent; `missed` is its
-    address, to which the job must not be handed over. `beyond` says that an earlier scheduler found
-    the job beyond its workspace's allowance. `content` names what the request asks. `backoffs` are
-    the engines that want nothing from the asking box, for how many seconds yet; `may_have_run` says
-    that a refusal would come too late for the caller to ask elsewhere.
-    `objective_s` and `deadline_s` are what is left of them when the message is sent.
+    `job` is unique to one attempt of one request; `reply_to` is the peer address of the requesting
+    box. `exclude` lists engines that must not be chosen. `resumed` says that an engine failed the
+    request midway, `asked_before` that an earlier scheduler admitted the job and fell silent;
+    `silent_scheduler` is its address, to which the job must not be handed over.
+    `is_over_allowance` says that an earlier scheduler found the job over its workspace's allowance.
+    `content` is the request's fingerprint. `backoffs` holds the engines that back off the
+    requesting box, with the seconds left; `may_have_run` says that a rejection would come too late
+    for the caller to try another box. `objective_s` and `deadline_s` are the seconds left when the
+    message is sent.
     """
 
     job: str
@@ -83,10 +84,10 @@
 
 
 class Placed(msgspec.Struct, frozen=True, tag='ok'):
-    """Answer with the engine chosen and the handles that it must fetch.
+    """Answer with the chosen engine and the handles of the results that it must fetch.
 
-    `scheduler` is the address of the box that chose, which may have taken the job over; `permit`
-    says that it has counted the call towards the engine's limit.
+    `scheduler` is the address of the box that chose the engine, which may have taken the job over;
+    `permit` says that it has counted the call towards the engine's limit.
     """
 
     job: str
@@ -98,7 +99,7 @@
 
 
 class StageResult(msgspec.Struct, frozen=True, array_like=True):
-    """Describe a result that was made already; `freed` says that all its readers have it."""
+    """Describe a result of a stage; `freed` says that all its readers have fetched it."""
 
     phase: int
     index: int
@@ -110,7 +111,7 @@
 
 
 class AdoptJob(msgspec.Struct, frozen=True, tag='ad'):
-    """Hand a job to the next scheduler with what is made of it; it has waited for `waited_s`."""
+    """Hand a job with its results to the next scheduler, after it has waited for `waited_s`."""
 
     place: PlaceJob
     results: tuple[StageResult, ...]
@@ -118,9 +119,9 @@
 
 
 class Progress(msgspec.Struct, frozen=True, tag='pr'):
-    """Tell a job's box what was made of it, and the phases whose results were given up.
+    """Report new results of a job to its box, and the phases whose results were freed.
 
-    The box hands that to another scheduler if this one falls silent.
+    The box passes them to another scheduler if this one falls silent.
     """
 
     job: str
@@ -129,24 +130,24 @@
 
 
 class HandedOver(msgspec.Struct, frozen=True, tag='ho'):
-    """Tell a job's box which scheduler goes on with it: that is the one to wait for, or to miss."""
+    """Tell a job's box which scheduler took the job over, and has to answer from now on."""
 
     job: str
     scheduler: str
 
 
 class EngineLoads(msgspec.Struct, frozen=True, tag='el'):
-    """Tell the next scheduler the seconds of work that wait at engines, by replica."""
+    """Tell the next scheduler the seconds of queued work at engines, by replica."""
 
     sender: str
     loads: dict[str, float]
 
 
 class LearnedEstimates(msgspec.Struct, frozen=True, tag='ln'):
-    """Tell the next scheduler what this one has learned.
+    """Pass this scheduler's estimates to the next one.
 
-    `taken` is what workspaces usually ask, `bias` corrects the estimate of stages, and
-    `first_events_s` is what engines take to a first event by the size of the prompt.
+    `taken` is the usual load of workspaces, `bias` the correction factor of stage estimates, and
+    `first_events_s` the time of engines to a first event by prompt size.
     """
 
     sender: str
@@ -156,7 +157,7 @@
 
 
 class Rejected(msgspec.Struct, frozen=True, tag='no'):
-    """Answer that a job will not be placed, why, and when to come back."""
+    """Answer that a job will not be placed, with the reason and when to retry."""
 
     job: str
     reason: str
@@ -164,16 +165,16 @@
 
 
 class RunStarted(msgspec.Struct, frozen=True, tag='st'):
-    """Tell the scheduler that the engine has read the prompt: its first event came."""
+    """Tell the scheduler that the engine sent its first event, so it has read the prompt."""
 
     job: str
     sender: str
 
 
 class RunEnded(msgspec.Struct, frozen=True, tag='en'):
-    """Tell the scheduler that a job is over; `failed` blames the engine.
+    """Tell the scheduler that a job is over.
 
-    `turned_away` says that the engine would not take it.
+    `failed` says that the engine was at fault, `turned_away` that it declined the job.
     """
 
     job: str
@@ -183,17 +184,17 @@
 
 
 class BackoffNotice(msgspec.Struct, frozen=True, tag='bo'):
-    """Tell the scheduler which engines want nothing from a box, for how many seconds yet."""
+    """Tell the scheduler which engines back off a box, with the seconds left."""
 
     address: str
     backoffs: dict[str, float]
 
 
 class Presence(msgspec.Struct, frozen=True):
-    """Say that a box is alive, how the store answers it, whether it leaves, how many groups are.
+    """Report that a box is alive, with its store contact, whether it leaves, and its group count.
 
-    `crashes` is a digest of what it knows of requests under which replicas have ended, `replicas`
-    one of which replicas it has heard leave, `limits` one of those that name limits.
+    `crashes` is a digest of its reports of crashes, `replicas` of the replicas that it knows to be
+    leaving, and `limits` of the limits that replicas have advertised.
     """
 
     box: str
@@ -209,16 +210,16 @@
 
 
 class Ping(Presence, frozen=True, tag='hi'):
-    """Tell of the sender and ask the receiver to tell of itself.
+    """Report the sender's state and ask for the receiver's.
 
-    `unanswered` says that earlier pings were not: the receiver's connection may have gone silent.
+    `unanswered` says that earlier pings got no answer: the receiver's connection may be dead.
     """
 
     unanswered: bool = False
 
 
 class Pong(Presence, frozen=True, tag='yo'):
-    """Answer a ping."""
+    """Answer a ping with the sender's own state."""
 
 
 MESSAGES = (
--- a/packages/core/calicopath_core/scheduling/overdue.py
+++ b/packages/core/calicopath_core/scheduling/overdue.py
@@ -1,4 +1,4 @@
-"""Look after calls that take too long: is the replica slow, or was the answer lost?"""
+"""Monitor overdue calls to tell slow replicas from lost answers."""
 
 from __future__ import annotations
 
@@ -20,28 +20,28 @@
 
 OVERDUE_FACTOR = 1.3
 REPORT_LAG_S = 0.15
-"""When a call is looked into: after this many times what is stated, and so much more, since
-replicas tell of themselves as they stood some 100 ms before."""
+"""A call is checked after this multiple of its expected duration plus the lag of reports, which show
+the state of a replica some 100 ms before."""
 
 IDLE_RECHECK_S = 0.15
-"""When a replica that seems idle is asked again: a single report may be older than the call."""
+"""Delay before an idle report is confirmed: a single report may be older than the call."""
 
 BUSY_RECHECK_FACTOR = 2.0
-"""A replica found at work is asked again when the call has taken this many times as long."""
+"""A busy replica is checked again when the call has taken this many times as long."""
 
 IDLE_REPORTS_REQUIRED = 2
-"""Reports of no work in a row after which an answer counts as lost."""
+"""Consecutive idle reports after which an answer counts as lost."""
 
 REPORT_TIMEOUT_S = 0.3
-"""How long a replica's word on itself is waited for; the users' replicas answer in a few ms."""
+"""Timeout of a replica's report; the users' replicas answer within a few ms."""
 
 
 class AnswerLost(MayHaveRun):
-    """Report that a replica is done with a call whose answer has not come."""
+    """Report that a replica has finished a call but its answer did not arrive."""
 
 
 class CallMonitor:
-    """Make calls to stages and look into those that are overdue."""
+    """Make calls to stages, and query the replicas of overdue ones."""
 
     def __init__(self, *, clock: Clock, caller: StageCaller, observer: SchedulerObserver) -> None:
         self.clock = clock
@@ -51,7 +51,11 @@
     async def run(
         self, replica: Replica, calls: list[PieceCall], expected_s: float, limit_s: float
     ) -> list[PieceResult]:
-        """Make a call that should take `expected_s`; raise `BackendError` or `TimeoutError`."""
+        """Make a call that should take `expected_s`, and return its results.
+
+        Raises `BackendError` if the call fails or its answer is lost, and `TimeoutError` after
+        `limit_s`.
+        """
         started_at = self.clock.monotonic()
         answer = asyncio.ensure_future(self.caller.run(replica, calls))
         try:
@@ -64,16 +68,16 @@
                     return answer.result()
                 spent_s = self.clock.monotonic() - started_at
                 if spent_s >= limit_s:
-                    raise TimeoutError(f'{replica.id} took over {limit_s:.3f} s')
+                    raise TimeoutError(f'call to {replica.id} took over {limit_s:.3f} s')
                 idle_reports = idle_reports + 1 if await self.is_idle(replica) else 0
                 if idle_reports >= IDLE_REPORTS_REQUIRED and not answer.done():
-                    raise AnswerLost(f'{replica.id} is done and has not answered')
+                    raise AnswerLost(f'{replica.id} reports no work but its answer to the call did not arrive')
                 next_check_s = spent_s + IDLE_RECHECK_S if idle_reports else spent_s * BUSY_RECHECK_FACTOR
         finally:
             answer.cancel()
 
     async def is_idle(self, replica: Replica) -> bool:
-        """Tell whether a replica says that it has no work; without an answer it may have."""
+        """Tell whether a replica reports that it has no work; `False` if the query fails."""
         try:
             async with asyncio.timeout(REPORT_TIMEOUT_S):
                 return (await self.caller.report(replica)).idle
--- a/packages/core/calicopath_core/scheduling/placing.py
+++ b/packages/core/calicopath_core/scheduling/placing.py
@@ -1,8 +1,9 @@
-"""Decide in which zone pieces are made.
+"""Decide in which failure domain pieces run.
 
-Answers load that is spread unevenly: results moved between zones are the dearest thing the stages
-do, and every piece of a phase fetches all results of the phase before, so a phase of ten pieces in
-another zone moves its inputs ten times. A zone is waited for only while that makes no job late.
+Moving results between failure domains is the largest cost of stages when load is uneven: every
+piece fetches all results of the previous phase, so a phase of ten pieces in another failure domain
+moves its inputs ten times. Pieces wait for their preferred failure domain only while that does not
+make their job late.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
     from calicopath_core.scheduling.stage_replicas import StageReplica
 
 MIN_PREFERENCE_BYTES = 150_000
-"""A piece that moves less than this is made in any zone: it counts for less than 15 ms of an
-engine's time, by what a byte between zones counts there."""
+"""Transfer size below which a piece runs in any failure domain: it costs less than 15 ms of an
+engine's time, by the engines' cost of a byte between failure domains."""
 
 
 class DomainPreference(NamedTuple):
-    """Say in which zone a group of pieces should be made, if any, and how long it may wait."""
+    """Hold the preferred failure domain of a group of pieces, if any, and its slack in seconds."""
 
     zone: str | None
     slack_s: float
@@ -34,7 +35,7 @@
 
 
 def preference_of(piece: Piece, now: float) -> DomainPreference:
-    """Return where a piece, and with it its group, should be made."""
+    """Return the preference of a piece, which is that of its group."""
     zone = piece.preferred_failure_domain
     if zone is None or piece.job.resumed or piece.transfer_bytes() < MIN_PREFERENCE_BYTES:
         return NO_PREFERENCE
@@ -42,10 +43,10 @@
 
 
 def may_run_in(preference: DomainPreference, zone: str, waits: Mapping[str, float]) -> bool:
-    """Tell whether pieces may be made in a zone: at home, or elsewhere if that can't wait.
+    """Tell whether pieces may run in a failure domain: their preferred one, or another if they can't wait.
 
-    `waits` holds the seconds until a replica of a zone is free. A job that is late already has
-    nothing to lose by the wait.
+    `waits` holds the seconds until a replica of a failure domain is free. A late job keeps waiting
+    for its preferred failure domain, because it misses its objective anyway.
     """
     if preference.zone is None or preference.zone == zone or preference.zone not in waits:
         return True
@@ -55,7 +56,7 @@
 def zone_waits(
     replicas: Iterable[StageReplica], spec: StageSpec, permits: PermitLender, now: float
 ) -> dict[str, float]:
-    """Return the zones in which a replica is worth waiting for, and for how many seconds."""
+    """Return the failure domains with usable replicas, and the seconds until one is free."""
     found: dict[str, float] = {}
     for item in replicas:
         if item.unavailable_until > now or item.is_slow(now) or item.is_overdue(now):
--- a/packages/core/calicopath_core/scheduling/rejections.py
+++ b/packages/core/calicopath_core/scheduling/rejections.py
@@ -1,4 +1,4 @@
-"""Reject jobs that can't be made before their callers give up, at the door and while they wait."""
+"""Reject jobs that can't be completed before their deadline, at admission and while they wait."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
     from calicopath_core.scheduling.stages import StageQueue
 
 NO_ENGINE_RETRY_S = 1.2
-"""When a job may come back that no engine can take: replicas tell of themselves that often."""
+"""Retry delay when no engine can serve a job; replicas send heartbeats this often."""
 
 
 class Rejections:
-    """Judge jobs that have no engine yet.
+    """Check jobs that have no engine yet, and reject those that can't be served in time.
 
-    `reject` ends one with its reason and a time to come back, `engine_s` tells what an engine takes
-    to a job's first event.
+    `reject` ends a job with a reason and a retry delay; `engine_s` returns the estimated seconds
+    that an engine takes to a job's first event.
     """
 
     def __init__(
@@ -54,13 +54,13 @@
         self.reject = reject
 
     def check_waiting_jobs(self, now: float) -> None:
-        """Look at every job that waits for stages or an engine."""
+        """Check every job that waits for stages or an engine."""
         self.reject_hopeless(now)
         self.reject_backing_off(now)
         self.reject_beyond_limits(now)
 
     def admits(self, job: Job, now: float) -> bool:
-        """Tell whether a new job may be begun; reject it if not."""
+        """Tell whether a new job may start, and reject it if not."""
         return (
             self.check_not_blocked(job)
             and self.check_backoffs(job, now)
@@ -68,7 +68,7 @@
         )
 
     def reject_hopeless(self, now: float) -> None:
-        """Tell callers at once whose jobs can't be made before their deadline any more."""
+        """Reject jobs that can no longer be completed before their deadline."""
         for job in list(self.unplaced.values()):
             if now + job.min_remaining_s() > job.deadline_at:
                 others, queues = self.unplaced.values(), self.queues
@@ -78,16 +78,16 @@
             self.reject(job, 'no-engine', self.admission.return_s(job, NO_ENGINE_RETRY_S, now))
 
     def reject_backing_off(self, now: float) -> None:
-        """Tell callers at once that would wait in vain for engines which want nothing from them."""
+        """Reject jobs whose engines back off their box for too long."""
         if self.boards.backoffs.by_box:
             for job in list(self.unplaced.values()):
                 self.check_backoffs(job, now)
 
     def check_backoffs(self, job: Job, now: float) -> bool:
-        """Tell whether some engine takes a job from its box in time; reject it if not.
+        """Tell whether some engine accepts a job from its box in time, and reject it if not.
 
-        In time is before its objective, so that its caller may still try another box; once its
-        stages are begun, before its deadline.
+        The limit is the job's objective, so that its caller can still try another box, or its
+        deadline once work was spent on it or a rejection would come too late for that.
         """
         board = self.boards.get(job.place.service)
         back_s = board.first_back_s(job, now) if board is not None else 0.0
@@ -103,7 +103,7 @@
         return False
 
     def check_limits(self, job: Job, jobs_ahead: int, now: float) -> bool:
-        """Tell whether an engine's limit lets a job begin in time; reject it if none does."""
+        """Tell whether the limits of engines let a job start in time, and reject it if not."""
         board = self.boards.get(job.place.service)
         wait_s = board.permit_wait_s(job, jobs_ahead) if board is not None else 0.0
         if wait_s <= 0:
@@ -116,7 +116,7 @@
         return False
 
     def jobs_ahead_of(self, job: Job, now: float) -> int:
-        """Return how many jobs for the same engines get permits before a new one."""
+        """Return how many waiting jobs for the same engines get permits before a new one."""
         return sum(
             other is not job
             and other.place.service == job.place.service
@@ -126,7 +126,7 @@
         )
 
     def reject_beyond_limits(self, now: float) -> None:
-        """Tell callers at once whose jobs wait for engines that can't take them all in time."""
+        """Reject waiting jobs that the limits of engines keep from starting in time."""
         if not any(self.permits.rate_of(item.replica) for item in self.engines_waited_for()):
             return
         ahead: Counter[str] = Counter()
@@ -135,22 +135,22 @@
                 ahead[job.place.service] += 1
 
     def engines_waited_for(self) -> Iterator[Engine]:
-        """Yield the engines of the services that jobs with all their results wait for."""
+        """Yield the engines of the services that jobs with finished stages wait for."""
         for service in {job.place.service for job in self.engine_queue.jobs.values()}:
             yield from self.boards[service].engines.values()
 
     def reject_blocked(self) -> None:
-        """Reject the jobs at once that were let in before their request was blocked."""
+        """Reject jobs that were admitted before their request was blocked."""
         if self.crashes.blocks_any:
             for job in list(self.unplaced.values()):
                 self.check_not_blocked(job)
 
     def check_not_blocked(self, job: Job) -> bool:
-        """Tell whether a job may go on; reject it if too many replicas ended under its request."""
+        """Tell whether a job may continue; reject it if its request crashed too many replicas."""
         wait_s = self.crashes.blocked_s(job.place.content, job.place.services)
         if wait_s is None:
             return True
-        # The box that passes this on may be the next to schedule, and must refuse it then too.
+        # The box that gets this answer may become the scheduler, and must then reject the job too.
         self.crashes.tell(job.place.reply_to, job.place.content, job.place.services)
         self.reject(job, 'crashes-replicas', wait_s)
         return False
--- a/packages/core/calicopath_core/scheduling/release.py
+++ b/packages/core/calicopath_core/scheduling/release.py
@@ -1,7 +1,6 @@
-"""Give results up when those that read them have done so, and tell boxes what is made and freed.
+"""Free results once they are read, and report new and freed results to the boxes of jobs.
 
-Answers stages that are short of room: results of finished readers would keep their makers from
-making what others wait for.
+Results that nobody reads any more would take the space that their producers need for other results.
 """
 
 from __future__ import annotations
@@ -19,23 +18,23 @@
     from calicopath_core.scheduling.stages import StageBatch, StageQueue
 
 AMPLE_ROOM_CALLS = 2
-"""A maker with room for so many full calls is not short of it, and inputs that were fetched there
-stay until their readers are done. Given up always, a reader that failed had all its inputs made
-again: 434 results on one day with faults, 0.02 of worth."""
+"""Full calls that a producer must have space for to keep fetched inputs until their readers are
+done. If inputs were always freed once fetched, a reader that fails would need all of them recomputed:
+434 results on one day with faults, a score lower by 0.02."""
 
 HAND_OVER_OVERLAP_S = 1.5
-"""How long after a hand-over another scheduler's calls may be before ours at a replica, whose turn
-then comes later: the one that leaves finishes what it has begun."""
+"""How long after a hand-over another scheduler's calls may delay ours at a replica: the scheduler that
+leaves finishes the calls that it has started."""
 
 EARLY_FREE_PAUSE_S = 5.0
-"""How long inputs are kept until the end of calls after a replica found one gone."""
+"""How long inputs are kept until calls end, after a replica missed one that was freed early."""
 
 
 class ResultRelease:
-    """Decide which results are given up.
+    """Decide which results are freed.
 
-    Until `alone_from`, in monotonic seconds, another scheduler's calls may be at the replicas too,
-    and inputs are kept until a call has ended.
+    Until `sole_scheduler_from`, in monotonic seconds, another scheduler's calls may be at the
+    replicas too, and inputs are kept until a call has ended.
     """
 
     def __init__(
@@ -55,16 +54,16 @@
         self.sole_scheduler_from = 0.0
 
     def on_hand_over(self) -> None:
-        """Note that another box schedules or has scheduled beside this one until now."""
+        """Record that another box schedules, or did until now."""
         self.sole_scheduler_from = max(self.sole_scheduler_from, self.clock.monotonic() + HAND_OVER_OVERLAP_S)
 
     def on_input_gone(self, piece: Piece) -> None:
-        """Note that a replica found an input of a piece gone; doubt it if that was freed early."""
+        """Stop freeing inputs early for a while if a replica missed one that was freed."""
         if self.was_freed_early(piece):
             self.sole_scheduler_from = max(self.sole_scheduler_from, self.clock.monotonic() + EARLY_FREE_PAUSE_S)
 
     def on_fetched(self, batch: StageBatch) -> None:
-        """Give the inputs up that every piece reading them has fetched, where room is short."""
+        """Free the inputs that all their readers have fetched, where space is short."""
         if self.clock.monotonic() < self.sole_scheduler_from:
             return
         for piece in batch.pieces:
@@ -73,10 +72,10 @@
             self.free_read(job, fetched=True)
 
     def free_read(self, job: Job, *, fetched: bool) -> None:
-        """Give the results up that all pieces reading them have made use of.
+        """Free the results whose readers are all done.
 
-        With `fetched` those are given up too that were only fetched, if their makers are short of
-        room: a reader that fails has to have them made again.
+        With `fetched`, also free those that all readers have fetched, if their producers are short
+        of space; if a reader fails, they have to be recomputed.
         """
         freed = []
         for number, results in job.results.items():
@@ -92,11 +91,11 @@
             self.keeper.report_progress(job, (), tuple(freed))
 
     def free_soon(self, results: list[Result]) -> None:
-        """Have results freed at their makers soon."""
+        """Free results at their producers soon."""
         self.freeing.add(results)
 
     def is_room_short(self, job: Job, phase: int, results: list[Result]) -> bool:
-        """Tell whether a maker of a phase's results has no room for its next calls."""
+        """Tell whether a producer of a phase's results is short of space for its next calls."""
         queue = self.queues.get(job.place.phases[phase].service)
         if queue is None:
             return False
@@ -106,7 +105,7 @@
         return any(m is not None and m.room_left(queue.spec, now) < needed for m in producers)
 
     def was_freed_early(self, piece: Piece) -> bool:
-        """Tell whether an input was given up before the piece had it, not lost with its maker."""
+        """Tell whether an input was freed before the piece read it, not lost with its producer."""
         return any(
             item is not None and item.freed and item.producer in self.replicas.replicas
             for need in piece.phase_work.needs
@@ -114,7 +113,7 @@
         )
 
     def report_results(self, batch: StageBatch) -> None:
-        """Tell the boxes of a call's jobs which results it brought."""
+        """Report the results of a call to the boxes of its jobs."""
         for job in jobs_of(batch):
             made = [
                 job.describe_result(piece.phase, piece.index)
--- a/packages/core/calicopath_core/scheduling/scheduler.py
+++ b/packages/core/calicopath_core/scheduling/scheduler.py
@@ -1,4 +1,4 @@
-"""Run jobs' stages and choose their engines, for this box and for others."""
+"""Schedule jobs for this box and for others: run their stages and choose their engines."""
 
 from __future__ import annotations
 
@@ -45,20 +45,25 @@
 
 TICK_INTERVAL_S = 0.05
 JOB_RETENTION_S = 30.0
-"""How long a job may stay without its box telling its end; longer than the users' deadlines."""
+"""How long past its deadline a job is kept if its box never reports the end."""
 
 ENGINE_FETCH_DELAY_S = 0.05
-"""How long after its choice an engine has fetched a job's results: it does so when the request
-comes, before it waits for its turn; two crossings between zones and 1.5 MB over 10 Gbit/s take
-under 10 ms. Results that lie longer take room from what their makers could make: with 0.15 s the
-mean worth of days with faults was 0.015 less."""
+"""How long after placement an engine is assumed to have fetched a job's results. It fetches them
+when the request arrives, before queueing; two hops between failure domains and 1.5 MB over 10 Gbit/s
+take under 10 ms. Keeping results longer takes space from their producers: 0.15 s lowered the mean
+score of days with faults by 0.015."""
 
 DEFAULT_RETRY_AFTER_S = 0.5
-"""When a rejected job may come back, if nothing better is known."""
+"""Retry delay of a rejected job when no estimate is available."""
 
 
 class Scheduler(JobKeeper):
-    """Hold the jobs that this box schedules; `send` takes an address and a message."""
+    """Schedule the jobs assigned to this box.
+
+    `send` sends a message to an address. `share_of` selects the replicas that this scheduler may
+    use. `backoff_left_s` and `support_backoff_left_s` return for how many seconds a replica still
+    refuses stage calls and calls that free results.
+    """
 
     def __init__(
         self,
@@ -123,7 +128,7 @@
         replicas.listeners.append(self.on_replicas)
 
     def on_deployment(self, deployment: Deployment) -> None:
-        """Take in which services are stages or engines."""
+        """Apply the stage and engine settings of a new deployment."""
         for name, service in deployment.services.items():
             if service.stage is not None:
                 self.stages.set_spec(name, service.stage)
@@ -131,14 +136,14 @@
         self.on_replicas()
 
     def on_replicas(self) -> None:
-        """Take in which replicas there are."""
+        """Update stages, engines and waiting jobs after the replica table changed."""
         self.stages.on_replicas()
         self.boards.set_replicas(self.replicas, self.share_of)
         self.recompute_lost()
         self.place_waiting_jobs()
 
     def recompute_lost(self) -> None:
-        """Make the results anew that lay at replicas that are gone and are still needed."""
+        """Recompute results that are still needed and were lost with their replicas."""
         for job in list(self.unplaced.values()):
             if not job.ended:
                 lost = job.lost_phases(self.replicas.replicas)
@@ -146,9 +151,9 @@
                     self.recompute(job, lost)
 
     async def run(self) -> None:
-        """Look after waiting calls and results to be freed until cancelled.
+        """Dispatch waiting calls and free results periodically until cancelled.
 
-        A box that schedules nothing does nothing: of 195 boxes one does.
+        Sleeps while there is no work: of 195 boxes, only one schedules.
         """
         while True:
             await self.work_available.wait()
@@ -159,11 +164,11 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing is due before the next job comes."""
+        """Tell whether nothing is due before the next job arrives."""
         return not self.jobs and self.stages.is_idle
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Run the periodic work: reject, place, expire and dispatch."""
         if self.is_idle:
             return
         now = self.clock.monotonic()
@@ -178,20 +183,20 @@
         self.stages.tick(now)
 
     def free_fetched(self, now: float) -> None:
-        """Give the results up that engines have fetched."""
+        """Free the results that engines have had time to fetch."""
         for job in self.jobs.values():
             if job.fetch_pending_since is not None and now >= job.fetch_pending_since + ENGINE_FETCH_DELAY_S:
                 job.fetch_pending_since = None
                 self.stages.release.free_soon(job.all_results())
 
     def on_backoffs(self, message: BackoffNotice) -> None:
-        """Take in which engines want nothing from a box, and look anew at what waits for it."""
+        """Record which engines back off a box, and recheck its waiting jobs."""
         now = self.clock.monotonic()
         self.boards.backoffs.note(message.address, message.backoffs, now)
         self.rejections.reject_backing_off(now)
 
     def on_place(self, place: PlaceJob) -> None:
-        """Begin a job; a repeated message begins nothing twice."""
+        """Start a job, or ignore a repeated message for a known one."""
         if place.job in self.jobs:
             return
         now = self.clock.monotonic()
@@ -225,7 +230,7 @@
         self.advance(job)
 
     def critical_paths(self, job: Job) -> dict[int, float]:
-        """Return for each phase what is expected from its call to the engine's first event."""
+        """Return for each phase the expected seconds from its call to the engine's first event."""
         paths: dict[int, float] = {}
         engine_s = self.engine_times.expected_s(job.place.prompt.tokens_in)
         for number in reversed(range(len(job.place.phases))):
@@ -241,7 +246,7 @@
         return paths
 
     def advance(self, job: Job) -> None:
-        """Begin the phases that can be begun; place the job when its stages are done."""
+        """Start the phases that are ready, and place the job once all its stages are done."""
         if job.ended or job.placed_on is not None:
             return
         if self.succession.successor is not None and not job.is_adopted:
@@ -259,7 +264,7 @@
         self.stages.dispatch_soon()
 
     def begin_phase(self, job: Job, number: int) -> None:
-        """Let the pieces of a phase wait for calls; one without pieces is done at once."""
+        """Queue the pieces of a phase for calls, except those that already have results."""
         now = self.clock.monotonic()
         job.started.add(number)
         phase = job.place.phases[number]
@@ -276,11 +281,11 @@
                 piece.set_dispatched(True)
 
     def engine_s(self, job: Job) -> float:
-        """Return what an engine is believed to take to a job's first event."""
+        """Return the estimated seconds that an engine takes to a job's first event."""
         return self.engine_times.expected_s(job.place.prompt.tokens_in)
 
     def place_waiting_jobs(self) -> None:
-        """Give the places at engines to the jobs that wait for one, until none is left."""
+        """Place waiting jobs, until the engines of their services are full."""
         full: set[str] = set()
         for job in self.engine_queue.ordered(self.clock.monotonic()):
             if job.place.service in full:
@@ -290,16 +295,16 @@
                 full.add(job.place.service)
 
     def has_engine_restrictions(self, job: Job) -> bool:
-        """Tell whether others may find a place at an engine where a job found none."""
+        """Tell whether other jobs may use engines that are closed to this one."""
         return bool(job.place.exclude) or job.place.reply_to in self.boards.backoffs.by_box
 
     def reject_unserved(self, job: Job) -> None:
-        """Tell the box at once that there is no engine for a job."""
+        """Reject a job that no engine can serve."""
         now = self.clock.monotonic()
         self.reject(job, 'no-engine', self.admission.return_s(job, NO_ENGINE_RETRY_S, now))
 
     def place_engine(self, job: Job) -> None:
-        """Choose the engine and tell the box, or let the job wait on."""
+        """Choose an engine and notify the box, or leave the job waiting."""
         now = self.clock.monotonic()
         board = self.boards[job.place.service]
         if not board.serves(job):
@@ -331,7 +336,7 @@
         self.send(job.place.reply_to, placed)
 
     def reject(self, job: Job, reason: str, retry_after_s: float = DEFAULT_RETRY_AFTER_S) -> None:
-        """Tell the box that a job is not placed, and end it."""
+        """Notify the box that a job is not placed, and end the job."""
         self.observer.on_rejected(job, reason, retry_after_s)
         self.evenness.learn(job.place.priority, in_time=False)
         rejected = Rejected(job=job.id, reason=reason, retry_after_s=retry_after_s)
@@ -339,7 +344,7 @@
         self.end(job)
 
     def on_started(self, message: RunStarted) -> None:
-        """Note that an engine has read its inputs and prompt."""
+        """Record that an engine has read its inputs and prompt, and free the job's results."""
         job = self.jobs.get(message.job)
         if job is None or job.placed_on is None:
             return
@@ -352,7 +357,7 @@
         self.stages.release.free_soon(job.all_results())
 
     def on_ended(self, message: RunEnded) -> None:
-        """Note that a job is over."""
+        """Record that a job is over, and place waiting jobs."""
         job = self.jobs.get(message.job)
         if job is None:
             return
@@ -367,18 +372,18 @@
         self.place_waiting_jobs()
 
     def end(self, job: Job) -> None:
-        """Forget a job and give its results up."""
+        """Remove a job and free its results."""
         job.ended = True
         self.remove_job(job)
         self.stages.release.free_soon(job.all_results())
 
     def add_job(self, job: Job) -> None:
-        """Keep a job from now on."""
+        """Register a job and wake the periodic work."""
         self.jobs[job.id] = self.unplaced[job.id] = job
         self.work_available.set()
 
     def remove_job(self, job: Job) -> None:
-        """Keep a job that is over no more, nor its pieces."""
+        """Remove a finished or handed-over job and its waiting pieces."""
         self.jobs.pop(job.id, None)
         self.unplaced.pop(job.id, None)
         self.engine_queue.drop(job)
@@ -387,12 +392,12 @@
     def report_progress(
         self, job: Job, results: tuple[StageResult, ...], freed: tuple[int, ...]
     ) -> None:
-        """Tell a job's box what another scheduler would have to know."""
+        """Report progress to a job's box, which passes it on if another scheduler takes over."""
         if not job.ended and job.place.reply_to != self.own_address:
             self.send(job.place.reply_to, Progress(job=job.id, results=results, freed=freed))
 
     def recompute_inputs(self, job: Job, piece: Piece) -> None:
-        """Make the inputs of a piece anew, since its replica found one gone."""
+        """Recompute the inputs of a piece because one is missing at its producer."""
         if job.pieces.get(piece.phase) is None or piece not in job.pieces[piece.phase]:
             return
         if piece.tries >= MAX_PIECE_TRIES:
@@ -401,7 +406,7 @@
         self.recompute(job, [*piece.phase_work.needs, piece.phase])
 
     def recompute(self, job: Job, phases: list[int]) -> None:
-        """Forget phases' results and go on from what is left."""
+        """Discard the results of some phases and continue from the remaining ones."""
         tries = max((item.tries for made in job.pieces.values() for item in made), default=0)
         for phase in phases:
             self.stages.release.free_soon([item for item in job.results[phase] if item is not None])
--- a/packages/core/calicopath_core/scheduling/stage_calls.py
+++ b/packages/core/calicopath_core/scheduling/stage_calls.py
@@ -1,4 +1,4 @@
-"""Make the stage calls that the queues decide on, and take their results in."""
+"""Make the calls to stages that the queues choose, and process their results."""
 
 from __future__ import annotations
 
@@ -30,21 +30,22 @@
     from calicopath_core.scheduling.stages import StageBatch
 
 MAX_PIECE_TRIES = 4
-"""A piece that failed this often ends its job."""
+"""Attempts of a piece after which its job is rejected."""
 
 INPUT_FETCH_S = 0.08
-"""How long after a call began its replica has fetched the inputs: it does so at its turn, which is
-at once as calls go to idle replicas, over links of 10 Gbit/s."""
+"""How long after the start of a call its replica is assumed to have fetched the inputs. It fetches
+them when it starts the work, which is at once because calls go to idle replicas, over 10 Gbit/s."""
 
 CALL_TIMEOUT_MARGIN_S = 1.0
-"""How much longer than expected a stage's call may take before it is given up. A slow replica
-works four times as long: a call of 0.37 s then ends before 1.5 s."""
+"""Time added to the timeout of a stage's call. A slow replica takes four times as long as expected:
+a call of 0.37 s then ends before 1.5 s."""
 
 CALL_TIMEOUT_FACTOR = 5.0
+"""Timeout of a stage's call as a multiple of its expected duration, before the margin."""
 
 
 class StageCalls:
-    """Hold the queues of stages and the calls under way."""
+    """Hold the queues of all stages and the calls in progress."""
 
     def __init__(
         self,
@@ -92,7 +93,7 @@
         self.is_dispatch_due = False
 
     def set_spec(self, service: str, spec: StageSpec) -> None:
-        """Take in what a stage's replicas can do."""
+        """Set the capacity of a stage's replicas."""
         queue = self.queues.get(service)
         if queue is None:
             queue = self.queues[service] = StageQueue(
@@ -105,7 +106,7 @@
         queue.spec = spec
 
     def replica_time_s(self, place: PlaceJob) -> float:
-        """Return the seconds of replicas' time that a job's stages take, its calls shared."""
+        """Return the replica time that a job's stages use in shared calls, in seconds."""
         return sum(
             phase.pieces * self.queues[phase.service].typical_piece_s()
             for phase in place.phases
@@ -113,14 +114,14 @@
         )
 
     def on_replicas(self) -> None:
-        """Take in which replicas there are."""
+        """Update the queues after the replica table changed."""
         for name, queue in self.queues.items():
             usable = self.share_of(self.replicas.usable(name))
             queue.set_replicas(usable, self.replicas.replicas)
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing waits, is at work or is to be freed."""
+        """Tell whether no piece waits, no call runs and no result is to be freed."""
         return (
             not self.freeing.pending
             and not self.tasks
@@ -128,22 +129,22 @@
         )
 
     def tick(self, now: float) -> None:
-        """Do what is due by time."""
+        """Expire bookings and dispatch waiting pieces."""
         for queue in self.queues.values():
             for target in queue.known_replicas.values():
                 target.expire(now)
         self.dispatch()
 
     def drop_stale(self, job: Job) -> None:
-        """Forget the pieces of a job that are not wanted any more."""
+        """Drop the waiting pieces of a job that are stale."""
         for queue in self.queues.values():
             queue.drop_stale(job)
 
     def on_take_over(self, *, has_work: bool) -> None:
-        """Learn what room another scheduler's results take, if there is work or when there is.
+        """Query the replicas for free space, at once if there is work, else when work arrives.
 
-        A box that starts takes itself for the scheduler until it hears others: it must not connect
-        to every replica for that.
+        A box that starts acts as scheduler until it hears from others, and must not connect to
+        every replica just for that.
         """
         self.release.on_hand_over()
         self.is_room_unknown = True
@@ -151,14 +152,14 @@
             self.query_all_room()
 
     def query_all_room(self) -> None:
-        """Ask every replica how much room it has."""
+        """Query the free space of every replica."""
         self.is_room_unknown = False
         for queue in self.queues.values():
             for target in queue.replicas.values():
                 self.spawn(self.query_room(queue, target))
 
     async def query_room(self, queue: StageQueue, target: StageReplica) -> None:
-        """Ask a replica how much room it has; without an answer its own word is waited for."""
+        """Query the free space of a replica; leave the estimate unchanged if the query fails."""
         try:
             async with asyncio.timeout(REPORT_TIMEOUT_S):
                 report = await self.caller.report(target.replica)
@@ -171,16 +172,16 @@
         self.dispatch_soon()
 
     def dispatch_soon(self) -> None:
-        """Make the calls that should be made once what happens at this moment is taken in.
+        """Schedule one dispatch after all events of this loop iteration are processed.
 
-        A call that brings the results of eight jobs, or a burst of requests, is decided on once.
+        A call that returns results of eight jobs, or a burst of requests, is then handled once.
         """
         if not self.is_dispatch_due:
             self.is_dispatch_due = True
             asyncio.get_running_loop().call_soon(self.dispatch)
 
     def dispatch(self) -> None:
-        """Make every call that should be made now."""
+        """Start every call that is due now."""
         self.is_dispatch_due = False
         now = self.clock.monotonic()
         if self.is_room_unknown and any(queue.waiting for queue in self.queues.values()):
@@ -189,20 +190,20 @@
         for queue in self.queues.values():
             for batch in queue.batches(now, held):
                 self.permits.take_own(batch.target.replica)
-                # Described now: before the task runs, a job may have to make its inputs anew.
+                # Built before the task runs: by then a job may have discarded its inputs.
                 calls = [self.piece_call(piece, now) for piece in batch.pieces]
                 for job in jobs_of(batch):
                     job.open_calls += 1
                 self.spawn(self.run_call(queue, batch, calls))
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run something in the background."""
+        """Run a coroutine as a background task, and keep a reference until it is done."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def run_call(self, queue: StageQueue, batch: StageBatch, calls: list[PieceCall]) -> None:
-        """Make one call and take its results in."""
+        """Make one call and process its results or its failure."""
         begun = self.clock.monotonic()
         replica = batch.target.replica
         fetched = asyncio.get_running_loop().call_later(INPUT_FETCH_S, self.release.on_fetched, batch)
@@ -241,7 +242,7 @@
         self.dispatch_soon()
 
     def piece_call(self, piece: Piece, now: float) -> PieceCall:
-        """Describe a piece to its replica."""
+        """Build the request for one piece."""
         job = piece.job
         inputs = tuple(result.handle for result in job.inputs_of(piece.phase))
         reads_inputs = bool(piece.phase_work.needs)
@@ -255,14 +256,14 @@
         )
 
     def close_call(self, batch: StageBatch) -> None:
-        """Note that a call is over."""
+        """Decrement the open calls of a call's jobs."""
         for job in jobs_of(batch):
             job.open_calls -= 1
 
     def on_call_failed(
         self, queue: StageQueue, batch: StageBatch, error: Exception, begun: float
     ) -> None:
-        """Let the pieces of a failed call wait again."""
+        """Process a failed call, and retry its pieces."""
         self.close_call(batch)
         now = self.clock.monotonic()
         full = isinstance(error, NotStarted)
@@ -280,7 +281,7 @@
         self.dispatch_soon()
 
     def retry_piece(self, queue: StageQueue, piece: Piece, *, full: bool) -> None:
-        """Let a piece wait again, or end its job when it failed too often or its time is over."""
+        """Queue a piece again, or reject its job after too many attempts or past its deadline."""
         now = self.clock.monotonic()
         if full:
             piece.tries -= 1
@@ -297,7 +298,7 @@
     def on_result(
         self, queue: StageQueue, batch: StageBatch, piece: Piece, result: PieceResult
     ) -> None:
-        """Note a piece's result, or let it wait again."""
+        """Store a piece's result, or handle the reason why there is none."""
         target = batch.target.replica
         job = piece.job
         if result.handle is not None:
@@ -329,7 +330,7 @@
         self.retry_piece(queue, piece, full=full)
 
     def on_freed(self, maker: str, handles: list[str]) -> None:
-        """Count the room of results as free that their maker has given up."""
+        """Release the space of results that their producer has freed."""
         for queue in self.queues.values():
             target = queue.known_replicas.get(maker)
             if target is not None:
@@ -338,7 +339,7 @@
         self.dispatch_soon()
 
     def continue_job(self, job: Job) -> None:
-        """Go on with a job after a call: free what was read, begin what can be begun."""
+        """Free the results that a finished call has read, and start the phases that are ready."""
         if job.ended:
             return
         self.release.free_read(job, fetched=False)
@@ -346,6 +347,6 @@
 
 
 def outcome_of(results: list[PieceResult]) -> str:
-    """Return the reasons of a call's pieces in one word."""
+    """Return a call's outcome: `ok`, or the distinct reasons of its pieces joined by `+`."""
     reasons = sorted({result.reason for result in results if result.reason})
     return '+'.join(reasons) or 'ok'
--- a/packages/core/calicopath_core/scheduling/stages.py
+++ b/packages/core/calicopath_core/scheduling/stages.py
@@ -1,4 +1,4 @@
-"""Gather the pieces of all boxes into calls to one stage service's replicas."""
+"""Batch the pieces of all boxes into calls to the replicas of one stage service."""
 
 from __future__ import annotations
 
@@ -19,43 +19,44 @@
     from calicopath_core.scheduling.waiting import PieceGroup, RankedGroup
 
 MAX_BATCH_DELAY_S = 0.03
-"""How long a call waits to be filled when one replica alone is free. Mean worth is the same from
-20 to 60 ms and lower at 120 ms: while all replicas work, pieces gather by themselves."""
+"""How long an incomplete batch waits when only one replica is free. The mean score is the same from
+20 to 60 ms and lower at 120 ms: while all replicas are busy, batches fill without waiting."""
 
 MIN_EJECTION_S = 1.0
 MAX_EJECTION_S = 8.0
-"""How long a replica that failed a call is left alone; doubled with each failure in a row."""
+"""How long a replica gets no calls after a failure; doubles with each consecutive failure."""
 
 MIN_FULL_BACKOFF_S = 0.05
 MAX_FULL_BACKOFF_S = 0.4
-"""How long a replica that declined a call as full is left alone, doubled each time in a row: one
-that declines all for 5 s gets 15 calls in place of 100. What it asks for itself comes on top."""
+"""How long a replica gets no calls after it declined one as full; doubles with each consecutive
+decline, so that a replica that declines for 5 s gets 15 calls instead of 100. A backoff that the
+replica requests itself applies in addition."""
 
 BUSY_CALLS_PER_REPLICA = 1.0
-"""With more pieces waiting than this many calls for each replica, no zone is waited for: what
-one zone can't take then makes others late."""
+"""Backlog, in full calls per replica, above which preferred failure domains are ignored: pieces
+that wait for one failure domain then make other jobs late."""
 
 NO_ROOM_BACKOFF_S = 0.15
-"""How long a replica that had no room for a result is left alone, whatever it tells of its room,
-which is some 100 ms old."""
+"""How long a replica that had no space for a result gets no calls, whatever free space it reports:
+its reports are some 100 ms old."""
 
 TYPICAL_FILL_RATIO = 0.75
-"""The part of a call that is filled under load: 0.6 to 0.9, the mean over the calls of a day."""
+"""Expected fill ratio of a call under load; the daily mean is between 0.6 and 0.9."""
 
 
 class StageBatch(NamedTuple):
-    """Hold the pieces of one call and the replica that gets it."""
+    """Hold the pieces of one call and the replica that it goes to."""
 
     target: StageReplica
     pieces: list[Piece]
 
 
 class StageQueue:
-    """Hold the pieces that wait for one service, and its replicas.
+    """Hold the waiting pieces of one stage service, and its replicas.
 
-    A job that `goes_alone` shares no call with others: replicas have ended under its request, and
-    those that are in the call with the cause would be blocked with it. `back_s` tells for how long
-    a replica wants nothing from this box.
+    A job for which `runs_alone` is true shares no call with other jobs: replicas crashed during its
+    request, and jobs that shared a call with the cause would be blocked too. `backoff_left_s`
+    returns for how many seconds a replica still refuses calls from this box.
     """
 
     def __init__(
@@ -77,10 +78,10 @@
         self.waiting = WaitingPieces()
 
     def set_replicas(self, usable: Iterable[Replica], alive: Container[str] = ()) -> None:
-        """Take in which replicas may be called; calls at work on others end by themselves.
+        """Set the replicas that may be called; calls in progress on others run to their end.
 
-        Of those that are only `alive`, as in a zone that is taken out, the room stays counted that
-        their results take.
+        Replicas that are only `alive`, such as those of an evacuated failure domain, get no calls,
+        but the space that their results take is still tracked.
         """
         listed = {replica.id: replica for replica in usable}
         self.known_replicas = {name: item for name, item in self.known_replicas.items() if name in alive}
@@ -92,21 +93,21 @@
         self.replicas = {name: self.known_replicas[name] for name in listed}
 
     def add(self, piece: Piece, now: float) -> None:
-        """Let a piece wait."""
+        """Queue a piece for a call."""
         piece.set_dispatched(False)
         piece.has_fetched_inputs = False
         self.waiting.add(piece, now)
 
     def drop_stale(self, job: Job) -> None:
-        """Forget the pieces of a job that is over, or that it makes anew."""
+        """Drop the pieces of a job that has ended or recomputes them."""
         self.waiting.drop_stale(job)
 
     def available_replicas(self) -> list[StageReplica]:
-        """Return the replicas that do not ask this box to leave them alone."""
+        """Return the replicas that do not back off this box."""
         return [item for item in self.replicas.values() if self.backoff_left_s(item.replica) <= 0]
 
     def free_replicas(self, now: float) -> list[StageReplica]:
-        """Return the replicas that could take a call now, those with most room first."""
+        """Return the replicas that can take a call now, those with most space first."""
         found = [
             item
             for item in self.available_replicas()
@@ -119,14 +120,14 @@
         return sorted(found, key=lambda item: -item.room_left(self.spec, now))
 
     def max_quick_backlog(self, now: float) -> int:
-        """Return how many waiting pieces the replicas that aren't slow take with two calls each."""
+        """Return how many pieces two calls to each replica that is not slow would take."""
         quick_replicas = sum(not item.is_slow(now) for item in self.available_replicas())
         return 2 * quick_replicas * self.spec.batch
 
     def batches(self, now: float, held: Container[str] = ()) -> Iterator[StageBatch]:
-        """Yield the calls to make now; pieces of the jobs that are `held` are left waiting.
+        """Yield the calls to make now; jobs in `held` keep waiting.
 
-        What waits is looked at once for all of them, not anew for each call.
+        The waiting groups are ranked once for all calls, not for each call.
         """
         if not self.waiting or not self.free_replicas(now):
             return
@@ -141,7 +142,7 @@
             yield batch
 
     def next_batch(self, now: float, held: Container[str] = ()) -> StageBatch | None:
-        """Return the next call to make, or nothing while it is better to wait."""
+        """Return the next call to make, or `None` while waiting is better."""
         return next(self.batches(now, held), None)
 
     def choose_batch(
@@ -151,7 +152,7 @@
         homes: dict[int, DomainPreference],
         now: float,
     ) -> StageBatch | None:
-        """Return a call of waiting groups to one of the free replicas, the first that it suits."""
+        """Return a call to the first free replica that suits waiting groups, or `None`."""
         prefers_domain = self.is_lightly_loaded() and any(homes[item.number].zone for item in ranked)
         waits = zone_waits(self.available_replicas(), self.spec, self.permits, now) if prefers_domain else {}
         for target in free:
@@ -168,18 +169,18 @@
         return None
 
     def is_lightly_loaded(self) -> bool:
-        """Tell whether few enough pieces wait for zones to matter."""
+        """Tell whether the backlog is small enough to respect preferred failure domains."""
         return len(self.waiting) <= BUSY_CALLS_PER_REPLICA * self.spec.batch * len(self.available_replicas())
 
     def fill_wait_s(self, free: int) -> float:
-        """Return how long a call that is not full may wait: longer, the fewer replicas are free."""
+        """Return how long an incomplete batch may wait: longer, the fewer replicas are free."""
         usable = max(1, len(self.available_replicas()))
         return MAX_BATCH_DELAY_S * (1 - (free - 1) / usable)
 
     def fitting_pieces(self, groups: list[PieceGroup], target: StageReplica, now: float) -> list[Piece]:
-        """Return the pieces, in order, that one call to a replica can take.
+        """Return the pieces, in order, that fit into one call to a replica.
 
-        Large results of one job are kept together, so that its engine can be near all of them.
+        Large results of one job stay together, so that its engine can be near all of them.
         """
         room = target.room_left(self.spec, now)
         found: list[Piece] = []
@@ -201,7 +202,7 @@
         return found
 
     def start_batch(self, target: StageReplica, pieces: list[Piece], now: float) -> StageBatch:
-        """Take pieces out of the queue and book their room."""
+        """Remove pieces from the queue and reserve space for their results."""
         self.waiting.remove(pieces)
         for piece in pieces:
             piece.tries += 1
@@ -214,16 +215,16 @@
         return StageBatch(target, pieces)
 
     def book_result(self, maker: str, handle: str, size: int, now: float) -> None:
-        """Count the room of a result that another scheduler had made."""
+        """Book the space of a result that another scheduler had computed."""
         target = self.replicas.get(maker)
         if target is not None:
             target.bookings[handle] = Booking(size, now + self.spec.result_ttl_s)
             target.booked_bytes += size
-            # It was counted as somebody else's when the replica told of its room.
+            # The replica's last report counted this space as booked by other schedulers.
             target.other_bytes = max(0.0, target.other_bytes - size)
 
     def on_finished(self, batch: StageBatch, made: dict[str, int], now: float) -> None:
-        """Turn the room booked into that of the results made, by handle and size."""
+        """Replace a call's reserved space by bookings of its results, given by handle and size."""
         target = batch.target
         target.open_calls -= 1
         target.reserved_bytes -= sum(piece.result_bytes for piece in batch.pieces)
@@ -233,16 +234,16 @@
         target.consecutive_failures = target.consecutive_declines = 0
 
     def on_no_room(self, batch: StageBatch, now: float) -> None:
-        """Note that a replica had no room for a result."""
+        """Record that a replica had no space for a result."""
         batch.target.no_room_until = now + NO_ROOM_BACKOFF_S
 
     def on_answer_lost(self, batch: StageBatch, now: float) -> None:
-        """Count the room of results that were made and that nobody can give up."""
+        """Book the space of results whose handles are unknown, until they expire."""
         sizes = {f'lost {piece.name}': piece.result_bytes for piece in batch.pieces}
         self.on_finished(batch, sizes, now)
 
     def on_failed(self, batch: StageBatch, now: float, *, full: bool) -> None:
-        """Leave a replica alone for a while that failed a call or was full."""
+        """Eject a replica for a while after a failed call, or briefly if it was full."""
         target = batch.target
         target.open_calls -= 1
         target.reserved_bytes -= sum(piece.result_bytes for piece in batch.pieces)
@@ -254,18 +255,18 @@
         target.unavailable_until = now + min(MAX_EJECTION_S, MIN_EJECTION_S * 2 ** (target.consecutive_failures - 1))
 
     def pieces_per_s(self) -> float:
-        """Return the pieces a second that the replicas can make with calls nearly full."""
+        """Return the throughput of the available replicas with typical calls, in pieces per second."""
         pieces = max(1, round(self.spec.batch * TYPICAL_FILL_RATIO))
         return pieces * self.calls_per_s(self.available_replicas(), pieces)
 
     def calls_per_s(self, replicas: Iterable[StageReplica], pieces: int) -> float:
-        """Return the calls of so many pieces that some replicas take in a second."""
+        """Return how many calls of that many pieces the replicas take per second."""
         unlimited_per_s = 1 / self.expected_call_s(pieces)
         rates = (self.permits.rate_of(item.replica) for item in replicas)
         return sum(unlimited_per_s if rate is None else min(unlimited_per_s, rate) for rate in rates)
 
     def opens_in_s(self) -> float:
-        """Return when the first replica may be called, 0 for now."""
+        """Return the seconds until the first replica may be called; 0 if one may be called now."""
         waits = (
             max(self.backoff_left_s(item.replica), self.permits.opens_in_s(item.replica))
             for item in self.replicas.values()
@@ -273,23 +274,23 @@
         return min(waits, default=0.0)
 
     def typical_piece_s(self) -> float:
-        """Return what a piece takes of a call that is filled as usual."""
+        """Return the share of one piece in the duration of a typical call, in seconds."""
         return self.typical_call_s() / max(1, round(self.spec.batch * TYPICAL_FILL_RATIO))
 
     def typical_call_s(self) -> float:
-        """Return what a call usually takes."""
+        """Return the duration of a typical call, in seconds."""
         return self.expected_call_s(max(1, round(self.spec.batch * TYPICAL_FILL_RATIO)))
 
     def expected_call_s(self, pieces: int) -> float:
-        """Return what a call with so many pieces takes, in seconds."""
+        """Return the expected duration of a call with that many pieces, in seconds."""
         return self.spec.call_s + self.spec.piece_s * pieces
 
 
 def longest_wait_s(groups: list[PieceGroup], now: float) -> float:
-    """Return how long the group that waits longest has waited."""
+    """Return how long the oldest of some groups has waited, in seconds."""
     return now - min(group.waiting_since for group in groups)
 
 
 def jobs_of(batch: StageBatch) -> list[Job]:
-    """Return the jobs whose pieces a call holds, each once."""
+    """Return the distinct jobs whose pieces are in a call."""
     return list({piece.job.id: piece.job for piece in batch.pieces}.values())
--- a/packages/core/calicopath_core/scheduling/tests/freeing_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/freeing_tests.py
@@ -1,4 +1,4 @@
-"""Test that the room of results counts as free only once their maker has given them up."""
+"""Test that the space of results counts as free only once their producer has freed them."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def calls_to(caller: mock.Mock) -> StageCalls:
-    """Return calls to one replica that holds one result."""
+    """Return the calls of a scheduler to one replica that holds one result."""
     table = ReplicaTable()
     table.put(replica('maker-a'))
     found = StageCalls(
@@ -45,7 +45,7 @@
 
 class Freeing(VirtualCase):
     def booked_after(self, seconds: list[float], error: Exception | None = None) -> list[int]:
-        """Return the bytes that count as taken some times after a result was given up."""
+        """Return the booked bytes at some times after a result is freed, in seconds."""
         caller = mock.Mock(spec=StageCaller)
 
         async def free(replica: Replica, handles: list[str]) -> None:
@@ -78,7 +78,7 @@
 
 class Inputs(VirtualCase):
     def given_up(self, taken_bytes: int) -> bool:
-        """Tell whether an input is given up once it was fetched, with so much room taken."""
+        """Tell whether an input is freed once fetched, with `taken_bytes` reserved."""
         calls = calls_to(mock.Mock(spec=StageCaller))
         maker = calls.queues['look'].replicas['maker-a']
         maker.reserved_bytes = taken_bytes
--- a/packages/core/calicopath_core/scheduling/tests/hopeless_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/hopeless_tests.py
@@ -1,4 +1,4 @@
-"""Test that jobs that can't be made any more are told so at once, begun or not."""
+"""Test that jobs that can't meet their deadline are rejected early, also when started."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 async def hang(*details: Any) -> None:
-    """Give no answer."""
+    """Never answer."""
     await asyncio.sleep(3600)
 
 
 class Hopeless(VirtualCase):
     def scheduler(self, sent: list[msgspec.Struct], caller: Any) -> Scheduler:
-        """Return a scheduler before one replica of a stage and one engine."""
+        """Return a scheduler with one stage replica and one engine."""
         table = ReplicaTable()
         table.put(replica('r'))
         table.put(replica('e', service='engine'))
@@ -51,7 +51,7 @@
         return found
 
     def rejected_at(self, *phases: Any) -> float:
-        """Return when a job is rejected whose first call hangs, in seconds."""
+        """Return after how many seconds a job is rejected whose first call hangs."""
         caller = mock.Mock(spec=StageCaller)
         caller.run = caller.report = hang
 
--- a/packages/core/calicopath_core/scheduling/tests/limited_stages_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/limited_stages_tests.py
@@ -1,4 +1,4 @@
-"""Test that calls of stages, and what is expected of them, go by the limits of their replicas."""
+"""Test that stage calls and throughput estimates respect the limits of replicas."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 
 class OneLimited(NoLimits):
-    """Have the replica `limited` take one call a second, the next in half a second."""
+    """Limit the replica `limited` to one call a second, the next in half a second."""
 
     def rate_of(self, replica: Replica) -> float | None:
-        """Return the rate of the one."""
+        """Return the limit of `limited`, and `None` for other replicas."""
         return 1.0 if replica.id == 'limited' else None
 
     def opens_in_s(self, replica: Replica) -> float:
-        """Return when the one may be called."""
+        """Return the seconds until a replica may be called."""
         return 0.5 if replica.id == 'limited' else 0.0
 
 
 class LimitedStages(testtools.TestCase):
     def stage(self, *names: str) -> StageQueue:
-        """Return a stage with some replicas, of which one is limited."""
+        """Return a stage whose replica `limited`, if it is among them, has a limit."""
         found = queue(*(replica(name) for name in names))
         found.permits = OneLimited()
         return found
--- a/packages/core/calicopath_core/scheduling/tests/stages_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/stages_tests.py
@@ -1,4 +1,4 @@
-"""Test how pieces become calls: order, filling, room, zones, slow replicas."""
+"""Test how pieces are batched into calls: order, filling, space, failure domains, slow replicas."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 class Order(testtools.TestCase):
     def served(self, *jobs: Job, now: float = LATER) -> list[str]:
-        """Return the jobs in the order in which one replica serves them."""
+        """Return the names of jobs in the order in which one replica serves them."""
         target = queue(replica('r'), spec=SPEC._replace(batch=1))
         for item in jobs:
             wait(target, item)
@@ -220,7 +220,7 @@
 
 class Zones(testtools.TestCase):
     def reading(self, size: int, **changes: Any) -> Job:
-        """Return a job whose second phase reads a result in zone b."""
+        """Return a job whose second phase reads a result in failure domain b."""
         found = job('reader', phase(size=size), phase(needs=(0,), count=2), **changes)
         found.results[0][0] = result('h', zone='b', size=size)
         return found
@@ -237,7 +237,7 @@
         self.assertEqual('near', batch.target.replica.id)
 
     def busy_at_home(self, item: Job) -> StageQueue:
-        """Return a queue in which a piece's home has a call at work until 0.4 s."""
+        """Return a queue whose replica in the preferred failure domain is busy until 0.4 s."""
         target = queue(replica('far', 'a'), replica('near', 'b'))
         near = target.replicas['near']
         near.open_calls, near.free_at, near.due_at = 1, 0.4, 9.0
@@ -297,15 +297,15 @@
     def test_one_that_wants_nothing_gets_nothing_and_counts_for_nothing_until_it_is_back(
         self,
     ) -> None:
-        wishes = {'r': 3.0}
+        backoffs = {'r': 3.0}
         target = queue(replica('r'), replica('s'))
-        target.backoff_left_s = lambda item: wishes.get(item.id, 0.0)
+        target.backoff_left_s = lambda item: backoffs.get(item.id, 0.0)
         both = queue(replica('r'), replica('s')).pieces_per_s()
         self.assertEqual(both / 2, target.pieces_per_s())
         wait(target, job('one', phase(count=8)))
         names = [batch.target.replica.id for batch in target.batches(LATER)]
         self.assertEqual(['s'], names)
-        wishes['s'] = 2.0
+        backoffs['s'] = 2.0
         self.assertEqual(2.0, target.opens_in_s())
 
     def test_a_replica_that_declines_all_is_asked_less_often_each_time(self) -> None:
--- a/packages/core/calicopath_core/scheduling/tests/work.py
+++ b/packages/core/calicopath_core/scheduling/tests/work.py
@@ -1,4 +1,4 @@
-"""Make jobs, replicas and queues for tests."""
+"""Build jobs, replicas and queues for tests."""
 
 from __future__ import annotations
 
@@ -16,12 +16,11 @@
 
 
 def replica(name: str, zone: str = 'a', service: str = 'look') -> Replica:
-    """Return a replica."""
     return Replica(name, service, f'{name}:1', zone, 1, False)
 
 
 def prompt(*parts: tuple[str, int], out: int = 10) -> Prompt:
-    """Return a prompt of some parts."""
+    """Return a prompt with parts given by name and length in tokens."""
     found = tuple(PromptPart(name, tokens) for name, tokens in parts)
     return Prompt('m', found, sum(part.tokens for part in found), out)
 
@@ -29,12 +28,11 @@
 def phase(
     service: str = 'look', needs: tuple[int, ...] = (), size: int = 100, count: int = 1
 ) -> Any:
-    """Return a phase."""
     return PhaseWork(service, needs, size, count)
 
 
 def job(name: str, *phases: Any, now: float = 0.0, **changes: Any) -> Job:
-    """Return a job whose pieces all stand for their phases."""
+    """Return a job with all its pieces; `changes` replace fields of its placement request."""
     fields: dict[str, Any] = {
         'job': name,
         'reply_to': 'b1:7',
@@ -57,19 +55,18 @@
 
 
 def result(handle: str, zone: str = 'a', size: int = 100, created_at: float = 0.0) -> Result:
-    """Return a result."""
     return Result(handle=handle, producer=f'maker-{zone}', zone=zone, size=size, created_at=created_at)
 
 
 def queue(*replicas: Replica, spec: StageSpec = SPEC) -> StageQueue:
-    """Return a queue before some replicas."""
+    """Return a queue for some replicas."""
     found = StageQueue(service='look', spec=spec)
     found.set_replicas(replicas)
     return found
 
 
 def wait(target: StageQueue, owner: Job, number: int = 0, now: float = 0.0) -> None:
-    """Let the pieces of a job's phase wait."""
+    """Add the pieces of a job's phase to a queue."""
     owner.started.add(number)
     for piece in owner.pieces[number]:
         target.add(piece, now)
--- a/packages/core/calicopath_core/scheduling/waiting.py
+++ b/packages/core/calicopath_core/scheduling/waiting.py
@@ -1,9 +1,9 @@
-"""Decide in what order pieces wait for calls.
+"""Order the pieces that wait for calls.
 
-Answers load at its worst: a burst of any kind, stages that lost replicas, the seconds after
-everything was killed. More waits then than can be made in time, and the order decides who is late.
-Pieces of one phase of a job are alike but for their number, so they wait, and are looked at, as one
-group: at 195 boxes that takes a scheduler 3.4 ms of processor time a job in place of 9.1 (replay).
+The order matters under overload: in bursts, after stages lost replicas, or after a restart of
+everything. More pieces then wait than can be computed in time, and the order decides which jobs are
+late. Pieces of one phase of a job differ only in their index, so they are queued and ranked as one
+group: at 195 boxes this takes 3.4 ms of scheduler CPU time per job instead of 9.1 ms (in a replay).
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
     from calicopath_core.scheduling.jobs import Job, Piece
 
 SLACK_STEP_S = 0.4
-"""Jobs whose time to spare differs by less than about a call are told apart by rank."""
+"""Step to which slack is rounded, about one call; jobs in the same step go by priority."""
 
 OLD_RESULT_AGE_S = 1.2
-"""How old a result may grow before what reads it goes first: the users' results live for 4 s, and
-the stages that follow take about half of that."""
+"""Age of a result from which its readers go first: the users' results expire after 4 s, and the
+stages that follow take about half of that."""
 
 
 class Rank(NamedTuple):
-    """Hold by what a group is served, least first."""
+    """Sort key of a group; the smallest is served first."""
 
     tier: int
     slack_step: int
@@ -34,7 +34,7 @@
 
 
 class PieceGroup:
-    """Hold the pieces of one phase of a job that wait; `since` is when the first came to wait."""
+    """Hold the waiting pieces of one phase of a job, the first of them since `waiting_since`."""
 
     def __init__(self, *, job: Job, phase: int, waiting_since: float) -> None:
         self.job = job
@@ -44,17 +44,17 @@
 
     @property
     def first(self) -> Piece:
-        """Return a piece that stands for all."""
+        """Return a piece that represents the group."""
         return self.pieces[0]
 
     @property
     def result_bytes(self) -> int:
-        """Return about how large each piece's result is."""
+        """Return the expected size of each piece's result."""
         return self.job.place.phases[self.phase].result_bytes
 
 
 class WaitingPieces:
-    """Hold the pieces that wait for one service."""
+    """Hold the pieces that wait for one service, grouped by job and phase."""
 
     def __init__(self) -> None:
         self.groups: dict[tuple[str, int], PieceGroup] = {}
@@ -64,7 +64,7 @@
         return self.count
 
     def add(self, piece: Piece, now: float) -> None:
-        """Let a piece wait."""
+        """Add a piece to the group of its job and phase."""
         key = (piece.job.id, piece.phase)
         group = self.groups.get(key)
         if group is None:
@@ -73,7 +73,7 @@
         self.count += 1
 
     def remove(self, pieces: Iterable[Piece]) -> None:
-        """Take pieces out that are put into a call."""
+        """Remove pieces, such as those put into a call."""
         for piece in pieces:
             key = (piece.job.id, piece.phase)
             group = self.groups[key]
@@ -83,14 +83,14 @@
                 del self.groups[key]
 
     def drop_stale(self, job: Job) -> None:
-        """Forget the pieces of a job that is over, or that it makes anew."""
+        """Drop the pieces of a job that has ended or recomputes them."""
         for phase in range(len(job.place.phases)):
             group = self.groups.get((job.id, phase))
             if group is not None:
                 self.remove([piece for piece in group.pieces if piece.is_stale])
 
     def ready(self, held: Container[str], now: float) -> list[RankedGroup]:
-        """Return the groups that may be called now in order; jobs that are `held` are left out."""
+        """Return the groups that may be dispatched now, in order; jobs in `held` are left out."""
         found = [
             RankedGroup(rank(group.first, now), number, group)
             for number, group in enumerate(self.groups.values())
@@ -101,7 +101,7 @@
 
 
 class RankedGroup(NamedTuple):
-    """Hold a waiting group and by what it is served; `number` tells groups apart that are alike."""
+    """Hold a waiting group with its sort key; `number` breaks ties in queue order."""
 
     rank: Rank
     number: int
@@ -109,7 +109,7 @@
 
 
 def update_ranking(ranked: list[RankedGroup], dispatched: Iterable[Piece], now: float) -> list[RankedGroup]:
-    """Bring an order up to date after pieces were taken; return what is left of their groups.
+    """Update a ranking after pieces were dispatched, and return their groups that still wait.
 
     `ranked` is changed in place.
     """
@@ -125,16 +125,19 @@
 
 
 def rank(piece: Piece, now: float) -> Rank:
-    """Return by what pieces are served: jobs in time by what time they have to spare, then rank.
-
-    While there is time for all, those with least to spare go first whatever their rank; when there
-    is not, all have little to spare and rank decides. Before them go jobs whose stream broke
-    midway, since their callers see the pause; pieces whose siblings are made or being made, since
-    those take room until the last one is (without this the mean worth of days with faults was
-    0.03 lower); and jobs whose results would soon run out and have to be made again. After them
-    go jobs beyond their workspace's allowance, and then jobs that are late or will be: were they to
-    go first, as those with least to spare, a backlog of some seconds would make every job late that
-    comes after it.
+    """Return the sort key of a piece: jobs that are in time go by slack, then by priority.
+
+    While there is capacity for all, jobs with least slack go first whatever their priority; under
+    overload all have little slack and priority decides.
+
+    Served before them: jobs whose stream broke midway, because their callers notice the pause;
+    pieces with dispatched siblings, whose results take up space until the last one is done (without
+    this rule the mean score of days with faults was 0.03 lower); and jobs whose results would soon
+    expire and have to be recomputed.
+
+    Served after them: jobs over their workspace's allowance, then jobs that are late or will be.
+    If late jobs went first for having least slack, a backlog of some seconds would make every later
+    job late.
     """
     job = piece.job
     if piece.has_siblings_in_progress or job.oldest_result_s(now) > OLD_RESULT_AGE_S:
@@ -143,7 +146,7 @@
 
 
 def rank_job(job: Job, slack_s: float) -> Rank:
-    """Return by what a job is served that has some time to spare."""
+    """Return the sort key of a job with `slack_s` left before it misses its objective."""
     if job.resumed:
         return Rank(0, 0, 0, job.arrived_at)
     if slack_s < 0:
