--- a/packages/core/calicopath_core/scheduling/freeing.py
+++ b/packages/core/calicopath_core/scheduling/freeing.py
@@ -61,12 +61,12 @@
         self.timer = None
         deferred: dict[str, list[str]] = {}
         longest_backoff_s = 0.0
-        for maker, handles in self.pending.items():
-            replica = self.replicas.replicas.get(maker)
+        for producer, handles in self.pending.items():
+            replica = self.replicas.replicas.get(producer)
             if replica is None or replica.zone in self.replicas.evacuated:
                 continue
             if (left_s := self.backoff_left_s(replica)) > 0:
-                deferred[maker] = handles
+                deferred[producer] = handles
                 longest_backoff_s = max(longest_backoff_s, left_s)
                 continue
             self.spawn(self.free(replica, handles))
--- a/packages/core/calicopath_core/scheduling/interfaces.py
+++ b/packages/core/calicopath_core/scheduling/interfaces.py
@@ -15,7 +15,7 @@
 
 
 class PieceCall(NamedTuple):
-    """Describe one piece of a stage's call; `inputs` is `None` for a phase that reads no results."""
+    """Describe one piece of a stage's call; `inputs` is `None` if its phase reads no results."""
 
     call_id: str
     phase: int
--- a/packages/core/calicopath_core/scheduling/jobs.py
+++ b/packages/core/calicopath_core/scheduling/jobs.py
@@ -69,7 +69,7 @@
         return self.job.undispatched[self.phase] < self.phase_work.pieces
 
     def transfer_bytes(self) -> int:
-        """Return the bytes moved between failure domains if the piece runs outside its preferred one.
+        """Return the bytes moved between failure domains if the piece leaves its preferred one.
 
         Its inputs are fetched for it alone. Its result is then apart from those of its siblings,
         and every piece of the phases that read it has to fetch it.
@@ -180,7 +180,7 @@
     def min_remaining_s(self) -> float:
         """Return the least seconds to the engine's first event, as if no other work were queued.
 
-        Phases whose pieces have all been dispatched are not counted, only the phases that read them.
+        A phase counts only while some of its pieces have not been dispatched.
         """
         return max(
             (path_s for phase, path_s in self.critical_path_s.items() if self.undispatched[phase]), default=0.0
@@ -300,7 +300,7 @@
                 self.invalidate(reader)
 
     def lost_phases(self, alive_replicas: Container[str]) -> list[int]:
-        """Return the phases with results that are still needed but were lost with their replicas."""
+        """Return the phases with results that are still needed but lost with their replicas."""
         return [
             phase
             for phase, results in self.results.items()
--- a/packages/core/calicopath_core/scheduling/overdue.py
+++ b/packages/core/calicopath_core/scheduling/overdue.py
@@ -20,8 +20,8 @@
 
 OVERDUE_FACTOR = 1.3
 REPORT_LAG_S = 0.15
-"""A call is checked after this multiple of its expected duration plus the lag of reports, which show
-the state of a replica some 100 ms before."""
+"""A call is checked after this multiple of its expected duration plus the lag of reports, which
+show the state of a replica some 100 ms before."""
 
 IDLE_RECHECK_S = 0.15
 """Delay before an idle report is confirmed: a single report may be older than the call."""
--- a/packages/core/calicopath_core/scheduling/placing.py
+++ b/packages/core/calicopath_core/scheduling/placing.py
@@ -43,7 +43,7 @@
 
 
 def may_run_in(preference: DomainPreference, zone: str, waits: Mapping[str, float]) -> bool:
-    """Tell whether pieces may run in a failure domain: their preferred one, or another if they can't wait.
+    """Tell whether pieces may run in a failure domain: the preferred one, or any if they can't wait.
 
     `waits` holds the seconds until a replica of a failure domain is free. A late job keeps waiting
     for its preferred failure domain, because it misses its objective anyway.
--- a/packages/core/calicopath_core/scheduling/release.py
+++ b/packages/core/calicopath_core/scheduling/release.py
@@ -19,11 +19,11 @@
 
 AMPLE_ROOM_CALLS = 2
 """Full calls that a producer must have space for to keep fetched inputs until their readers are
-done. If inputs were always freed once fetched, a reader that fails would need all of them recomputed:
+done. If inputs were always freed once fetched, a failed reader would need all of them recomputed:
 434 results on one day with faults, a score lower by 0.02."""
 
 HAND_OVER_OVERLAP_S = 1.5
-"""How long after a hand-over another scheduler's calls may delay ours at a replica: the scheduler that
+"""How long after a hand-over another scheduler's calls may delay ours at a replica: a scheduler that
 leaves finishes the calls that it has started."""
 
 EARLY_FREE_PAUSE_S = 5.0
--- a/packages/core/calicopath_core/scheduling/scheduler.py
+++ b/packages/core/calicopath_core/scheduling/scheduler.py
@@ -45,13 +45,14 @@
 
 TICK_INTERVAL_S = 0.05
 JOB_RETENTION_S = 30.0
-"""How long past its deadline a job is kept if its box never reports the end."""
+"""How long past its deadline a job is kept if its box never reports the end; longer than the users'
+deadlines."""
 
 ENGINE_FETCH_DELAY_S = 0.05
 """How long after placement an engine is assumed to have fetched a job's results. It fetches them
-when the request arrives, before queueing; two hops between failure domains and 1.5 MB over 10 Gbit/s
-take under 10 ms. Keeping results longer takes space from their producers: 0.15 s lowered the mean
-score of days with faults by 0.015."""
+when the request arrives, before queueing; two hops between failure domains and 1.5 MB over
+10 Gbit/s take under 10 ms. Keeping results longer takes space from their producers: 0.15 s lowered
+the mean score of days with faults by 0.015."""
 
 DEFAULT_RETRY_AFTER_S = 0.5
 """Retry delay of a rejected job when no estimate is available."""
--- a/packages/core/calicopath_core/scheduling/stage_calls.py
+++ b/packages/core/calicopath_core/scheduling/stage_calls.py
@@ -204,7 +204,7 @@
 
     async def run_call(self, queue: StageQueue, batch: StageBatch, calls: list[PieceCall]) -> None:
         """Make one call and process its results or its failure."""
-        begun = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         replica = batch.target.replica
         fetched = asyncio.get_running_loop().call_later(INPUT_FETCH_S, self.release.on_fetched, batch)
         expected_s = queue.expected_call_s(len(calls))
@@ -216,9 +216,9 @@
                 fate = ReplicaFate(reach=self.caller, replicas=self.replicas, replica=replica)
                 contents = [job.place.content for job in jobs_of(batch)]
                 await self.crashes.on_failed(
-                    contents, queue.service, fate, error, began=begun, answered=True
+                    contents, queue.service, fate, error, began=started_at, answered=True
                 )
-            self.on_call_failed(queue, batch, error, begun)
+            self.on_call_failed(queue, batch, error, started_at)
             return
         finally:
             fetched.cancel()
@@ -229,9 +229,9 @@
             if result.handle is not None:
                 made[result.handle] = piece.result_bytes
         queue.on_finished(batch, made, now)
-        batch.target.record_duration(now - begun, expected_s, now)
+        batch.target.record_duration(now - started_at, expected_s, now)
         self.observer.on_stage_call(
-            queue.service, replica.id, batch.pieces, now - begun, outcome_of(results)
+            queue.service, replica.id, batch.pieces, now - started_at, outcome_of(results)
         )
         for piece, result in zip(batch.pieces, results, strict=True):
             self.on_result(queue, batch, piece, result)
@@ -261,7 +261,7 @@
             job.open_calls -= 1
 
     def on_call_failed(
-        self, queue: StageQueue, batch: StageBatch, error: Exception, begun: float
+        self, queue: StageQueue, batch: StageBatch, error: Exception, started_at: float
     ) -> None:
         """Process a failed call, and retry its pieces."""
         self.close_call(batch)
@@ -272,7 +272,7 @@
         else:
             queue.on_failed(batch, now, full=full)
         self.observer.on_stage_call(
-            queue.service, batch.target.replica.id, batch.pieces, now - begun, repr(error)
+            queue.service, batch.target.replica.id, batch.pieces, now - started_at, repr(error)
         )
         for piece in batch.pieces:
             self.retry_piece(queue, piece, full=full)
@@ -329,10 +329,10 @@
             queue.on_no_room(batch, self.clock.monotonic())
         self.retry_piece(queue, piece, full=full)
 
-    def on_freed(self, maker: str, handles: list[str]) -> None:
+    def on_freed(self, producer: str, handles: list[str]) -> None:
         """Release the space of results that their producer has freed."""
         for queue in self.queues.values():
-            target = queue.known_replicas.get(maker)
+            target = queue.known_replicas.get(producer)
             if target is not None:
                 for handle in handles:
                     target.free(handle)
--- a/packages/core/calicopath_core/scheduling/stage_replicas.py
+++ b/packages/core/calicopath_core/scheduling/stage_replicas.py
@@ -76,7 +76,7 @@
         return self.slowness > SLOW_FACTOR and now - self.slowness_measured_at < SLOWNESS_EXPIRY_S
 
     def room_left(self, spec: StageSpec, now: float) -> float:
-        """Return the estimated free bytes for results; 0 for a while after a result found no space."""
+        """Return the estimated free bytes for results; 0 for a while after there was no space."""
         if now < self.no_room_until:
             return 0.0
         other = self.other_bytes if now < self.other_until else 0.0
--- a/packages/core/calicopath_core/scheduling/stages.py
+++ b/packages/core/calicopath_core/scheduling/stages.py
@@ -132,13 +132,13 @@
         if not self.waiting or not self.free_replicas(now):
             return
         ranked = self.waiting.ready(held, now)
-        homes = {item.number: preference_of(item.group.first, now) for item in ranked}
+        preferences = {item.number: preference_of(item.group.first, now) for item in ranked}
         while ranked and (free := self.free_replicas(now)):
-            batch = self.choose_batch(free, ranked, homes, now)
+            batch = self.choose_batch(free, ranked, preferences, now)
             if batch is None:
                 return
             for item in update_ranking(ranked, batch.pieces, now):
-                homes[item.number] = preference_of(item.group.first, now)
+                preferences[item.number] = preference_of(item.group.first, now)
             yield batch
 
     def next_batch(self, now: float, held: Container[str] = ()) -> StageBatch | None:
@@ -149,15 +149,15 @@
         self,
         free: list[StageReplica],
         ranked: list[RankedGroup],
-        homes: dict[int, DomainPreference],
+        preferences: dict[int, DomainPreference],
         now: float,
     ) -> StageBatch | None:
         """Return a call to the first free replica that suits waiting groups, or `None`."""
-        prefers_domain = self.is_lightly_loaded() and any(homes[item.number].zone for item in ranked)
+        prefers_domain = self.is_lightly_loaded() and any(preferences[item.number].zone for item in ranked)
         waits = zone_waits(self.available_replicas(), self.spec, self.permits, now) if prefers_domain else {}
         for target in free:
             zone = target.replica.zone
-            eligible = [item.group for item in ranked if may_run_in(homes[item.number], zone, waits)]
+            eligible = [item.group for item in ranked if may_run_in(preferences[item.number], zone, waits)]
             if not eligible:
                 continue
             count = sum(len(group.pieces) for group in eligible)
@@ -214,9 +214,9 @@
         target.reserved_bytes += sum(piece.result_bytes for piece in pieces)
         return StageBatch(target, pieces)
 
-    def book_result(self, maker: str, handle: str, size: int, now: float) -> None:
+    def book_result(self, producer: str, handle: str, size: int, now: float) -> None:
         """Book the space of a result that another scheduler had computed."""
-        target = self.replicas.get(maker)
+        target = self.replicas.get(producer)
         if target is not None:
             target.bookings[handle] = Booking(size, now + self.spec.result_ttl_s)
             target.booked_bytes += size
@@ -255,7 +255,7 @@
         target.unavailable_until = now + min(MAX_EJECTION_S, MIN_EJECTION_S * 2 ** (target.consecutive_failures - 1))
 
     def pieces_per_s(self) -> float:
-        """Return the throughput of the available replicas with typical calls, in pieces per second."""
+        """Return how many pieces the available replicas compute per second in typical calls."""
         pieces = max(1, round(self.spec.batch * TYPICAL_FILL_RATIO))
         return pieces * self.calls_per_s(self.available_replicas(), pieces)
 
--- a/packages/core/calicopath_core/scheduling/tests/stages_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/stages_tests.py
@@ -51,12 +51,12 @@
         high = job('high', phase(), priority=0, objective_s=0.3)
         self.assertEqual(['high', 'low'], self.served(low, high))
 
-    def test_what_is_late_gives_way_to_what_is_not(self) -> None:
+    def test_late_jobs_go_after_jobs_in_time(self) -> None:
         late = job('late', phase(), objective_s=0.01)
         timely = job('timely', phase(), priority=2)
         self.assertEqual(['timely', 'late'], self.served(late, timely))
 
-    def test_what_can_not_be_in_time_any_more_gives_way_to_what_can(self) -> None:
+    def test_jobs_that_will_be_late_go_after_jobs_in_time(self) -> None:
         hopeless = job('hopeless', phase(), objective_s=1.0)
         hopeless.critical_path_s = {0: 1.5}
         timely = job('timely', phase(), priority=2, objective_s=3.0)
@@ -123,7 +123,7 @@
 
 
 class Cost(testtools.TestCase):
-    def test_a_burst_is_looked_at_once_for_all_calls_of_a_moment(self) -> None:
+    def test_a_burst_is_ranked_once_for_all_calls_of_a_dispatch(self) -> None:
         jobs, replicas = 200, 20
         target = queue(*(replica(f'r{number}') for number in range(replicas)))
         for number in range(jobs):
@@ -134,7 +134,7 @@
         self.assertEqual(replicas, len(calls))
         self.assertLessEqual(looks.call_count, jobs + 2 * replicas)
 
-    def test_what_frees_many_things_at_a_moment_is_decided_on_once(self) -> None:
+    def test_simultaneous_triggers_cause_one_dispatch(self) -> None:
         async def scenario() -> int:
             calls = StageCalls(
                 clock=VirtualClock(),
@@ -294,7 +294,7 @@
             pauses.append(target.replicas['r'].unavailable_until - now)
         self.assertEqual([1.0, 2.0, 4.0], pauses)
 
-    def test_one_that_wants_nothing_gets_nothing_and_counts_for_nothing_until_it_is_back(
+    def test_a_replica_that_backs_off_gets_no_calls_and_adds_no_throughput(
         self,
     ) -> None:
         backoffs = {'r': 3.0}
