--- a/packages/core/calicopath_core/claims/executors.py
+++ b/packages/core/calicopath_core/claims/executors.py
@@ -1,4 +1,4 @@
-"""Carry out operations on claims: on this box, or through the box that batches a group."""
+"""Execute operations on claims, on this box or through the box that owns the shard."""
 
 from __future__ import annotations
 
@@ -26,11 +26,12 @@
 DEFAULT_WRITE_INTERVAL_S = 0.05
 
 
-class GroupPlan(NamedTuple):
-    """Say how claims are grouped; all but the write interval must be the same on every box.
+class GroupingConfig(NamedTuple):
+    """Configure how claims are grouped; all boxes need equal values, except the write interval.
 
-    Keys made within `slot_s` seconds share a group, so that old groups are never written again. A
-    group is written at most once each `write_interval_s`, and keeps at most `max_bytes`.
+    Keys created in the same slot of `slot_s` seconds share a group, so old groups are not written
+    again, until they are closed after `retention_s`. A group is written at most once per
+    `write_interval_s`, and is pruned to `max_bytes`.
     """
 
     shards: int = DEFAULT_SHARDS
@@ -41,19 +42,19 @@
 
     @property
     def slot_ms(self) -> int:
-        """Return the span of a slot in milliseconds."""
+        """Return the length of a slot in milliseconds."""
         return self.slot_s * 1000
 
     @property
     def retention_slots(self) -> int:
-        """Return the slots after which a group is closed."""
+        """Return the number of slots after which a group is closed."""
         return max(1, int(self.retention_s) // self.slot_s)
 
 
 class GroupId(NamedTuple):
-    """Name a group by its shard and by its span of time, counted in slots from 1970.
+    """Identify a group by its shard and its time slot, counted from 1970.
 
-    The shard decides which box batches the group.
+    The shard decides which box owns the group and batches its operations.
     """
 
     shard: int
@@ -66,37 +67,41 @@
 
 
 class ClaimExecutor(ABC):
-    """Carry out operations on groups of claims."""
+    """Execute operations on groups of claims."""
 
     @abstractmethod
     async def execute(self, group: GroupId, op: Op, *, persistent: bool = False) -> OpResult:
-        """Return an operation's result; raise `StoreUnavailable`."""
+        """Execute an operation and return its result; raise `StoreUnavailable` if that fails.
+
+        A `persistent` operation is executed even if the caller is cancelled.
+        """
 
 
 class LocalExecutor(ClaimExecutor):
-    """Write groups from this box."""
+    """Write groups to the store from this box."""
 
     def __init__(
         self,
         *,
         store: ObjectStore,
         clock: Clock,
-        plan: GroupPlan = GroupPlan(),  # noqa: B008 - a tuple of constants
+        grouping: GroupingConfig = GroupingConfig(),  # noqa: B008 - a tuple of constants
     ) -> None:
         self.store = store
         self.clock = clock
-        self.plan = plan
+        self.grouping = grouping
         self.writers: OrderedDict[GroupId, GroupWriter] = OrderedDict()
 
     def group(self, key: ClaimKey) -> GroupId:
-        """Return the group of a key."""
+        """Return the group that holds the claim of a key."""
         digest = hashlib.blake2b(str(key).encode(), digest_size=8).digest()
         return GroupId(
-            int.from_bytes(digest, 'big') % self.plan.shards, key.time_ms // self.plan.slot_ms
+            int.from_bytes(digest, 'big') % self.grouping.shards,
+            key.time_ms // self.grouping.slot_ms,
         )
 
     def writer(self, group: GroupId) -> GroupWriter:
-        """Return a group's writer, forgetting the idle ones unused longest."""
+        """Return the writer of a group; drop the least recently used idle ones beyond the limit."""
         found = self.writers.get(group)
         if found is None:
             found = self.new_writer(group)
@@ -104,88 +109,89 @@
             self.close_expired(group)
         self.writers.move_to_end(group)
         for name in list(self.writers)[: max(0, len(self.writers) - MAX_WRITERS)]:
-            if self.writers[name].idle:
+            if self.writers[name].is_idle:
                 del self.writers[name]
         return found
 
     def new_writer(self, group: GroupId) -> GroupWriter:
-        """Return a writer that knows nothing yet."""
+        """Return a writer that has not read its group yet."""
         return GroupWriter(
             key=group.key,
             store=self.store,
             clock=self.clock,
-            max_bytes=self.plan.max_bytes,
-            write_interval_s=self.plan.write_interval_s,
+            max_bytes=self.grouping.max_bytes,
+            write_interval_s=self.grouping.write_interval_s,
         )
 
     def close_expired(self, group: GroupId) -> None:
-        """Drop the claims of the group that has outlived its time when a new one begins.
+        """Close the group that leaves the retention time when `group` is first used.
 
-        A box whose clock is wrong closes nothing of today: the slot comes from the callers' keys.
+        The slot comes from the callers' keys, so a box with a wrong clock closes no current group.
         """
-        old = GroupId(group.shard, group.slot - self.plan.retention_slots)
-        if old not in self.writers:
-            self.writers[old] = self.new_writer(old)
-        end_ms = (old.slot + 1) * self.plan.slot_ms - 1
-        self.writers[old].submit(CloseOp(end_ms), persistent=True)
+        expired = GroupId(group.shard, group.slot - self.grouping.retention_slots)
+        if expired not in self.writers:
+            self.writers[expired] = self.new_writer(expired)
+        end_ms = (expired.slot + 1) * self.grouping.slot_ms - 1
+        self.writers[expired].submit(CloseOp(end_ms), persistent=True)
 
     async def flush(self, timeout_s: float) -> bool:
-        """Wait until every operation is carried out; return whether that was in time."""
+        """Wait until all operations are executed; return whether that took at most `timeout_s`."""
         deadline = self.clock.monotonic() + timeout_s
-        while not all(writer.idle for writer in self.writers.values()):
+        while not all(writer.is_idle for writer in self.writers.values()):
             if self.clock.monotonic() >= deadline:
                 return False
             await asyncio.sleep(FLUSH_POLL_S)
         return True
 
     async def execute(self, group: GroupId, op: Op, *, persistent: bool = False) -> OpResult:
-        """Carry an operation out by this box's own writes."""
+        """Execute an operation through the writer of its group on this box."""
         return await self.writer(group).submit(op, persistent=persistent)
 
 
-class ClaimPeers(ABC):
-    """Reach the boxes that batch other shards."""
+class ShardOwners(ABC):
+    """Find the owners of shards and forward operations to them."""
 
     @abstractmethod
-    def owner(self, shard: int) -> str | None:
-        """Return the address of the box that batches a shard, or nothing if it is this one."""
+    def owner_address(self, shard: int) -> str | None:
+        """Return the address of the owner of a shard, or `None` if it is this box."""
 
     @abstractmethod
-    async def ask(self, address: str, group: GroupId, op: Op) -> OpResult:
-        """Let another box carry an operation out; raise `StoreUnavailable`."""
+    async def forward(self, address: str, group: GroupId, op: Op) -> OpResult:
+        """Have another box execute an operation; raise `StoreUnavailable` if that fails."""
 
 
 class ForwardingExecutor(ClaimExecutor):
-    """Let one box a shard do the writing, so that one update carries the claims of many boxes.
+    """Forward operations to the owner of the shard, so that one update carries many boxes' claims.
 
-    The owner is only a hint: two owners conflict, and an owner that does not answer is passed
-    over. Doing an operation twice gives the same result, since it carries its nonce.
+    Ownership is only a hint: writes of two owners conflict in the store, and if an owner does not
+    reply in time, this box writes itself. Executing an operation twice gives the same result, since
+    it carries a nonce.
     """
 
     OWNER_TIMEOUT_S = 0.3
 
-    def __init__(self, *, local: LocalExecutor, peers: ClaimPeers) -> None:
+    def __init__(self, *, local: LocalExecutor, shard_owners: ShardOwners) -> None:
         self.local = local
-        self.peers = peers
-        self.passed_over = 0
+        self.shard_owners = shard_owners
+        self.owner_timeouts = 0
 
     async def execute(self, group: GroupId, op: Op, *, persistent: bool = False) -> OpResult:
-        """Ask the owner; write by ourselves if it does not answer."""
-        address = self.peers.owner(group.shard)
+        """Forward an operation to the owner; execute it on this box if the owner does not reply."""
+        address = self.shard_owners.owner_address(group.shard)
         if address is None:
             return await self.local.execute(group, op, persistent=persistent)
         try:
             async with asyncio.timeout(self.OWNER_TIMEOUT_S):
-                return await self.peers.ask(address, group, op)
+                return await self.shard_owners.forward(address, group, op)
         except TimeoutError:
-            self.passed_over += 1
+            self.owner_timeouts += 1
         except asyncio.CancelledError:
-            self.undo(group, op, persistent=persistent)
+            self.clean_up_cancelled(group, op, persistent=persistent)
             raise
         return await self.local.execute(group, op, persistent=persistent)
 
-    def undo(self, group: GroupId, op: Op, *, persistent: bool) -> None:
-        """Leave nothing behind of a claim given up on; carry out what must be all the same."""
+    def clean_up_cancelled(self, group: GroupId, op: Op, *, persistent: bool) -> None:
+        """Release a claim whose caller was cancelled, or execute a persistent operation here."""
         if isinstance(op, ClaimOp):
             self.local.writer(group).submit(ReleaseOp(op.key, op.nonce), persistent=True)
         elif persistent:
--- a/packages/core/calicopath_core/claims/tests/claims_tests.py
+++ b/packages/core/calicopath_core/claims/tests/claims_tests.py
@@ -1,4 +1,4 @@
-"""Test that a key is granted once, whatever the store and the boxes do."""
+"""Test that a key is granted once under faults of the store and of boxes."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
             assert isinstance(granted, Granted)
             state.go_back(copy)
             for number in range(others):
-                # Versions are given out again, by writes that do not know of the lost claim.
+                # Writes that do not include the lost claim reuse the version numbers.
                 await other.claim(key(10 + number), 'body', 1)
             self.assertIsInstance(await one.claim(key(2), 'body', 1), Taken)
             self.assertIsInstance(await other.claim(key(2), 'body', 1), Taken)
--- a/packages/core/calicopath_core/claims/tests/forwarding_tests.py
+++ b/packages/core/calicopath_core/claims/tests/forwarding_tests.py
@@ -1,4 +1,4 @@
-"""Test that claims go through the box that owns them, and are granted once without it."""
+"""Test that claims go through the owner of their shard, and are granted once if it fails."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from typing import TYPE_CHECKING
 
 from calicopath_core.claims.executors import (
-    ClaimPeers,
     ForwardingExecutor,
     GroupId,
-    GroupPlan,
+    GroupingConfig,
     LocalExecutor,
+    ShardOwners,
 )
 from calicopath_core.claims.registry import ClaimRegistry, Granted, Taken
 from calicopath_core.claims.tests.claim_case import group_value, key, new_registry
@@ -22,20 +22,20 @@
     from calicopath_core.claims.operations import Op, OpResult
 
 
-class FakePeers(ClaimPeers):
-    """Let one registry's executor own every shard, over a line that may be cut."""
+class FakePeers(ShardOwners):
+    """Make one executor the owner of every shard, over a network that may lose messages."""
 
     def __init__(self, *, owner: LocalExecutor) -> None:
         self.owner_executor = owner
         self.lose_request = False
         self.lose_reply = False
 
-    def owner(self, shard: int) -> str | None:
-        """Name the owner."""
+    def owner_address(self, shard: int) -> str | None:
+        """Return the address of the owner."""
         return 'owner'
 
-    async def ask(self, address: str, group: GroupId, op: Op) -> OpResult:
-        """Carry the operation out over there, unless the line is cut."""
+    async def forward(self, address: str, group: GroupId, op: Op) -> OpResult:
+        """Execute the operation at the owner; never return if a message is lost."""
         if not self.lose_request:
             result = await self.owner_executor.execute(group, op)
             if not self.lose_reply:
@@ -46,13 +46,13 @@
 
 class Forwarding(VirtualCase):
     def new_boxes(self, state: StoreState, count: int) -> tuple[list[ClaimRegistry], FakePeers]:
-        """Return boxes that all forward to one owner."""
+        """Return registries that all forward to one owner, and the network between them."""
         owner = new_registry(state, 'owner')
         peers = FakePeers(owner=owner.local)
         boxes = []
         for number in range(count):
             box = new_registry(state, f'box{number}-')
-            box.executor = ForwardingExecutor(local=box.local, peers=peers)
+            box.executor = ForwardingExecutor(local=box.local, shard_owners=peers)
             boxes.append(box)
         return boxes, peers
 
@@ -67,7 +67,7 @@
 
             results = await asyncio.gather(*(claim(number) for number in range(400)))
             self.assertTrue(all(isinstance(item, Granted) for item in results))
-            self.assertLessEqual(state.counts['write'], 2.0 / GroupPlan().write_interval_s + 2)
+            self.assertLessEqual(state.counts['write'], 2.0 / GroupingConfig().write_interval_s + 2)
 
         self.run_virtual(scenario())
 
--- a/packages/core/calicopath_core/crashes/fate.py
+++ b/packages/core/calicopath_core/crashes/fate.py
@@ -1,4 +1,4 @@
-"""Find out whether a replica has ended, whatever its connections say."""
+"""Find out whether a replica has crashed, independently of how its connections failed."""
 
 from __future__ import annotations
 
@@ -6,85 +6,85 @@
 from abc import ABC, abstractmethod
 from typing import TYPE_CHECKING
 
-from calicopath_core.backends.base import Reach
+from calicopath_core.backends.base import ProbeResult
 
 if TYPE_CHECKING:
-    from calicopath_core.backends.base import EndpointReach
-    from calicopath_core.exchanges.messages import ReplicaReach
+    from calicopath_core.backends.base import EndpointProber
+    from calicopath_core.exchanges.messages import ReplicaProber
     from calicopath_core.fleet.replicas import Replica, ReplicaTable
     from calicopath_core.structure.endpoints import Endpoint
 
-DOUBT_S = 1.5
-"""How long a replica whose port is still open is watched: a process that ends closes its callers'
-connections and its port one after the other."""
+PORT_WATCH_S = 1.5
+"""How long the port of a replica is watched while it is still open: an exiting process closes
+its connections and its port one after the other."""
 
-LAPSE_S = 8.0
-"""How long the entry of a replica that says nothing is watched: it goes after three heartbeats of
-1.2 s, which boxes hear some 100 ms later."""
+ENTRY_WATCH_S = 8.0
+"""How long the entry of a silent replica is watched: it expires after three missed heartbeats of
+1.2 s, and boxes learn of that some 100 ms later."""
 
-LAPSE_CHECK_S = 0.2
+ENTRY_POLL_S = 0.2
 
 
-class Fate(ABC):
-    """Tell what became of one replica; `name` is what it goes by."""
+class CrashProbe(ABC):
+    """Check whether one replica has crashed; `name` identifies it in crash IDs."""
 
     name: str
 
     @abstractmethod
-    async def has_ended(self) -> bool:
-        """Tell at once whether it has ended, as far as that can be seen by now."""
+    async def has_crashed(self) -> bool:
+        """Return whether the crash can be seen already, without waiting."""
 
     @abstractmethod
-    async def ends_soon(self) -> bool:
-        """Tell, after some seconds if need be, whether it had ended after all."""
+    async def confirm_crash(self) -> bool:
+        """Wait some seconds if necessary and return whether the replica has crashed."""
 
 
-class ReplicaFate(Fate):
-    """Tell what became of a replica that announces itself in the store."""
+class ReplicaCrashProbe(CrashProbe):
+    """Check a replica that registers itself in the store."""
 
-    def __init__(self, *, reach: ReplicaReach, replicas: ReplicaTable, replica: Replica) -> None:
+    def __init__(self, *, reach: ReplicaProber, replicas: ReplicaTable, replica: Replica) -> None:
         self.reach = reach
         self.replicas = replicas
         self.replica = replica
         self.name = replica.id
 
-    async def has_ended(self) -> bool:
-        """Tell whether its port refuses connections."""
-        return await self.reach.reach(self.replica, 0.0) is Reach.REFUSED
+    async def has_crashed(self) -> bool:
+        """Return whether its port refuses connections."""
+        return await self.reach.probe(self.replica, 0.0) is ProbeResult.REFUSED
 
-    async def ends_soon(self) -> bool:
-        """Tell whether its port refuses connections soon, or its entry goes while it is silent."""
-        found = await self.reach.reach(self.replica, DOUBT_S)
-        if found is not Reach.SILENT:
-            return found is Reach.REFUSED
-        return await self.lapses()
+    async def confirm_crash(self) -> bool:
+        """Return whether its port refuses connections, or its entry expires if it is silent."""
+        found = await self.reach.probe(self.replica, PORT_WATCH_S)
+        if found is not ProbeResult.SILENT:
+            return found is ProbeResult.REFUSED
+        return await self.entry_expires()
 
-    async def lapses(self) -> bool:
-        """Tell whether its entry goes without its having said that it leaves."""
+    async def entry_expires(self) -> bool:
+        """Return whether its entry expires without the replica having announced that it leaves."""
         loop = asyncio.get_running_loop()
-        ends_at = loop.time() + LAPSE_S
+        ends_at = loop.time() + ENTRY_WATCH_S
         while loop.time() < ends_at:
             known = self.replicas.replicas.get(self.replica.id)
-            if self.replicas.leaves(known or self.replica):
+            if self.replicas.is_leaving(known or self.replica):
                 return False
-            if known is None or self.replicas.has_ended(known):
+            if known is None or self.replicas.is_replaced(known):
                 return True
-            await asyncio.sleep(LAPSE_CHECK_S)
+            await asyncio.sleep(ENTRY_POLL_S)
         return False
 
 
-class EndpointFate(Fate):
-    """Tell what became of an endpoint that operators have added; one that is silent may live."""
+class EndpointCrashProbe(CrashProbe):
+    """Check an endpoint that operators have added; a silent one does not count as crashed."""
 
-    def __init__(self, *, reach: EndpointReach, endpoint: Endpoint) -> None:
+    def __init__(self, *, reach: EndpointProber, endpoint: Endpoint) -> None:
         self.reach = reach
         self.endpoint = endpoint
         self.name = endpoint.name
 
-    async def has_ended(self) -> bool:
-        """Tell whether its port refuses connections."""
-        return await self.reach.reach(self.endpoint, 0.0) is Reach.REFUSED
+    async def has_crashed(self) -> bool:
+        """Return whether its port refuses connections."""
+        return await self.reach.probe(self.endpoint, 0.0) is ProbeResult.REFUSED
 
-    async def ends_soon(self) -> bool:
-        """Tell whether its port refuses connections soon."""
-        return await self.reach.reach(self.endpoint, DOUBT_S) is Reach.REFUSED
+    async def confirm_crash(self) -> bool:
+        """Return whether its port refuses connections within `PORT_WATCH_S`."""
+        return await self.reach.probe(self.endpoint, PORT_WATCH_S) is ProbeResult.REFUSED
--- a/packages/core/calicopath_core/crashes/tests/gossip_tests.py
+++ b/packages/core/calicopath_core/crashes/tests/gossip_tests.py
@@ -1,4 +1,4 @@
-"""Test that boxes which gossip all come to know of a request under which endpoints end."""
+"""Test that gossip spreads crash evidence to every box."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from calicopath_core.crashes.guard import CrashGuard
 from calicopath_core.crashes.sharing import CrashSharing
-from calicopath_core.crashes.suspects import End, SuspectKey
+from calicopath_core.crashes.suspects import Crash, SuspectKey
 from calicopath_core.membership.gossip import PUSH_FANOUT
 from testkit.cases import VirtualCase
 from testkit.fleet import PeerBox, PeerFleet
@@ -17,7 +17,7 @@
 
 
 def guard_of(box: PeerBox) -> CrashGuard:
-    """Let a box share what it knows, as the daemon does."""
+    """Return a guard that shares crash evidence over a box's gossip, as the daemon sets it up."""
     gossip, rng = box.gossip, random.Random(box.name)
     ledger = new_ledger()
     sharing = CrashSharing(
@@ -37,7 +37,7 @@
 
 class Spreading(VirtualCase):
     def check_known(self, *, loss: float, within_s: float) -> None:
-        """Check that thirty boxes know what three of them have seen."""
+        """Check that thirty boxes block a request after three of them each saw one crash."""
 
         async def scenario() -> None:
             fleet = PeerFleet(count=30, domains=3, loss=loss)
@@ -45,7 +45,7 @@
             await fleet.start()
             for number, name in enumerate(list(guards)[:3]):
                 now = guards[name].ledger.clock.monotonic()
-                guards[name].note({KEY: f'r{number}@{number}'}, End(now, now - 0.1))
+                guards[name].record_crash({KEY: f'r{number}@{number}'}, Crash(now, now - 0.1))
                 await asyncio.sleep(0.5)
             await asyncio.sleep(within_s)
             blocked = [bool(guard.blocked_s('c.b', ['drafting'])) for guard in guards.values()]
--- a/packages/core/calicopath_core/fleet/evacuations.py
+++ b/packages/core/calicopath_core/fleet/evacuations.py
@@ -1,7 +1,7 @@
-"""Keep which zones operators have taken out: no new work goes to the replicas there.
+"""Track the failure domains that operators evacuated: their replicas get no new work.
 
-Answers a zone that is about to be worked on, or that is suspect: what is at work there ends, and
-nothing more is sent until the zone is given back.
+Operators evacuate a failure domain before maintenance or when they suspect a fault. Work in
+progress there finishes, and no new work is sent until the evacuation ends.
 """
 
 from __future__ import annotations
@@ -13,69 +13,72 @@
 
 
 class Evacuation(NamedTuple):
-    """Say that a zone is taken out; `revision` is the store's at which the record was written."""
+    """Describe an evacuated failure domain; `revision` is the store's revision of the record."""
 
-    zone: str
+    failure_domain: str
     revision: int
 
 
-class HeldEvacuation(NamedTuple):
-    """Hold an evacuation and since when this box knows of it, in seconds since 1970."""
+class ActiveEvacuation(NamedTuple):
+    """Hold an evacuation and when this box learned of it, in seconds since 1970."""
 
     evacuation: Evacuation
     since: float
 
 
 class Evacuations:
-    """Hold the zones that are taken out, as far as this box knows.
+    """Hold the evacuated failure domains that this box knows of.
 
-    `on_taken_out` and `on_given_back` learn of each change once; a name that is no zone's is held
-    like any other and stops nothing.
+    `on_evacuation_started` and `on_evacuation_ended` are called once per change, `on_changed` with
+    the names of all evacuated domains. A name that matches no failure domain is held like any other
+    and has no effect.
     """
 
     def __init__(
         self,
         *,
-        wall: Callable[[], float],
-        on_taken_out: Callable[[Evacuation], None],
-        on_given_back: Callable[[HeldEvacuation], None],
+        wall_clock: Callable[[], float],
+        on_evacuation_started: Callable[[Evacuation], None],
+        on_evacuation_ended: Callable[[ActiveEvacuation], None],
         on_changed: Callable[[frozenset[str]], None],
     ) -> None:
-        self.wall = wall
-        self.on_taken_out = on_taken_out
-        self.on_given_back = on_given_back
+        self.wall_clock = wall_clock
+        self.on_evacuation_started = on_evacuation_started
+        self.on_evacuation_ended = on_evacuation_ended
         self.on_changed = on_changed
-        self.held: dict[str, HeldEvacuation] = {}
-
-    def replace(self, evacuations: Iterable[Evacuation]) -> None:
-        """Take in every evacuation there is."""
-        listed = {item.zone: item for item in evacuations}
-        changes = [(zone, None) for zone in self.held if zone not in listed]
-        self.change([*changes, *listed.items()])
-
-    def change(self, changes: Iterable[tuple[str, Evacuation | None]]) -> None:
-        """Take in the newest state of some zones: taken out, or nothing if given back."""
-        before = frozenset(self.held)
-        for zone, evacuation in changes:
+        self.active: dict[str, ActiveEvacuation] = {}
+
+    def replace_all(self, evacuations: Iterable[Evacuation]) -> None:
+        """Replace all evacuations by a complete list."""
+        listed = {item.failure_domain: item for item in evacuations}
+        changes = [
+            (failure_domain, None) for failure_domain in self.active if failure_domain not in listed
+        ]
+        self.apply_changes([*changes, *listed.items()])
+
+    def apply_changes(self, changes: Iterable[tuple[str, Evacuation | None]]) -> None:
+        """Apply the newest state of some failure domains; `None` ends an evacuation."""
+        before = frozenset(self.active)
+        for failure_domain, evacuation in changes:
             if evacuation is None:
-                self.give_back(zone)
+                self.end_evacuation(failure_domain)
             else:
-                self.take_out(evacuation)
-        after = frozenset(self.held)
+                self.start_evacuation(evacuation)
+        after = frozenset(self.active)
         if after != before:
             self.on_changed(after)
 
-    def take_out(self, evacuation: Evacuation) -> None:
-        """Hold a zone for taken out; one written anew keeps the time since which it is."""
-        known = self.held.get(evacuation.zone)
+    def start_evacuation(self, evacuation: Evacuation) -> None:
+        """Start an evacuation; a rewritten record of an active one keeps its start time."""
+        known = self.active.get(evacuation.failure_domain)
         if known is not None:
-            self.held[evacuation.zone] = known._replace(evacuation=evacuation)
+            self.active[evacuation.failure_domain] = known._replace(evacuation=evacuation)
             return
-        self.held[evacuation.zone] = HeldEvacuation(evacuation, self.wall())
-        self.on_taken_out(evacuation)
+        self.active[evacuation.failure_domain] = ActiveEvacuation(evacuation, self.wall_clock())
+        self.on_evacuation_started(evacuation)
 
-    def give_back(self, zone: str) -> None:
-        """Hold a zone for given back."""
-        known = self.held.pop(zone, None)
+    def end_evacuation(self, failure_domain: str) -> None:
+        """End an evacuation."""
+        known = self.active.pop(failure_domain, None)
         if known is not None:
-            self.on_given_back(known)
+            self.on_evacuation_ended(known)
--- a/packages/core/calicopath_core/membership/tests/spreading_tests.py
+++ b/packages/core/calicopath_core/membership/tests/spreading_tests.py
@@ -1,4 +1,4 @@
-"""Test that a change reaches every box within seconds and never reverts, whoever fails."""
+"""Test that a change reaches every box within seconds and never reverts, whichever box fails."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from calicopath_core.membership.members import RELAYS_A_DOMAIN
+from calicopath_core.membership.members import RELAYS_PER_DOMAIN
 from calicopath_core.membership.messages import Entry, Push, encode
 from testkit.cases import VirtualCase
 from testkit.fleet import PeerFleet
@@ -16,7 +16,7 @@
 
 KEY = 'config/endpoints/drafting-1'
 IN_FORCE_S = 5.0
-"""What the docs promise for every box that reaches the platform or a peer that does."""
+"""Documented limit for every box that reaches the platform or a peer that does."""
 
 
 class Spreading(VirtualCase):
@@ -24,7 +24,7 @@
         async def scenario() -> None:
             fleet = PeerFleet(count=24, domains=4)
             await fleet.start()
-            self.assertEqual(4 * RELAYS_A_DOMAIN, len(fleet.relays()))
+            self.assertEqual(4 * RELAYS_PER_DOMAIN, len(fleet.relays()))
             await fleet.stop()
 
         self.run_virtual(scenario())
@@ -59,7 +59,7 @@
             took = await fleet.in_force(KEY, fleet.put(KEY, 1))
             self.assertLess(took, IN_FORCE_S + 1)
             await asyncio.sleep(10)
-            self.assertEqual(4 * RELAYS_A_DOMAIN, len(fleet.relays()))
+            self.assertEqual(4 * RELAYS_PER_DOMAIN, len(fleet.relays()))
             await fleet.stop()
 
         self.run_virtual(scenario())
@@ -110,7 +110,7 @@
                 fleet.boxes[name].store.cut = True
             versions = [fleet.put(f'config/endpoints/e-{n}', n) for n in range(300)]
             await asyncio.sleep(120)
-            ages = [fleet.boxes[name].gossip.contact_age() or 0.0 for name in cut]
+            ages = [fleet.boxes[name].gossip.contact_age_s() or 0.0 for name in cut]
             self.assertGreater(min(ages), 100)
             fleet.network.blocked = lambda source, target: False
             for name in cut:
@@ -133,8 +133,8 @@
             for _ in range(10):
                 await asyncio.sleep(2)
                 counts.append(len(fleet.relays()))
-            self.assertLessEqual(max(counts), 2 * 3 * RELAYS_A_DOMAIN)
-            self.assertGreaterEqual(min(counts), 3 * RELAYS_A_DOMAIN)
+            self.assertLessEqual(max(counts), 2 * 3 * RELAYS_PER_DOMAIN)
+            self.assertGreaterEqual(min(counts), 3 * RELAYS_PER_DOMAIN)
             await fleet.stop()
 
         self.run_virtual(scenario())
@@ -205,7 +205,7 @@
             rng = random.Random(9)
             for _ in range(200):
                 fleet.boxes['box-0'].gossip.on_data(rng.randbytes(rng.randrange(40)))
-            self.assertEqual(200, fleet.boxes['box-0'].gossip.counts.bad)
+            self.assertEqual(200, fleet.boxes['box-0'].gossip.counts.undecodable)
             await fleet.stop()
 
         self.run_virtual(scenario())
@@ -244,7 +244,7 @@
         run_virtual(scenario())
 
     async def act(self, fleet: PeerFleet, action: str, which: int, number: int) -> None:
-        """Carry out one step of a history."""
+        """Execute one step of a history on box `which`."""
         name = f'box-{which}'
         if action == 'put':
             fleet.put(f'config/endpoints/e-{which % 3}', number)
@@ -267,12 +267,12 @@
             box.store.cut = False
 
     def check_monotonic(self, fleet: PeerFleet, held: dict[tuple[str, str], int]) -> None:
-        """Check that no running box holds an older version than it did."""
+        """Check that no version goes back within one incarnation of a box."""
         for name, box in fleet.boxes.items():
-            life = f'{name}@{box.gossip.members.own.started_ms}'
+            incarnation = f'{name}@{box.gossip.members.own.started_ms}'
             for key, entry in box.view.entries.items():
-                self.assertGreaterEqual(entry.version, held.get((life, key), 0))
-                held[life, key] = entry.version
+                self.assertGreaterEqual(entry.version, held.get((incarnation, key), 0))
+                held[incarnation, key] = entry.version
 
 
 class LargeConfigurations(VirtualCase):
@@ -282,11 +282,11 @@
             for number in range(1000):
                 fleet.put(f'config/endpoints/e-{number}', number)
             await fleet.start()
-            before = sum(box.roles.own_reads for box in fleet.boxes.values())
+            before = sum(box.roles.direct_reads for box in fleet.boxes.values())
             await asyncio.sleep(60)
-            after = sum(box.roles.own_reads for box in fleet.boxes.values())
-            ages = [box.gossip.contact_age() or 0.0 for box in fleet.boxes.values()]
-            # Now and then the contact takes more than three seconds to come round.
+            after = sum(box.roles.direct_reads for box in fleet.boxes.values())
+            ages = [box.gossip.contact_age_s() or 0.0 for box in fleet.boxes.values()]
+            # Occasionally a contact takes more than `STALE_CONTACT_S` to reach all boxes.
             self.assertLess(after - before, 6)
             self.assertLess(max(ages), IN_FORCE_S)
             await fleet.stop()
--- a/packages/core/calicopath_core/permits/messages.py
+++ b/packages/core/calicopath_core/permits/messages.py
@@ -1,14 +1,15 @@
-"""Define what a box asks of the one that lends permits; times are spans in seconds."""
+"""Define the messages between boxes and the permit issuer; times are durations in seconds."""
 
 from __future__ import annotations
 
 import msgspec
 
 
-class PermitAsk(msgspec.Struct, frozen=True, tag='pa'):
-    """Ask for a permit to call one of some replicas, the best first.
+class PermitRequest(msgspec.Struct, frozen=True, tag='pa'):
+    """Request a permit to call one of some replicas, best first.
 
-    `number` is the asking box's own; a permit is waited for up to `wait_s`, `priority` 0 first.
+    `number` identifies the request at its box. It may wait up to `wait_s` for a permit; `priority`
+    0 is served first.
     """
 
     number: int
@@ -19,11 +20,11 @@
 
 
 class PermitAnswer(msgspec.Struct, frozen=True, tag='pe'):
-    """Lend a permit for one replica, or none: then one may come in `opens_in_s`."""
+    """Grant a permit for one replica, '' for none; then one may come in `available_in_s`."""
 
     number: int
     replica: str
-    opens_in_s: float
+    available_in_s: float = msgspec.field(name='opens_in_s')
 
 
-PERMIT_MESSAGES = (PermitAsk, PermitAnswer)
+PERMIT_MESSAGES = (PermitRequest, PermitAnswer)
--- a/packages/core/calicopath_core/scheduling/client.py
+++ b/packages/core/calicopath_core/scheduling/client.py
@@ -12,13 +12,13 @@
 from calicopath_core.scheduling.messages import (
     AdoptJob,
     HandedOver,
-    StageResult,
-    PlaceJob,
     Placed,
+    PlaceJob,
     Progress,
     Rejected,
     RunEnded,
     RunStarted,
+    StageResult,
 )
 
 if TYPE_CHECKING:
@@ -144,7 +144,7 @@
         """Determine the current scheduler, and report a change."""
         now = self.clock.monotonic()
         knows = self.has_configuration()
-        target = self.election.scheduler(now, self.contact(), knows=knows).address
+        target = self.election.scheduler(now, self.contact(), has_configuration=knows).address
         if target == self.scheduler_address:
             return
         self.scheduler_address = target
@@ -167,7 +167,7 @@
             if not asked.answer.done()
             and asked.schedulers
             and asked.schedulers[-1] != self.scheduler_address
-            and not self.election.hears(asked.schedulers[-1], now)
+            and not self.election.is_alive(asked.schedulers[-1], now)
         ]
 
     def resubmit_orphaned(self) -> None:
@@ -223,7 +223,9 @@
     def report_ended(self, job: str, *, failed: bool, turned_away: bool = False) -> None:
         """Report that a job is over, and stop tracking it."""
         own = self.election.own.name
-        self.notify_schedulers(job, RunEnded(job=job, sender=own, failed=failed, turned_away=turned_away))
+        self.notify_schedulers(
+            job, RunEnded(job=job, sender=own, failed=failed, turned_away=turned_away)
+        )
         asked = self.pending.pop(job, None)
         if asked is not None and not asked.answer.done():
             asked.answer.cancel()
--- a/packages/core/calicopath_core/scheduling/freeing.py
+++ b/packages/core/calicopath_core/scheduling/freeing.py
@@ -63,7 +63,7 @@
         longest_backoff_s = 0.0
         for producer, handles in self.pending.items():
             replica = self.replicas.replicas.get(producer)
-            if replica is None or replica.zone in self.replicas.evacuated:
+            if replica is None or replica.failure_domain in self.replicas.evacuated:
                 continue
             if (left_s := self.backoff_left_s(replica)) > 0:
                 deferred[producer] = handles
@@ -72,7 +72,9 @@
             self.spawn(self.free(replica, handles))
         self.pending = deferred
         if deferred:
-            self.timer = asyncio.get_running_loop().call_later(longest_backoff_s + FREE_BATCH_DELAY_S, self.send)
+            self.timer = asyncio.get_running_loop().call_later(
+                longest_backoff_s + FREE_BATCH_DELAY_S, self.send
+            )
 
     async def free(self, replica: Replica, handles: list[str]) -> None:
         """Free results at a producer; if this fails they expire by themselves."""
--- a/packages/core/calicopath_core/scheduling/jobs.py
+++ b/packages/core/calicopath_core/scheduling/jobs.py
@@ -55,12 +55,12 @@
     @property
     def preferred_failure_domain(self) -> str | None:
         """Return the failure domain to compute the piece in: its siblings', else its inputs'."""
-        known = self.job.zones.get(self.phase)
+        known = self.job.failure_domains.get(self.phase)
         if known is not None:
             return known
         weights: dict[str, int] = {}
         for item in self.job.inputs_of(self.phase):
-            weights[item.zone] = weights.get(item.zone, 0) + item.size
+            weights[item.failure_domain] = weights.get(item.failure_domain, 0) + item.size
         return max(weights, key=weights.__getitem__, default=None)
 
     @property
@@ -77,7 +77,7 @@
         phases = self.job.place.phases
         inputs = sum(item.size for item in self.job.inputs_of(self.phase))
         readers = sum(other.pieces for other in phases if self.phase in other.needs)
-        siblings = self.phase_work.pieces > 1 and self.phase in self.job.zones
+        siblings = self.phase_work.pieces > 1 and self.phase in self.job.failure_domains
         return inputs + (self.result_bytes * max(1, readers) if siblings else 0)
 
     def is_early(self) -> bool:
@@ -89,7 +89,10 @@
             for phase, path_s in self.job.critical_path_s.items()
             if phase != self.phase and not self.job.is_phase_done(phase)
         ]
-        return max(others, default=0.0) > self.job.critical_path_s.get(self.phase, 0.0) + EARLY_MARGIN_S
+        return (
+            max(others, default=0.0)
+            > self.job.critical_path_s.get(self.phase, 0.0) + EARLY_MARGIN_S
+        )
 
     def slack_s(self, now: float) -> float:
         """Return how long the piece may wait before its job misses its objective, in seconds."""
@@ -113,11 +116,13 @@
 class Result:
     """Hold the location of a piece's result; `created_at` is in monotonic seconds."""
 
-    def __init__(self, *, handle: str, producer: str, zone: str, size: int, created_at: float) -> None:
+    def __init__(
+        self, *, handle: str, producer: str, failure_domain: str, size: int, created_at: float
+    ) -> None:
         self.handle = handle
         self.created_at = created_at
         self.producer = producer
-        self.zone = zone
+        self.failure_domain = failure_domain
         self.size = size
         self.freed = False
 
@@ -154,7 +159,7 @@
         self.tries = 0
         self.critical_path_s: dict[int, float] = {}
         self.allowed_backlog_s: dict[int, float] = {}
-        self.zones: dict[int, str] = {}
+        self.failure_domains: dict[int, str] = {}
         self.undispatched = [phase.pieces for phase in place.phases]
 
     @property
@@ -172,7 +177,11 @@
     def is_late(self, now: float) -> bool:
         """Tell whether the job's unfinished stages already make it miss its objective."""
         left_s = max(
-            (path_s for phase, path_s in self.critical_path_s.items() if not self.is_phase_done(phase)),
+            (
+                path_s
+                for phase, path_s in self.critical_path_s.items()
+                if not self.is_phase_done(phase)
+            ),
             default=0.0,
         )
         return now + left_s > self.objective_at
@@ -183,7 +192,8 @@
         A phase counts only while some of its pieces have not been dispatched.
         """
         return max(
-            (path_s for phase, path_s in self.critical_path_s.items() if self.undispatched[phase]), default=0.0
+            (path_s for phase, path_s in self.critical_path_s.items() if self.undispatched[phase]),
+            default=0.0,
         )
 
     def oldest_result_s(self, now: float) -> float:
@@ -246,7 +256,9 @@
         item = self.results[phase][index]
         if item is None:
             return None
-        return StageResult(phase, index, item.handle, item.producer, item.zone, item.size, item.freed)
+        return StageResult(
+            phase, index, item.handle, item.producer, item.failure_domain, item.size, item.freed
+        )
 
     def describe_results(self) -> tuple[StageResult, ...]:
         """Describe every result for another scheduler."""
@@ -257,9 +269,9 @@
         ]
         return tuple(item for item in found if item is not None)
 
-    def cross_domain_bytes(self, results: list[Result], zone: str) -> int:
+    def cross_domain_bytes(self, results: list[Result], failure_domain: str) -> int:
         """Return how many bytes of some results are in other failure domains."""
-        return sum(item.size for item in results if item.zone != zone)
+        return sum(item.size for item in results if item.failure_domain != failure_domain)
 
     def all_results(self) -> list[Result]:
         """Return every result computed so far."""
@@ -288,7 +300,7 @@
         """Discard a phase's results, and those of needed phases that must be recomputed too."""
         self.started.discard(phase)
         self.pieces.pop(phase, None)
-        self.zones.pop(phase, None)
+        self.failure_domains.pop(phase, None)
         self.results[phase] = [None] * len(self.results[phase])
         self.undispatched[phase] = self.place.phases[phase].pieces
         for need in self.place.phases[phase].needs:
--- a/packages/core/calicopath_core/scheduling/messages.py
+++ b/packages/core/calicopath_core/scheduling/messages.py
@@ -10,7 +10,7 @@
 
 # msgspec evaluates the annotations at run time, so these imports can't be type-checking only.
 from calicopath_core.fleet.contact import StoreContact
-from calicopath_core.scheduling.fairness import Taken
+from calicopath_core.scheduling.fairness import UsualRate
 from calicopath_core.scheduling.groups import GroupCount
 
 ROUTE_PRIORITIES = 10
@@ -58,7 +58,7 @@
 
     job: str
     reply_to: str
-    zone: str
+    failure_domain: str = msgspec.field(name='zone')
     call_id: str
     piece_key: str
     priority: int
@@ -105,7 +105,7 @@
     index: int
     handle: str
     producer: str
-    zone: str
+    failure_domain: str
     size: int
     freed: bool
 
@@ -151,7 +151,7 @@
     """
 
     sender: str
-    taken: tuple[Taken, ...]
+    taken: tuple[UsualRate, ...]
     bias: float
     first_events_s: dict[int, float]
 
--- a/packages/core/calicopath_core/scheduling/overdue.py
+++ b/packages/core/calicopath_core/scheduling/overdue.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from calicopath_core.backends.base import BackendError, MayHaveRun
-from calicopath_core.fleet.notices import Barred
+from calicopath_core.fleet.notices import ReplicaExcluded
 
 if TYPE_CHECKING:
     from calicopath_core.clock import Clock
@@ -71,8 +71,12 @@
                     raise TimeoutError(f'call to {replica.id} took over {limit_s:.3f} s')
                 idle_reports = idle_reports + 1 if await self.is_idle(replica) else 0
                 if idle_reports >= IDLE_REPORTS_REQUIRED and not answer.done():
-                    raise AnswerLost(f'{replica.id} reports no work but its answer to the call did not arrive')
-                next_check_s = spent_s + IDLE_RECHECK_S if idle_reports else spent_s * BUSY_RECHECK_FACTOR
+                    raise AnswerLost(
+                        f'{replica.id} reports no work but its answer to the call did not arrive'
+                    )
+                next_check_s = (
+                    spent_s + IDLE_RECHECK_S if idle_reports else spent_s * BUSY_RECHECK_FACTOR
+                )
         finally:
             answer.cancel()
 
@@ -81,7 +85,7 @@
         try:
             async with asyncio.timeout(REPORT_TIMEOUT_S):
                 return (await self.caller.report(replica)).idle
-        except Barred:
+        except ReplicaExcluded:
             return False
         except (BackendError, TimeoutError) as error:
             self.observer.on_report_failed(replica, error)
--- a/packages/core/calicopath_core/scheduling/placing.py
+++ b/packages/core/calicopath_core/scheduling/placing.py
@@ -15,7 +15,7 @@
     from collections.abc import Iterable, Mapping
 
     from calicopath_core.fleet.deployment import StageSpec
-    from calicopath_core.permits.holder import PermitLender
+    from calicopath_core.permits.holder import PermitIssuer
     from calicopath_core.scheduling.jobs import Piece
     from calicopath_core.scheduling.stage_replicas import StageReplica
 
@@ -27,7 +27,7 @@
 class DomainPreference(NamedTuple):
     """Hold the preferred failure domain of a group of pieces, if any, and its slack in seconds."""
 
-    zone: str | None
+    failure_domain: str | None
     slack_s: float
 
 
@@ -36,25 +36,32 @@
 
 def preference_of(piece: Piece, now: float) -> DomainPreference:
     """Return the preference of a piece, which is that of its group."""
-    zone = piece.preferred_failure_domain
-    if zone is None or piece.job.resumed or piece.transfer_bytes() < MIN_PREFERENCE_BYTES:
+    failure_domain = piece.preferred_failure_domain
+    if failure_domain is None or piece.job.resumed or piece.transfer_bytes() < MIN_PREFERENCE_BYTES:
         return NO_PREFERENCE
-    return DomainPreference(zone, piece.slack_s(now))
+    return DomainPreference(failure_domain, piece.slack_s(now))
 
 
-def may_run_in(preference: DomainPreference, zone: str, waits: Mapping[str, float]) -> bool:
-    """Tell whether pieces may run in a failure domain: the preferred one, or any if they can't wait.
+def may_run_in(
+    preference: DomainPreference, failure_domain: str, waits: Mapping[str, float]
+) -> bool:
+    """Tell whether pieces may run in a failure domain: the preferred one, or any if they can't
+    wait.
 
     `waits` holds the seconds until a replica of a failure domain is free. A late job keeps waiting
     for its preferred failure domain, because it misses its objective anyway.
     """
-    if preference.zone is None or preference.zone == zone or preference.zone not in waits:
+    if (
+        preference.failure_domain is None
+        or preference.failure_domain == failure_domain
+        or preference.failure_domain not in waits
+    ):
         return True
-    return 0 < preference.slack_s < waits[preference.zone]
+    return 0 < preference.slack_s < waits[preference.failure_domain]
 
 
-def zone_waits(
-    replicas: Iterable[StageReplica], spec: StageSpec, permits: PermitLender, now: float
+def failure_domain_waits(
+    replicas: Iterable[StageReplica], spec: StageSpec, permits: PermitIssuer, now: float
 ) -> dict[str, float]:
     """Return the failure domains with usable replicas, and the seconds until one is free."""
     found: dict[str, float] = {}
@@ -63,7 +70,7 @@
             continue
         if item.room_left(spec, now) <= 0:
             continue
-        zone = item.replica.zone
-        wait_s = max(item.busy_for_s(now), permits.opens_in_s(item.replica))
-        found[zone] = min(found.get(zone, math.inf), wait_s)
+        failure_domain = item.replica.failure_domain
+        wait_s = max(item.busy_for_s(now), permits.available_in_s(item.replica))
+        found[failure_domain] = min(found.get(failure_domain, math.inf), wait_s)
     return found
--- a/packages/core/calicopath_core/scheduling/rejections.py
+++ b/packages/core/calicopath_core/scheduling/rejections.py
@@ -11,9 +11,9 @@
     from collections.abc import Callable, Iterator, Mapping
 
     from calicopath_core.crashes.guard import CrashGuard
-    from calicopath_core.permits.holder import PermitLender
+    from calicopath_core.permits.holder import PermitIssuer
     from calicopath_core.scheduling.admission import Admission
-    from calicopath_core.scheduling.boards import EngineBoards
+    from calicopath_core.scheduling.engine_pools import EnginePools
     from calicopath_core.scheduling.engine_queue import EngineQueue
     from calicopath_core.scheduling.engines import Engine
     from calicopath_core.scheduling.jobs import Job
@@ -34,12 +34,12 @@
         self,
         *,
         unplaced: Mapping[str, Job],
-        boards: EngineBoards,
+        boards: EnginePools,
         engine_queue: EngineQueue,
         queues: Mapping[str, StageQueue],
         admission: Admission,
         crashes: CrashGuard,
-        permits: PermitLender,
+        permits: PermitIssuer,
         engine_s: Callable[[Job], float],
         reject: Callable[[Job, str, float], None],
     ) -> None:
@@ -72,10 +72,10 @@
         for job in list(self.unplaced.values()):
             if now + job.min_remaining_s() > job.deadline_at:
                 others, queues = self.unplaced.values(), self.queues
-                room_in_s = self.admission.room_in_s(job, others, queues, now)
-                self.reject(job, 'hopeless', self.admission.return_s(job, room_in_s, now))
-        for job in self.engine_queue.hopeless(now):
-            self.reject(job, 'no-engine', self.admission.return_s(job, NO_ENGINE_RETRY_S, now))
+                room_in_s = self.admission.backlog_wait_s(job, others, queues, now)
+                self.reject(job, 'hopeless', self.admission.retry_after_s(job, room_in_s, now))
+        for job in self.engine_queue.infeasible(now):
+            self.reject(job, 'no-engine', self.admission.retry_after_s(job, NO_ENGINE_RETRY_S, now))
 
     def reject_backing_off(self, now: float) -> None:
         """Reject jobs whose engines back off their box for too long."""
@@ -90,7 +90,7 @@
         deadline once work was spent on it or a rejection would come too late for that.
         """
         board = self.boards.get(job.place.service)
-        back_s = board.first_back_s(job, now) if board is not None else 0.0
+        back_s = board.min_backoff_s(job, now) if board is not None else 0.0
         if back_s <= 0:
             return True
         engine_s = self.engine_s(job)
@@ -99,7 +99,7 @@
         limit = job.deadline_at if must_finish else job.objective_at
         if now + ready_s + engine_s <= limit:
             return True
-        self.reject(job, 'backing-off', self.admission.return_s(job, back_s, now))
+        self.reject(job, 'backing-off', self.admission.retry_after_s(job, back_s, now))
         return False
 
     def check_limits(self, job: Job, jobs_ahead: int, now: float) -> bool:
@@ -112,7 +112,7 @@
         ready_s = max(wait_s, job.min_remaining_s() - engine_s)
         if now + ready_s + engine_s <= job.deadline_at:
             return True
-        self.reject(job, 'limited', self.admission.return_s(job, wait_s, now))
+        self.reject(job, 'limited', self.admission.retry_after_s(job, wait_s, now))
         return False
 
     def jobs_ahead_of(self, job: Job, now: float) -> int:
@@ -151,6 +151,6 @@
         if wait_s is None:
             return True
         # The box that gets this answer may become the scheduler, and must then reject the job too.
-        self.crashes.tell(job.place.reply_to, job.place.content, job.place.services)
+        self.crashes.send_evidence(job.place.reply_to, job.place.content, job.place.services)
         self.reject(job, 'crashes-replicas', wait_s)
         return False
--- a/packages/core/calicopath_core/scheduling/release.py
+++ b/packages/core/calicopath_core/scheduling/release.py
@@ -23,7 +23,7 @@
 434 results on one day with faults, a score lower by 0.02."""
 
 HAND_OVER_OVERLAP_S = 1.5
-"""How long after a hand-over another scheduler's calls may delay ours at a replica: a scheduler that
+"""How long after a hand-over another scheduler's calls may delay ours at a replica: the one that
 leaves finishes the calls that it has started."""
 
 EARLY_FREE_PAUSE_S = 5.0
@@ -55,12 +55,16 @@
 
     def on_hand_over(self) -> None:
         """Record that another box schedules, or did until now."""
-        self.sole_scheduler_from = max(self.sole_scheduler_from, self.clock.monotonic() + HAND_OVER_OVERLAP_S)
+        self.sole_scheduler_from = max(
+            self.sole_scheduler_from, self.clock.monotonic() + HAND_OVER_OVERLAP_S
+        )
 
     def on_input_gone(self, piece: Piece) -> None:
         """Stop freeing inputs early for a while if a replica missed one that was freed."""
         if self.was_freed_early(piece):
-            self.sole_scheduler_from = max(self.sole_scheduler_from, self.clock.monotonic() + EARLY_FREE_PAUSE_S)
+            self.sole_scheduler_from = max(
+                self.sole_scheduler_from, self.clock.monotonic() + EARLY_FREE_PAUSE_S
+            )
 
     def on_fetched(self, batch: StageBatch) -> None:
         """Free the inputs that all their readers have fetched, where space is short."""
@@ -83,7 +87,9 @@
             if not kept:
                 continue
             if job.are_readers_done(number) or (
-                fetched and job.have_readers_fetched(number) and self.is_room_short(job, number, kept)
+                fetched
+                and job.have_readers_fetched(number)
+                and self.is_room_short(job, number, kept)
             ):
                 self.free_soon(kept)
                 freed.append(number)
--- a/packages/core/calicopath_core/scheduling/scheduler.py
+++ b/packages/core/calicopath_core/scheduling/scheduler.py
@@ -5,11 +5,11 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from calicopath_core.permits.holder import NoLimits, PermitLender
+from calicopath_core.permits.holder import PermitIssuer, UnlimitedIssuer
 from calicopath_core.scheduling.admission import Admission
-from calicopath_core.scheduling.beliefs import EngineTimes
-from calicopath_core.scheduling.boards import EngineBoards
+from calicopath_core.scheduling.engine_pools import EnginePools
 from calicopath_core.scheduling.engine_queue import EngineQueue
+from calicopath_core.scheduling.estimates import EngineTimes
 from calicopath_core.scheduling.evenness import Evenness
 from calicopath_core.scheduling.fairness import Allowances
 from calicopath_core.scheduling.interfaces import JobKeeper
@@ -21,7 +21,7 @@
 )
 from calicopath_core.scheduling.rejections import NO_ENGINE_RETRY_S, Rejections
 from calicopath_core.scheduling.stage_calls import MAX_PIECE_TRIES, StageCalls
-from calicopath_core.scheduling.starts import NO_ALLOWANCE, WarmupTerms
+from calicopath_core.scheduling.starts import NO_OVERAGE, WarmupTerms
 from calicopath_core.scheduling.succession import Succession
 
 if TYPE_CHECKING:
@@ -33,14 +33,14 @@
     from calicopath_core.crashes.guard import CrashGuard
     from calicopath_core.fleet.deployment import Deployment, EngineSpec
     from calicopath_core.fleet.replicas import Replica, ReplicaTable
-    from calicopath_core.scheduling.engines import EngineBoard
+    from calicopath_core.scheduling.engines import EnginePool
     from calicopath_core.scheduling.interfaces import SchedulerObserver, StageCaller
     from calicopath_core.scheduling.messages import (
         BackoffNotice,
-        StageResult,
         PlaceJob,
         RunEnded,
         RunStarted,
+        StageResult,
     )
 
 TICK_INTERVAL_S = 0.05
@@ -77,13 +77,13 @@
         own_address: str,
         share_of: Callable[[list[Replica]], list[Replica]],
         crashes: CrashGuard,
-        warmup: WarmupTerms = NO_ALLOWANCE,
-        new_board: Callable[[EngineSpec], EngineBoard] | None = None,
+        warmup: WarmupTerms = NO_OVERAGE,
+        new_board: Callable[[EngineSpec], EnginePool] | None = None,
         backoff_left_s: Callable[[Replica], float] = lambda replica: 0.0,
         support_backoff_left_s: Callable[[Replica], float] = lambda replica: 0.0,
-        permits: PermitLender | None = None,
+        permits: PermitIssuer | None = None,
     ) -> None:
-        self.permits = permits or NoLimits()
+        self.permits = permits or UnlimitedIssuer()
         self.clock = clock
         self.replicas = replicas
         self.send = send
@@ -97,10 +97,10 @@
         self.engine_times = EngineTimes()
         self.jobs: dict[str, Job] = {}
         self.unplaced: dict[str, Job] = {}
-        self.engine_queue = EngineQueue(engine_s=self.engine_s)
+        self.engine_queue = EngineQueue(first_event_s=self.engine_s)
         self.work_available = asyncio.Event()
-        self.boards = EngineBoards(
-            salt=own_address, warmup=warmup, new_board=new_board, permits=self.permits
+        self.boards = EnginePools(
+            salt=own_address, warmup=warmup, pool_factory=new_board, permits=self.permits
         )
         self.stages = StageCalls(
             clock=clock,
@@ -173,7 +173,7 @@
         if self.is_idle:
             return
         now = self.clock.monotonic()
-        self.boards.forget_lost(now)
+        self.boards.expire(now)
         self.rejections.reject_blocked()
         self.place_waiting_jobs()
         self.rejections.check_waiting_jobs(now)
@@ -186,7 +186,10 @@
     def free_fetched(self, now: float) -> None:
         """Free the results that engines have had time to fetch."""
         for job in self.jobs.values():
-            if job.fetch_pending_since is not None and now >= job.fetch_pending_since + ENGINE_FETCH_DELAY_S:
+            if (
+                job.fetch_pending_since is not None
+                and now >= job.fetch_pending_since + ENGINE_FETCH_DELAY_S
+            ):
                 job.fetch_pending_since = None
                 self.stages.release.free_soon(job.all_results())
 
@@ -213,17 +216,19 @@
         if board is None:
             self.reject(job, 'unknown-service')
             return
-        if not board.serves(job):
+        if not board.has_engine_for(job):
             self.reject_unserved(job)
             return
         if not self.rejections.admits(job, now):
             return
-        job.effective_priority = self.evenness.urgency(place.priority)
+        job.effective_priority = self.evenness.effective_rank(place.priority)
         if not place.resumed and not place.asked_before:
-            job.is_over_allowance = self.allowances.ask(place.workspace, self.stages.replica_time_s(place), now)
-        engine_s = board.least_time_s(job, now)
+            job.is_over_allowance = self.allowances.charge(
+                place.workspace, self.stages.replica_time_s(place), now
+            )
+        engine_s = board.min_first_event_s(job, now)
         waiting_jobs = self.unplaced.values()
-        verdict = self.admission.judge(job, waiting_jobs, self.stages.queues, engine_s, now)
+        verdict = self.admission.decide(job, waiting_jobs, self.stages.queues, engine_s, now)
         if not verdict.admitted:
             self.reject(job, 'overloaded', verdict.retry_after_s)
             return
@@ -302,13 +307,13 @@
     def reject_unserved(self, job: Job) -> None:
         """Reject a job that no engine can serve."""
         now = self.clock.monotonic()
-        self.reject(job, 'no-engine', self.admission.return_s(job, NO_ENGINE_RETRY_S, now))
+        self.reject(job, 'no-engine', self.admission.retry_after_s(job, NO_ENGINE_RETRY_S, now))
 
     def place_engine(self, job: Job) -> None:
         """Choose an engine and notify the box, or leave the job waiting."""
         now = self.clock.monotonic()
         board = self.boards[job.place.service]
-        if not board.serves(job):
+        if not board.has_engine_for(job):
             self.reject_unserved(job)
             return
         choice = board.choose(job, now)
@@ -316,7 +321,7 @@
             return
         self.engine_queue.drop(job)
         permit = self.permits.take(choice.engine.replica)
-        board.begin(choice, job, now)
+        board.start_run(choice, job, now)
         replica = choice.engine.replica.id
         job.placed_on = replica
         del self.unplaced[job.id]
@@ -354,7 +359,7 @@
         if job.placed_at is not None:
             placed_at = job.placed_at
             self.engine_times.learn(job.place.prompt.tokens_in, now - placed_at)
-        self.boards[job.place.service].started(job.placed_on, job.id, placed_at, now)
+        self.boards[job.place.service].on_run_started(job.placed_on, job.id, placed_at, now)
         self.stages.release.free_soon(job.all_results())
 
     def on_ended(self, message: RunEnded) -> None:
@@ -366,9 +371,9 @@
             now = self.clock.monotonic()
             board = self.boards[job.place.service]
             if message.turned_away:
-                board.turned_away(job.placed_on, job.id, now)
+                board.on_run_turned_away(job.placed_on, job.id, now)
             else:
-                board.ended(job.placed_on, job.id, failed=message.failed, now=now)
+                board.on_run_ended(job.placed_on, job.id, failed=message.failed, now=now)
         self.end(job)
         self.place_waiting_jobs()
 
--- a/packages/core/calicopath_core/scheduling/stage_calls.py
+++ b/packages/core/calicopath_core/scheduling/stage_calls.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING, Any
 
 from calicopath_core.backends.base import BackendError, ConnectionBroken, NotStarted
-from calicopath_core.crashes.fate import ReplicaFate
-from calicopath_core.fleet.notices import Barred
-from calicopath_core.permits.holder import NoLimits, PermitLender
+from calicopath_core.crashes.fate import ReplicaCrashProbe
+from calicopath_core.fleet.notices import ReplicaExcluded
+from calicopath_core.permits.holder import PermitIssuer, UnlimitedIssuer
 from calicopath_core.scheduling.freeing import ResultFreeing
 from calicopath_core.scheduling.interfaces import PieceCall, PieceResult
 from calicopath_core.scheduling.jobs import Job, Piece, Result
@@ -59,9 +59,9 @@
         crashes: CrashGuard,
         backoff_left_s: Callable[[Replica], float] = lambda replica: 0.0,
         support_backoff_left_s: Callable[[Replica], float] = lambda replica: 0.0,
-        permits: PermitLender | None = None,
+        permits: PermitIssuer | None = None,
     ) -> None:
-        self.permits = permits or NoLimits()
+        self.permits = permits or UnlimitedIssuer()
         self.backoff_left_s = backoff_left_s
         self.clock = clock
         self.replicas = replicas
@@ -163,7 +163,7 @@
         try:
             async with asyncio.timeout(REPORT_TIMEOUT_S):
                 report = await self.caller.report(target.replica)
-        except Barred:
+        except ReplicaExcluded:
             return
         except (BackendError, TimeoutError) as error:
             self.observer.on_report_failed(target.replica, error)
@@ -186,10 +186,10 @@
         now = self.clock.monotonic()
         if self.is_room_unknown and any(queue.waiting for queue in self.queues.values()):
             self.query_all_room()
-        held = self.pacing.held(self.keeper.unplaced.values(), self.queues, now)
+        held = self.pacing.held_jobs(self.keeper.unplaced.values(), self.queues, now)
         for queue in self.queues.values():
             for batch in queue.batches(now, held):
-                self.permits.take_own(batch.target.replica)
+                self.permits.take_for_own_box(batch.target.replica)
                 # Built before the task runs: by then a job may have discarded its inputs.
                 calls = [self.piece_call(piece, now) for piece in batch.pieces]
                 for job in jobs_of(batch):
@@ -206,17 +206,19 @@
         """Make one call and process its results or its failure."""
         started_at = self.clock.monotonic()
         replica = batch.target.replica
-        fetched = asyncio.get_running_loop().call_later(INPUT_FETCH_S, self.release.on_fetched, batch)
+        fetched = asyncio.get_running_loop().call_later(
+            INPUT_FETCH_S, self.release.on_fetched, batch
+        )
         expected_s = queue.expected_call_s(len(calls))
         limit_s = expected_s * CALL_TIMEOUT_FACTOR + CALL_TIMEOUT_MARGIN_S
         try:
             results = await self.call_monitor.run(replica, calls, expected_s, limit_s)
         except (BackendError, TimeoutError) as error:
             if isinstance(error, ConnectionBroken):
-                fate = ReplicaFate(reach=self.caller, replicas=self.replicas, replica=replica)
+                fate = ReplicaCrashProbe(reach=self.caller, replicas=self.replicas, replica=replica)
                 contents = [job.place.content for job in jobs_of(batch)]
                 await self.crashes.on_failed(
-                    contents, queue.service, fate, error, began=started_at, answered=True
+                    contents, queue.service, fate, error, run_started_at=started_at, answered=True
                 )
             self.on_call_failed(queue, batch, error, started_at)
             return
@@ -305,7 +307,7 @@
             made = Result(
                 handle=result.handle,
                 producer=target.id,
-                zone=target.zone,
+                failure_domain=target.failure_domain,
                 size=piece.result_bytes,
                 created_at=self.clock.monotonic(),
             )
--- a/packages/core/calicopath_core/scheduling/stage_replicas.py
+++ b/packages/core/calicopath_core/scheduling/stage_replicas.py
@@ -80,12 +80,17 @@
         if now < self.no_room_until:
             return 0.0
         other = self.other_bytes if now < self.other_until else 0.0
-        return spec.room_bytes * USABLE_ROOM_RATIO - self.booked_bytes - self.reserved_bytes - other
+        return (
+            spec.result_capacity_bytes * USABLE_ROOM_RATIO
+            - self.booked_bytes
+            - self.reserved_bytes
+            - other
+        )
 
     def update_free_bytes(self, free_bytes: float, spec: StageSpec, now: float) -> None:
         """Take over the free space that the replica reports, and attribute the rest to others."""
         own_bytes = self.booked_bytes + self.reserved_bytes
-        self.other_bytes = max(0.0, spec.room_bytes - free_bytes - own_bytes)
+        self.other_bytes = max(0.0, spec.result_capacity_bytes - free_bytes - own_bytes)
         self.other_until = now + OTHER_BOOKING_S
 
     def free(self, handle: str) -> None:
--- a/packages/core/calicopath_core/scheduling/stages.py
+++ b/packages/core/calicopath_core/scheduling/stages.py
@@ -4,9 +4,14 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from calicopath_core.permits.holder import NoLimits, PermitLender
+from calicopath_core.permits.holder import PermitIssuer, UnlimitedIssuer
 from calicopath_core.scheduling.jobs import LARGE_RESULT_BYTES
-from calicopath_core.scheduling.placing import DomainPreference, preference_of, may_run_in, zone_waits
+from calicopath_core.scheduling.placing import (
+    DomainPreference,
+    failure_domain_waits,
+    may_run_in,
+    preference_of,
+)
 from calicopath_core.scheduling.stage_replicas import OVERDUE_FACTOR, Booking, StageReplica
 from calicopath_core.scheduling.waiting import WaitingPieces, update_ranking
 
@@ -66,9 +71,9 @@
         spec: StageSpec,
         runs_alone: Callable[[Job], bool] = lambda job: False,
         backoff_left_s: Callable[[Replica], float] = lambda replica: 0.0,
-        permits: PermitLender | None = None,
+        permits: PermitIssuer | None = None,
     ) -> None:
-        self.permits = permits or NoLimits()
+        self.permits = permits or UnlimitedIssuer()
         self.service = service
         self.spec = spec
         self.runs_alone = runs_alone
@@ -84,7 +89,9 @@
         but the space that their results take is still tracked.
         """
         listed = {replica.id: replica for replica in usable}
-        self.known_replicas = {name: item for name, item in self.known_replicas.items() if name in alive}
+        self.known_replicas = {
+            name: item for name, item in self.known_replicas.items() if name in alive
+        }
         for name, replica in listed.items():
             target = self.known_replicas.get(name) or self.replicas.get(name)
             target = target or StageReplica(replica=replica)
@@ -113,7 +120,7 @@
             for item in self.available_replicas()
             if item.open_calls < self.spec.concurrency
             and item.unavailable_until <= now
-            and self.permits.opens_in_s(item.replica) <= 0
+            and self.permits.available_in_s(item.replica) <= 0
         ]
         if len(self.waiting) <= self.max_quick_backlog(now):
             found = [item for item in found if not item.is_slow(now)]
@@ -153,15 +160,27 @@
         now: float,
     ) -> StageBatch | None:
         """Return a call to the first free replica that suits waiting groups, or `None`."""
-        prefers_domain = self.is_lightly_loaded() and any(preferences[item.number].zone for item in ranked)
-        waits = zone_waits(self.available_replicas(), self.spec, self.permits, now) if prefers_domain else {}
+        prefers_domain = self.is_lightly_loaded() and any(
+            preferences[item.number].failure_domain for item in ranked
+        )
+        waits = (
+            failure_domain_waits(self.available_replicas(), self.spec, self.permits, now)
+            if prefers_domain
+            else {}
+        )
         for target in free:
-            zone = target.replica.zone
-            eligible = [item.group for item in ranked if may_run_in(preferences[item.number], zone, waits)]
+            failure_domain = target.replica.failure_domain
+            eligible = [
+                item.group
+                for item in ranked
+                if may_run_in(preferences[item.number], failure_domain, waits)
+            ]
             if not eligible:
                 continue
             count = sum(len(group.pieces) for group in eligible)
-            if count < self.spec.batch and self.fill_wait_s(len(free)) > longest_wait_s(eligible, now):
+            if count < self.spec.batch and self.fill_wait_s(len(free)) > longest_wait_s(
+                eligible, now
+            ):
                 continue
             pieces = self.fitting_pieces(eligible, target, now)
             if pieces:
@@ -170,14 +189,18 @@
 
     def is_lightly_loaded(self) -> bool:
         """Tell whether the backlog is small enough to respect preferred failure domains."""
-        return len(self.waiting) <= BUSY_CALLS_PER_REPLICA * self.spec.batch * len(self.available_replicas())
+        return len(self.waiting) <= BUSY_CALLS_PER_REPLICA * self.spec.batch * len(
+            self.available_replicas()
+        )
 
     def fill_wait_s(self, free: int) -> float:
         """Return how long an incomplete batch may wait: longer, the fewer replicas are free."""
         usable = max(1, len(self.available_replicas()))
         return MAX_BATCH_DELAY_S * (1 - (free - 1) / usable)
 
-    def fitting_pieces(self, groups: list[PieceGroup], target: StageReplica, now: float) -> list[Piece]:
+    def fitting_pieces(
+        self, groups: list[PieceGroup], target: StageReplica, now: float
+    ) -> list[Piece]:
         """Return the pieces, in order, that fit into one call to a replica.
 
         Large results of one job stay together, so that its engine can be near all of them.
@@ -190,9 +213,16 @@
                 continue
             size = group.result_bytes
             pieces = group.pieces
-            free_slots = min(self.spec.batch - len(found), int(room // size) if size else len(pieces))
+            free_slots = min(
+                self.spec.batch - len(found), int(room // size) if size else len(pieces)
+            )
             fits_whole = len(pieces) <= free_slots
-            if not fits_whole and found and size >= LARGE_RESULT_BYTES and len(pieces) <= self.spec.batch:
+            if (
+                not fits_whole
+                and found
+                and size >= LARGE_RESULT_BYTES
+                and len(pieces) <= self.spec.batch
+            ):
                 continue
             taken = pieces[: max(0, free_slots)]
             found.extend(taken)
@@ -207,7 +237,7 @@
         for piece in pieces:
             piece.tries += 1
             piece.set_dispatched(True)
-            piece.job.zones.setdefault(piece.phase, target.replica.zone)
+            piece.job.failure_domains.setdefault(piece.phase, target.replica.failure_domain)
         target.open_calls += 1
         target.free_at = now + self.expected_call_s(len(pieces))
         target.due_at = now + OVERDUE_FACTOR * self.expected_call_s(len(pieces))
@@ -248,11 +278,15 @@
         target.open_calls -= 1
         target.reserved_bytes -= sum(piece.result_bytes for piece in batch.pieces)
         if full:
-            target.unavailable_until = now + min(MAX_FULL_BACKOFF_S, MIN_FULL_BACKOFF_S * 2**target.consecutive_declines)
+            target.unavailable_until = now + min(
+                MAX_FULL_BACKOFF_S, MIN_FULL_BACKOFF_S * 2**target.consecutive_declines
+            )
             target.consecutive_declines += 1
             return
         target.consecutive_failures += 1
-        target.unavailable_until = now + min(MAX_EJECTION_S, MIN_EJECTION_S * 2 ** (target.consecutive_failures - 1))
+        target.unavailable_until = now + min(
+            MAX_EJECTION_S, MIN_EJECTION_S * 2 ** (target.consecutive_failures - 1)
+        )
 
     def pieces_per_s(self) -> float:
         """Return how many pieces the available replicas compute per second in typical calls."""
@@ -263,12 +297,14 @@
         """Return how many calls of that many pieces the replicas take per second."""
         unlimited_per_s = 1 / self.expected_call_s(pieces)
         rates = (self.permits.rate_of(item.replica) for item in replicas)
-        return sum(unlimited_per_s if rate is None else min(unlimited_per_s, rate) for rate in rates)
+        return sum(
+            unlimited_per_s if rate is None else min(unlimited_per_s, rate) for rate in rates
+        )
 
     def opens_in_s(self) -> float:
         """Return the seconds until the first replica may be called; 0 if one may be called now."""
         waits = (
-            max(self.backoff_left_s(item.replica), self.permits.opens_in_s(item.replica))
+            max(self.backoff_left_s(item.replica), self.permits.available_in_s(item.replica))
             for item in self.replicas.values()
         )
         return min(waits, default=0.0)
--- a/packages/core/calicopath_core/scheduling/succession.py
+++ b/packages/core/calicopath_core/scheduling/succession.py
@@ -1,4 +1,4 @@
-"""Hand jobs over between schedulers, with what is made of them and what was learned."""
+"""Hand jobs over between schedulers, with their results and the learned estimates."""
 
 from __future__ import annotations
 
@@ -14,48 +14,48 @@
 
 
 class Succession:
-    """Hold which scheduler comes after this one, if it gives way."""
+    """Hand jobs over to the `successor`, which is `None` while this box schedules."""
 
     def __init__(self, *, scheduler: Scheduler) -> None:
         self.scheduler = scheduler
         self.successor: str | None = None
 
-    def take_up(self) -> None:
-        """Schedule what comes."""
+    def activate(self) -> None:
+        """Start scheduling."""
         self.successor = None
-        self.scheduler.boards.on_take_up(self.scheduler.clock.monotonic())
+        self.scheduler.boards.on_activated(self.scheduler.clock.monotonic())
 
-    def give_way(self, successor: str) -> None:
-        """Hand every job to another scheduler as soon as no call for it is under way.
+    def step_down(self, successor: str) -> None:
+        """Hand every job to the successor as soon as no call for the job is in progress.
 
-        A job that was handed to this one stays: two boxes that each take the other for the
-        scheduler would send it to and fro.
+        A job that was handed to this scheduler stays: two boxes that each take the other for the
+        scheduler would send it back and forth.
         """
         self.successor = successor
-        self.tell_learned(successor)
+        self.send_estimates(successor)
         for job in list(self.scheduler.jobs.values()):
             if not job.is_adopted:
                 self.hand_over(job)
 
-    def tell_learned(self, successor: str) -> None:
-        """Tell the next scheduler what waits at engines, and what this one has learned."""
+    def send_estimates(self, successor: str) -> None:
+        """Send the successor the load at the engines and the learned estimates."""
         scheduler = self.scheduler
         loads = scheduler.boards.loads()
         if loads:
             message = EngineLoads(sender=scheduler.own_address, loads=loads)
             scheduler.send(successor, message)
-        taken = scheduler.allowances.taken(scheduler.clock.monotonic())
-        if taken:
+        usual_rates = scheduler.allowances.usual_rates(scheduler.clock.monotonic())
+        if usual_rates:
             learned = LearnedEstimates(
                 sender=scheduler.own_address,
-                taken=taken,
+                taken=usual_rates,
                 bias=scheduler.admission.bias,
-                first_events_s=scheduler.engine_times.known(),
+                first_events_s=scheduler.engine_times.snapshot(),
             )
             scheduler.send(successor, learned)
 
     def hand_over(self, job: Job) -> None:
-        """Give a job with what is made of it to the next scheduler."""
+        """Hand a job with its results to the successor, unless calls for it are in progress."""
         scheduler, successor = self.scheduler, self.successor
         if job.open_calls or job.placed_on is not None or successor is None:
             return
@@ -77,7 +77,7 @@
         scheduler.remove_job(job)
 
     def on_adopt(self, message: AdoptJob) -> None:
-        """Go on with a job that another scheduler has begun."""
+        """Continue a job that another scheduler has started."""
         scheduler = self.scheduler
         if message.place.job in scheduler.jobs:
             return
@@ -90,15 +90,19 @@
         if message.place.service not in scheduler.boards:
             scheduler.reject(job, 'unknown-service')
             return
-        self.take_results(job, message, now)
+        self.restore_results(job, message, now)
         job.critical_path_s = scheduler.critical_paths(job)
         scheduler.advance(job)
 
-    def take_results(self, job: Job, message: AdoptJob, now: float) -> None:
-        """Take in what is made of a job, and count the room that it takes."""
+    def restore_results(self, job: Job, message: AdoptJob, now: float) -> None:
+        """Record the results that a job already has, and reserve the memory that they occupy."""
         for item in message.results:
             made = Result(
-                handle=item.handle, producer=item.producer, zone=item.zone, size=item.size, created_at=now
+                handle=item.handle,
+                producer=item.producer,
+                failure_domain=item.failure_domain,
+                size=item.size,
+                created_at=now,
             )
             made.freed = item.freed
             job.results[item.phase][item.index] = made
@@ -108,15 +112,15 @@
                 queue.book_result(item.producer, item.handle, item.size, now)
 
     def on_engine_loads(self, message: EngineLoads) -> None:
-        """Take in what a leaving scheduler has placed."""
+        """Record the load that a scheduler which steps down has placed at the engines."""
         now = self.scheduler.clock.monotonic()
         self.scheduler.boards.on_foreign_loads(message.sender, message.loads, now)
 
     def on_learned(self, message: LearnedEstimates) -> None:
-        """Take in what a leaving scheduler has learned, unless this one has seen enough itself."""
+        """Take over another scheduler's estimates, unless this one has enough of its own."""
         scheduler = self.scheduler
         now = scheduler.clock.monotonic()
-        if not scheduler.allowances.take_over(message.taken, now):
+        if not scheduler.allowances.restore(message.taken, now):
             return
-        scheduler.admission.take_over(message.bias)
-        scheduler.engine_times.take_over(message.first_events_s)
+        scheduler.admission.set_bias(message.bias)
+        scheduler.engine_times.restore(message.first_events_s)
--- a/packages/core/calicopath_core/scheduling/tests/limited_stages_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/limited_stages_tests.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from calicopath_core.permits.holder import NoLimits
+from calicopath_core.permits.holder import UnlimitedIssuer
 from calicopath_core.scheduling.stages import MAX_BATCH_DELAY_S
 from calicopath_core.scheduling.tests.work import job, phase, queue, replica, wait
 
@@ -17,14 +17,14 @@
 LATER = MAX_BATCH_DELAY_S + 0.01
 
 
-class OneLimited(NoLimits):
+class OneLimited(UnlimitedIssuer):
     """Limit the replica `limited` to one call a second, the next in half a second."""
 
     def rate_of(self, replica: Replica) -> float | None:
         """Return the limit of `limited`, and `None` for other replicas."""
         return 1.0 if replica.id == 'limited' else None
 
-    def opens_in_s(self, replica: Replica) -> float:
+    def available_in_s(self, replica: Replica) -> float:
         """Return the seconds until a replica may be called."""
         return 0.5 if replica.id == 'limited' else 0.0
 
--- a/packages/core/calicopath_core/scheduling/tests/stages_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/stages_tests.py
@@ -12,8 +12,8 @@
 from calicopath_core.scheduling.stage_calls import StageCalls
 from calicopath_core.scheduling.stage_replicas import SLOWNESS_EXPIRY_S
 from calicopath_core.scheduling.stages import (
-    MIN_FULL_BACKOFF_S,
     MAX_BATCH_DELAY_S,
+    MIN_FULL_BACKOFF_S,
     NO_ROOM_BACKOFF_S,
 )
 from calicopath_core.scheduling.tests.work import SPEC, job, phase, queue, replica, result, wait
@@ -146,7 +146,7 @@
                 crashes=new_guard(),
             )
             found = mock.Mock(return_value=set())
-            with mock.patch.object(calls.pacing, 'held', found):
+            with mock.patch.object(calls.pacing, 'held_jobs', found):
                 for _ in range(50):
                     calls.dispatch_soon()
                 await asyncio.sleep(0.01)
@@ -222,7 +222,7 @@
     def reading(self, size: int, **changes: Any) -> Job:
         """Return a job whose second phase reads a result in failure domain b."""
         found = job('reader', phase(size=size), phase(needs=(0,), count=2), **changes)
-        found.results[0][0] = result('h', zone='b', size=size)
+        found.results[0][0] = result('h', failure_domain='b', size=size)
         return found
 
     def test_much_to_move_waits_for_its_zone_while_there_is_time(self) -> None:
@@ -331,4 +331,7 @@
         batch = target.next_batch(0.0)
         assert batch is not None
         target.on_failed(batch, 0.0, full=True)
-        self.assertEqual((MIN_FULL_BACKOFF_S, 0), (target.replicas['r'].unavailable_until, target.replicas['r'].open_calls))
+        self.assertEqual(
+            (MIN_FULL_BACKOFF_S, 0),
+            (target.replicas['r'].unavailable_until, target.replicas['r'].open_calls),
+        )
--- a/packages/core/calicopath_core/scheduling/tests/work.py
+++ b/packages/core/calicopath_core/scheduling/tests/work.py
@@ -11,12 +11,17 @@
 from calicopath_core.scheduling.stages import StageQueue
 
 SPEC = StageSpec(
-    concurrency=1, batch=4, call_s=0.2, piece_s=0.05, room_bytes=1_000_000, result_ttl_s=4.0
+    concurrency=1,
+    batch=4,
+    call_s=0.2,
+    piece_s=0.05,
+    result_capacity_bytes=1_000_000,
+    result_ttl_s=4.0,
 )
 
 
-def replica(name: str, zone: str = 'a', service: str = 'look') -> Replica:
-    return Replica(name, service, f'{name}:1', zone, 1, False)
+def replica(name: str, failure_domain: str = 'a', service: str = 'look') -> Replica:
+    return Replica(name, service, f'{name}:1', failure_domain, 1, False)
 
 
 def prompt(*parts: tuple[str, int], out: int = 10) -> Prompt:
@@ -36,7 +41,7 @@
     fields: dict[str, Any] = {
         'job': name,
         'reply_to': 'b1:7',
-        'zone': 'a',
+        'failure_domain': 'a',
         'call_id': name,
         'piece_key': name,
         'priority': 0,
@@ -54,8 +59,16 @@
     return found
 
 
-def result(handle: str, zone: str = 'a', size: int = 100, created_at: float = 0.0) -> Result:
-    return Result(handle=handle, producer=f'maker-{zone}', zone=zone, size=size, created_at=created_at)
+def result(
+    handle: str, failure_domain: str = 'a', size: int = 100, created_at: float = 0.0
+) -> Result:
+    return Result(
+        handle=handle,
+        producer=f'maker-{failure_domain}',
+        failure_domain=failure_domain,
+        size=size,
+        created_at=created_at,
+    )
 
 
 def queue(*replicas: Replica, spec: StageSpec = SPEC) -> StageQueue:
--- a/packages/core/calicopath_core/scheduling/waiting.py
+++ b/packages/core/calicopath_core/scheduling/waiting.py
@@ -68,7 +68,9 @@
         key = (piece.job.id, piece.phase)
         group = self.groups.get(key)
         if group is None:
-            group = self.groups[key] = PieceGroup(job=piece.job, phase=piece.phase, waiting_since=now)
+            group = self.groups[key] = PieceGroup(
+                job=piece.job, phase=piece.phase, waiting_since=now
+            )
         group.pieces.append(piece)
         self.count += 1
 
@@ -108,7 +110,9 @@
     group: PieceGroup
 
 
-def update_ranking(ranked: list[RankedGroup], dispatched: Iterable[Piece], now: float) -> list[RankedGroup]:
+def update_ranking(
+    ranked: list[RankedGroup], dispatched: Iterable[Piece], now: float
+) -> list[RankedGroup]:
     """Update a ranking after pieces were dispatched, and return their groups that still wait.
 
     `ranked` is changed in place.
--- a/packages/daemon/calicopathd/gateway/box.py
+++ b/packages/daemon/calicopathd/gateway/box.py
@@ -12,20 +12,20 @@
 
 from calicopath_core.clock import SuspensionClock
 from calicopath_core.crashes.guard import CrashGuard
-from calicopath_core.crashes.keeping import BlockedKeeper
+from calicopath_core.crashes.keeping import BlockedRequestPersister
 from calicopath_core.crashes.ledger import CrashLedger
 from calicopath_core.crashes.sharing import CrashSharing
 from calicopath_core.exchanges.balancer import Balancer
-from calicopath_core.exchanges.budget import Budgets
+from calicopath_core.exchanges.budget import RetryBudgets
 from calicopath_core.exchanges.context import ExchangeContext
 from calicopath_core.exchanges.executor import ExchangeExecutor
 from calicopath_core.fleet.deployment import DEFAULT_LIMITS, Deployment, DeploymentView
-from calicopath_core.fleet.positions import NOTHING, Position
+from calicopath_core.fleet.positions import NO_POSITION, Position
 from calicopath_core.fleet.store import RecordKind
-from calicopath_core.scheduling.baseline import AloneElection, RandomEngineBoard
+from calicopath_core.scheduling.baseline import RandomEnginePool, StandaloneElection
 from calicopath_core.scheduling.client import SchedulerClient
 from calicopath_core.scheduling.election import BoxAddress, Election
-from calicopath_core.scheduling.groups import GroupRule
+from calicopath_core.scheduling.groups import GroupPolicy
 from calicopath_core.scheduling.messages import BackoffNotice, Pong
 from calicopath_core.scheduling.scheduler import Scheduler
 from calicopathd import events
@@ -36,13 +36,13 @@
 if TYPE_CHECKING:
     import msgspec
 
-    from calicopath_core.exchanges.messages import ReplicaCaller
+    from calicopath_core.exchanges.messages import ReplicaClient
     from calicopath_core.fleet.contact import StoreContact
     from calicopath_core.fleet.deployment import ClientLimits, EngineSpec
     from calicopath_core.fleet.replicas import Replica
     from calicopath_core.fleet.store import FleetStore
     from calicopath_core.membership.transport import PeerTransport
-    from calicopath_core.scheduling.engines import EngineBoard
+    from calicopath_core.scheduling.engines import EnginePool
     from calicopath_core.scheduling.interfaces import StageCaller
     from calicopathd.gateway.observer import GatewayObserver
     from calicopathd.gateway.settings import GatewaySettings
@@ -73,7 +73,7 @@
         settings: GatewaySettings,
         store: FleetStore,
         transport: PeerTransport,
-        exchanges: ReplicaCaller,
+        exchanges: ReplicaClient,
         stages: StageCaller,
         observer: GatewayObserver,
         seed: int | None = None,
@@ -100,7 +100,7 @@
             on_backoff=self.on_replica_backoff,
         )
         self.replicas, self.gate = self.notices.replicas, self.notices.gate
-        exchanges.listener = stages.listener = self.gate
+        exchanges.interceptor = stages.interceptor = self.gate
         self.own = BoxAddress(
             settings.box,
             str(settings.peer_listen),
@@ -108,11 +108,11 @@
             self.life,
             small=settings.small,
         )
-        self.election = AloneElection(own=self.own) if alone else Election(own=self.own)
+        self.election = StandaloneElection(own=self.own) if alone else Election(own=self.own)
         self.config_since = 0.0
         self.synced_at: float | None = None
         self.group = (0, 1)
-        self.group_rule = GroupRule(clock=self.clock)
+        self.group_rule = GroupPolicy(clock=self.clock)
         self.link = PeerLink(
             transport=transport,
             election=self.election,
@@ -130,7 +130,7 @@
             send=self.link.send,
             complete=False,
         )
-        self.keeper = BlockedKeeper(
+        self.keeper = BlockedRequestPersister(
             clock=self.clock,
             ledger=self.ledger,
             sharing=self.sharing,
@@ -150,8 +150,8 @@
             own_address=self.own.address,
             share_of=self.election.share_of,
             crashes=self.crashes,
-            backoff_left_s=self.gate.backoffs.left_s,
-            support_backoff_left_s=self.gate.support_opens_in_s,
+            backoff_left_s=self.gate.backoffs.remaining_s,
+            support_backoff_left_s=self.gate.control_call_available_in_s,
             permits=self.notices.holder,
             warmup=settings.warmup,
             new_board=self.random_board if alone else None,
@@ -184,10 +184,10 @@
         self.link.scheduler, self.link.client = self.scheduler, self.client
         self.link.subscription, self.link.crashes = self.subscription, self.sharing
         self.link.notices = self.notices
-        self.sharing.listeners = self.unaware_boxes
+        self.sharing.waiting_boxes = self.unaware_boxes
         self.executor = ExchangeExecutor(context=self.new_context(exchanges))
 
-    def new_context(self, exchanges: ReplicaCaller) -> ExchangeContext:
+    def new_context(self, exchanges: ReplicaClient) -> ExchangeContext:
         """Return what this box's exchanges share."""
         return ExchangeContext(
             clock=self.clock,
@@ -197,24 +197,24 @@
             balancer=Balancer(
                 replicas=self.replicas,
                 gate=self.gate,
-                zone=self.settings.failure_domain,
+                failure_domain=self.settings.failure_domain,
                 rng=self.rng,
                 cold_rate_of=self.cold_rate_of,
             ),
-            budgets=Budgets(terms=self.settings.retry_budget),
+            retry_budgets=RetryBudgets(terms=self.settings.retry_budget),
             election=self.election,
             scheduler=self.client,
-            caller=exchanges,
+            replica_client=exchanges,
             observer=self.observer,
             crashes=self.crashes,
-            new_job=self.new_job,
+            new_job_id=self.new_job,
             may_serve=self.serves,
-            zone=self.settings.failure_domain,
+            failure_domain=self.settings.failure_domain,
         )
 
-    def random_board(self, spec: EngineSpec) -> EngineBoard:
+    def random_board(self, spec: EngineSpec) -> EnginePool:
         """Return a board of the naive baseline."""
-        return RandomEngineBoard(slots=spec.slots, kv_tokens=spec.kv_tokens, rng=self.rng)
+        return RandomEnginePool(slots=spec.slots, kv_tokens=spec.kv_tokens, rng=self.rng)
 
     def new_job(self) -> str:
         """Return an identifier that no other job has, of this or another life."""
@@ -226,7 +226,7 @@
 
     def held_position(self, kind: RecordKind) -> Position:
         """Return the store's position up to which this box knows a kind."""
-        return self.subscription.positions().get(kind, NOTHING)
+        return self.subscription.positions().get(kind, NO_POSITION)
 
     def contact(self) -> StoreContact:
         """Return how the store answers this box, or the relay that it hears."""
@@ -239,7 +239,7 @@
         service = deployment.services.get(replica.service) if deployment and replica else None
         if service is None:
             return LEAST_CONNECTIONS
-        share = service.max_connections * CONNECTIONS_USED / self.election.boxes_sharing()
+        share = service.max_connections * CONNECTIONS_USED / self.election.box_count()
         return max(LEAST_CONNECTIONS, int(share))
 
     def cold_rate_of(self, service: str) -> float | None:
@@ -248,7 +248,7 @@
         spec = deployment.services.get(service) if deployment is not None else None
         if spec is None or spec.warmup is None:
             return None
-        return spec.warmup.per_s / max(1, self.election.boxes_sharing())
+        return spec.warmup.per_s / max(1, self.election.box_count())
 
     def limits(self) -> ClientLimits:
         """Return what callers may send at the moment."""
@@ -256,7 +256,9 @@
 
     def keeps_blocked(self) -> bool:
         """Tell whether this box is the one that keeps blocked requests in the store."""
-        return self.subscription.choice.is_first and self.synced() and not self.leaving
+        return (
+            self.subscription.relay_selection.is_first_relay and self.synced() and not self.leaving
+        )
 
     def synced(self) -> bool:
         """Tell whether all that says where requests may go was read once."""
@@ -273,7 +275,11 @@
 
     def unaware_boxes(self) -> set[str]:
         """Return the boxes that hear the store through this one, and the other relays."""
-        relays = self.subscription.choice.candidates if self.subscription.choice.is_relay else []
+        relays = (
+            self.subscription.relay_selection.candidates
+            if self.subscription.relay_selection.is_relay
+            else []
+        )
         return {*self.publisher.subscribers, *relays}
 
     def knows_blocked(self) -> bool:
@@ -313,11 +319,11 @@
     def judge_groups(self, now: float) -> None:
         """Have the fleet split, or joined, if this box schedules and finds that it should be."""
         if self.client.scheduler_address != self.own.address or self.leaving:
-            self.group_rule.start_again()
+            self.group_rule.reset()
             return
-        leads = self.election.leads(now)
-        self.election.on_count(
-            self.group_rule.next_count(self.election.count, leads=leads, now=now)
+        leads = self.election.is_leader(now)
+        self.election.on_group_count(
+            self.group_rule.next_count(self.election.group_count, is_leader=leads, now=now)
         )
 
     def on_applied(self, deployment: Deployment) -> None:
@@ -329,8 +335,8 @@
             events.DEPLOYMENT_APPLIED,
             version=deployment.version,
             routes=len(deployment.routes),
-            tenants=len(deployment.tenants_by_key),
-            ranks={item.name: item.priority for item in deployment.tenants_by_key.values()},
+            tenants=len(deployment.workspaces_by_key),
+            ranks={item.name: item.priority for item in deployment.workspaces_by_key.values()},
         )
 
     def send(self, address: str, message: msgspec.Struct) -> None:
@@ -339,12 +345,12 @@
 
     def hubs(self) -> list[str]:
         """Return the boxes that all others ping, which hear first of what a box has seen."""
-        return self.election.hubs(self.clock.monotonic())
+        return self.election.candidate_addresses(self.clock.monotonic())
 
     def on_replica_backoff(self, replica: Replica) -> None:
         """Tell the box that schedules which engine wants nothing from this one."""
         if replica.service in self.scheduler.boards:
-            lefts = {replica.id: self.gate.backoffs.left_s(replica)}
+            lefts = {replica.id: self.gate.backoffs.remaining_s(replica)}
             self.tell_backoffs(lefts)
 
     def tell_backoffs(self, lefts: dict[str, float]) -> None:
@@ -356,13 +362,13 @@
     def on_scheduler(self, address: str, asked_again: int) -> None:
         """Note that another box schedules now."""
         for service in self.scheduler.boards:
-            self.tell_backoffs(self.gate.backoffs_of(service))
+            self.tell_backoffs(self.gate.remaining_backoffs(service))
         if address == self.own.address:
-            self.scheduler.succession.take_up()
+            self.scheduler.succession.activate()
             self.scheduler.stages.on_take_over(has_work=asked_again > 0)
         else:
             self.scheduler.stages.release.on_hand_over()
-            self.scheduler.succession.give_way(address)
+            self.scheduler.succession.step_down(address)
         self.notices.on_lender(own=address == self.own.address)
         self.observer.on_scheduler(address, asked_again)
 
@@ -381,12 +387,12 @@
         """Ask for no more callers and hand scheduling over."""
         self.leaving = True
         self.election.leaving = True
-        self.subscription.leave()
+        self.subscription.announce_leaving()
         self.link.ping_all()
         for candidate in self.election.candidates.values():
-            if candidate.heard_at is not None:
+            if candidate.last_heard_at is not None:
                 # Boxes that see this one as a candidate learn at once that it leaves.
                 self.link.send(candidate.box.address, self.link.presence(Pong, 0))
         successor = self.election.scheduler(self.clock.monotonic(), self.contact()).address
         if successor != self.own.address:
-            self.scheduler.succession.give_way(successor)
+            self.scheduler.succession.step_down(successor)
--- a/packages/daemon/calicopathd/gateway/observer.py
+++ b/packages/daemon/calicopathd/gateway/observer.py
@@ -6,7 +6,7 @@
 
 import structlog
 
-from calicopath_core.exchanges.context import ExchangeObserver, failure_of
+from calicopath_core.exchanges.context import ExchangeObserver, failure_kind
 from calicopath_core.fleet.feed import FeedObserver
 from calicopath_core.fleet.leaving import OWN
 from calicopath_core.fleet.notices import NoticeObserver
@@ -17,10 +17,10 @@
 
 if TYPE_CHECKING:
     from calicopath_core.backends.base import BackendError
-    from calicopath_core.exchanges.context import RefusedExchange, Ticket
+    from calicopath_core.exchanges.context import ExchangeState, RefusedExchange
     from calicopath_core.exchanges.messages import Exchange
-    from calicopath_core.fleet.evacuations import Evacuation, HeldEvacuation
-    from calicopath_core.fleet.notices import Bar
+    from calicopath_core.fleet.evacuations import ActiveEvacuation, Evacuation
+    from calicopath_core.fleet.notices import Exclusion
     from calicopath_core.fleet.positions import Position
     from calicopath_core.fleet.replicas import Replica
     from calicopath_core.fleet.store import RecordKind
@@ -39,23 +39,23 @@
         super().__init__(counters=metrics)
         self.metrics = metrics
 
-    def on_ended(self, ticket: Ticket, took_s: float) -> None:
+    def on_ended(self, state: ExchangeState, took_s: float) -> None:
         """Note how an exchange ended."""
-        received_at = ticket.exchange.received_at
-        first_s = ticket.first_byte_at - received_at if ticket.first_byte_at is not None else None
-        self.metrics.on_exchange(ticket.route.kind, ticket.outcome, took_s, first_s)
+        received_at = state.exchange.received_at
+        first_s = state.first_byte_at - received_at if state.first_byte_at is not None else None
+        self.metrics.on_exchange(state.route.kind, state.outcome, took_s, first_s)
         events.emit(
             log,
             events.EXCHANGE_ENDED,
-            request=ticket.exchange.call_id,
-            content=ticket.content,
-            route=ticket.route.name,
-            tenant=ticket.tenant,
-            config=ticket.deployment.version,
-            outcome=ticket.outcome,
-            status=ticket.status,
-            detail=ticket.detail,
-            replicas=ticket.replicas,
+            request=state.exchange.call_id,
+            content=state.content,
+            route=state.route.name,
+            tenant=state.workspace,
+            config=state.deployment.version,
+            outcome=state.outcome,
+            status=state.status,
+            detail=state.detail,
+            replicas=state.tried_replicas,
             first_ms=None if first_s is None else round(first_s * 1000),
             took_ms=round(took_s * 1000),
         )
@@ -74,21 +74,21 @@
         )
 
     def on_attempt_failed(
-        self, ticket: Ticket, replica: str, error: Exception, left_s: float
+        self, state: ExchangeState, replica: str, error: Exception, left_s: float
     ) -> None:
         """Note an attempt that gave no whole answer."""
-        failure = failure_of(error)
-        self.metrics.attempts_failed.inc({'service': ticket.service, 'failure': failure})
+        failure = failure_kind(error)
+        self.metrics.attempts_failed.inc({'service': state.service, 'failure': failure})
         events.emit(
             log,
             events.ATTEMPT_FAILED,
-            request=ticket.exchange.call_id,
-            content=ticket.content,
+            request=state.exchange.call_id,
+            content=state.content,
             replica=replica,
             failure=failure,
-            begun=ticket.first_byte_at is not None,
-            may_have_run=ticket.may_have_run,
-            sends=ticket.sends,
+            begun=state.first_byte_at is not None,
+            may_have_run=state.may_have_run,
+            sends=state.sends,
             left_ms=round(left_s * 1000),
             error=str(error),
         )
@@ -97,30 +97,30 @@
         """Count what became of a permit."""
         self.metrics.permits.inc({'service': service, 'outcome': outcome})
 
-    def on_permit_awaited(
-        self, ticket: Ticket, replica: str, waited_s: float, opens_in_s: float
+    def on_permit_wait_ended(
+        self, state: ExchangeState, replica: str, waited_s: float, opens_in_s: float
     ) -> None:
         """Note a request that only limited replicas could serve."""
         events.emit(
             log,
             events.PERMIT_AWAITED,
-            request=ticket.exchange.call_id,
-            service=ticket.service,
+            request=state.exchange.call_id,
+            service=state.service,
             replica=replica or None,
             waited_ms=round(waited_s * 1000),
             opens_in_ms=round(opens_in_s * 1000),
         )
 
-    def on_blocked_refused(self, ticket: Ticket) -> None:
+    def on_blocked_refused(self, state: ExchangeState) -> None:
         """Count a request that is not sent since replicas end under what it asks."""
-        self.metrics.blocked_refused.inc({'service': ticket.service})
+        self.metrics.blocked_refused.inc({'service': state.service})
 
     def on_leaving(self, replica: str, source: str) -> None:
         """Note that a replica says that it leaves."""
         self.metrics.leaving.inc({'source': 'own' if source == OWN else 'peer'})
         events.emit(log, events.REPLICA_LEAVING, replica=replica, source=source)
 
-    def on_over(self, replica: str, source: str) -> None:
+    def on_replaced(self, replica: str, source: str) -> None:
         """Note that another replica answers at a replica's address."""
         self.metrics.over.inc({'source': 'own' if source == OWN else 'peer'})
         events.emit(log, events.REPLICA_OVER, replica=replica, source=source)
@@ -136,14 +136,14 @@
             for_ms=round(backoff_s * 1000),
         )
 
-    def on_backoff_ended(self, replica: str, held_s: float, turned_away: int) -> None:
+    def on_backoff_ended(self, replica: str, held_s: float, rejected_calls: int) -> None:
         """Note that a replica may be called again."""
         events.emit(
             log,
             events.BACKOFF_ENDED,
             replica=replica,
             held_ms=round(held_s * 1000),
-            turned_away=turned_away,
+            turned_away=rejected_calls,
         )
 
     def on_bad_notice(self, service: str) -> None:
@@ -173,17 +173,17 @@
             source=source,
         )
 
-    def on_held_back(self, replica: Replica, bar: Bar) -> None:
+    def on_held_back(self, replica: Replica, exclusion: Exclusion) -> None:
         """Count a call that was chosen and not sent."""
-        self.metrics.held_back.inc({'service': replica.service, 'bar': bar.value})
+        self.metrics.held_back.inc({'service': replica.service, 'bar': exclusion.value})
 
-    def on_passed_over(self, ticket: Ticket, replica: str, bar: Bar) -> None:
+    def on_replica_skipped(self, state: ExchangeState, replica: str, bar: Exclusion) -> None:
         """Note a replica that was chosen for a request and must not get it."""
-        self.metrics.passed_over.inc({'service': ticket.service, 'bar': bar.value})
+        self.metrics.passed_over.inc({'service': state.service, 'bar': bar.value})
         events.emit(
             log,
             events.REPLICA_PASSED_OVER,
-            request=ticket.exchange.call_id,
+            request=state.exchange.call_id,
             replica=replica,
             bar=bar.value,
         )
@@ -214,9 +214,9 @@
             request=job.place.call_id,
             job=job.id,
             replica=replica.id,
-            zone=replica.zone,
-            result_zones=[item.zone for item in job.final_results()],
-            crossing_kb=job.cross_domain_bytes(job.final_results(), replica.zone) // 1000,
+            zone=replica.failure_domain,
+            result_zones=[item.failure_domain for item in job.final_results()],
+            crossing_kb=job.cross_domain_bytes(job.final_results(), replica.failure_domain) // 1000,
             cost_ms=round(cost_s * 1000),
             staged_ms=round(waited_s * 1000),
             expected_ms=round(job.expected_stages_s * 1000),
@@ -267,18 +267,20 @@
         """Note that this box belongs to another group."""
         events.emit(log, events.GROUP_CHANGED, group=group, groups=groups)
 
-    def on_zone_taken_out(self, evacuation: Evacuation) -> None:
-        """Note that a zone's replicas get no new work from here."""
+    def on_failure_domain_taken_out(self, evacuation: Evacuation) -> None:
+        """Note that a failure domain's replicas get no new work from here."""
         revision = evacuation.revision
-        events.emit(log, events.ZONE_TAKEN_OUT, zone=evacuation.zone, revision=revision)
+        events.emit(
+            log, events.FAILURE_DOMAIN_TAKEN_OUT, zone=evacuation.failure_domain, revision=revision
+        )
 
-    def on_zone_given_back(self, held: HeldEvacuation) -> None:
-        """Note that a zone's replicas get new work again."""
+    def on_failure_domain_given_back(self, held: ActiveEvacuation) -> None:
+        """Note that a failure domain's replicas get new work again."""
         evacuation = held.evacuation
         events.emit(
             log,
-            events.ZONE_GIVEN_BACK,
-            zone=evacuation.zone,
+            events.FAILURE_DOMAIN_GIVEN_BACK,
+            zone=evacuation.failure_domain,
             revision=evacuation.revision,
             taken_out_since=held.since,
         )
@@ -303,11 +305,11 @@
         """Count a call to the store."""
         self.metrics.store_calls.inc({'cause': cause})
 
-    def on_lost(self, kind: RecordKind, error: Exception) -> None:
+    def on_contact_lost(self, kind: RecordKind, error: Exception) -> None:
         """Note that the store stopped answering."""
         events.emit(log, events.FEED_LOST, kind=kind.value, error=str(error))
 
-    def on_regained(self, kind: RecordKind, silent_s: float) -> None:
+    def on_contact_restored(self, kind: RecordKind, silent_s: float) -> None:
         """Note that the store answers again."""
         events.emit(log, events.FEED_BACK, kind=kind.value, silent_s=round(silent_s, 3))
 
