--- a/packages/core/calicopath_core/scheduling/messages.py
+++ b/packages/core/calicopath_core/scheduling/messages.py
@@ -146,12 +146,12 @@
 class LearnedEstimates(msgspec.Struct, frozen=True, tag='ln'):
     """Pass this scheduler's estimates to the next one.
 
-    `taken` is the usual load of workspaces, `bias` the correction factor of stage estimates, and
-    `first_events_s` the time of engines to a first event by prompt size.
+    `usual_rates` is the usual load of workspaces, `bias` the correction factor of stage
+    estimates, and `first_events_s` the time of engines to a first event by prompt size.
     """
 
     sender: str
-    taken: tuple[UsualRate, ...]
+    usual_rates: tuple[UsualRate, ...] = msgspec.field(name='taken')
     bias: float
     first_events_s: dict[int, float]
 
--- a/packages/core/calicopath_core/scheduling/rejections.py
+++ b/packages/core/calicopath_core/scheduling/rejections.py
@@ -26,31 +26,31 @@
 class Rejections:
     """Check jobs that have no engine yet, and reject those that can't be served in time.
 
-    `reject` ends a job with a reason and a retry delay; `engine_s` returns the estimated seconds
-    that an engine takes to a job's first event.
+    `reject` ends a job with a reason and a retry delay; `first_event_s` returns the estimated
+    seconds that an engine takes to a job's first event.
     """
 
     def __init__(
         self,
         *,
         unplaced: Mapping[str, Job],
-        boards: EnginePools,
+        engine_pools: EnginePools,
         engine_queue: EngineQueue,
         queues: Mapping[str, StageQueue],
         admission: Admission,
         crashes: CrashGuard,
         permits: PermitIssuer,
-        engine_s: Callable[[Job], float],
+        first_event_s: Callable[[Job], float],
         reject: Callable[[Job, str, float], None],
     ) -> None:
         self.unplaced = unplaced
-        self.boards = boards
+        self.engine_pools = engine_pools
         self.engine_queue = engine_queue
         self.queues = queues
         self.admission = admission
         self.crashes = crashes
         self.permits = permits
-        self.engine_s = engine_s
+        self.first_event_s = first_event_s
         self.reject = reject
 
     def check_waiting_jobs(self, now: float) -> None:
@@ -79,7 +79,7 @@
 
     def reject_backing_off(self, now: float) -> None:
         """Reject jobs whose engines back off their box for too long."""
-        if self.boards.backoffs.by_box:
+        if self.engine_pools.backoffs.by_box:
             for job in list(self.unplaced.values()):
                 self.check_backoffs(job, now)
 
@@ -89,28 +89,28 @@
         The limit is the job's objective, so that its caller can still try another box, or its
         deadline once work was spent on it or a rejection would come too late for that.
         """
-        board = self.boards.get(job.place.service)
-        back_s = board.min_backoff_s(job, now) if board is not None else 0.0
-        if back_s <= 0:
+        pool = self.engine_pools.get(job.place.service)
+        backoff_s = pool.min_backoff_s(job, now) if pool is not None else 0.0
+        if backoff_s <= 0:
             return True
-        engine_s = self.engine_s(job)
-        ready_s = max(back_s, job.min_remaining_s() - engine_s)
+        first_event_s = self.first_event_s(job)
+        ready_s = max(backoff_s, job.min_remaining_s() - first_event_s)
         must_finish = job.has_progress or job.place.may_have_run
         limit = job.deadline_at if must_finish else job.objective_at
-        if now + ready_s + engine_s <= limit:
+        if now + ready_s + first_event_s <= limit:
             return True
-        self.reject(job, 'backing-off', self.admission.retry_after_s(job, back_s, now))
+        self.reject(job, 'backing-off', self.admission.retry_after_s(job, backoff_s, now))
         return False
 
     def check_limits(self, job: Job, jobs_ahead: int, now: float) -> bool:
         """Tell whether the limits of engines let a job start in time, and reject it if not."""
-        board = self.boards.get(job.place.service)
-        wait_s = board.permit_wait_s(job, jobs_ahead) if board is not None else 0.0
+        pool = self.engine_pools.get(job.place.service)
+        wait_s = pool.permit_wait_s(job, jobs_ahead) if pool is not None else 0.0
         if wait_s <= 0:
             return True
-        engine_s = self.engine_s(job)
-        ready_s = max(wait_s, job.min_remaining_s() - engine_s)
-        if now + ready_s + engine_s <= job.deadline_at:
+        first_event_s = self.first_event_s(job)
+        ready_s = max(wait_s, job.min_remaining_s() - first_event_s)
+        if now + ready_s + first_event_s <= job.deadline_at:
             return True
         self.reject(job, 'limited', self.admission.retry_after_s(job, wait_s, now))
         return False
@@ -137,7 +137,7 @@
     def engines_waited_for(self) -> Iterator[Engine]:
         """Yield the engines of the services that jobs with finished stages wait for."""
         for service in {job.place.service for job in self.engine_queue.jobs.values()}:
-            yield from self.boards[service].engines.values()
+            yield from self.engine_pools[service].engines.values()
 
     def reject_blocked(self) -> None:
         """Reject jobs that were admitted before their request was blocked."""
--- a/packages/core/calicopath_core/scheduling/scheduler.py
+++ b/packages/core/calicopath_core/scheduling/scheduler.py
@@ -78,7 +78,7 @@
         share_of: Callable[[list[Replica]], list[Replica]],
         crashes: CrashGuard,
         warmup: WarmupTerms = NO_OVERAGE,
-        new_board: Callable[[EngineSpec], EnginePool] | None = None,
+        pool_factory: Callable[[EngineSpec], EnginePool] | None = None,
         backoff_left_s: Callable[[Replica], float] = lambda replica: 0.0,
         support_backoff_left_s: Callable[[Replica], float] = lambda replica: 0.0,
         permits: PermitIssuer | None = None,
@@ -97,10 +97,10 @@
         self.engine_times = EngineTimes()
         self.jobs: dict[str, Job] = {}
         self.unplaced: dict[str, Job] = {}
-        self.engine_queue = EngineQueue(first_event_s=self.engine_s)
+        self.engine_queue = EngineQueue(first_event_s=self.first_event_s)
         self.work_available = asyncio.Event()
-        self.boards = EnginePools(
-            salt=own_address, warmup=warmup, pool_factory=new_board, permits=self.permits
+        self.engine_pools = EnginePools(
+            salt=own_address, warmup=warmup, pool_factory=pool_factory, permits=self.permits
         )
         self.stages = StageCalls(
             clock=clock,
@@ -116,13 +116,13 @@
         )
         self.rejections = Rejections(
             unplaced=self.unplaced,
-            boards=self.boards,
+            engine_pools=self.engine_pools,
             engine_queue=self.engine_queue,
             queues=self.stages.queues,
             admission=self.admission,
             crashes=crashes,
             permits=self.permits,
-            engine_s=self.engine_s,
+            first_event_s=self.first_event_s,
             reject=self.reject,
         )
         self.succession = Succession(scheduler=self)
@@ -133,13 +133,13 @@
         for name, service in deployment.services.items():
             if service.stage is not None:
                 self.stages.set_spec(name, service.stage)
-            self.boards.set_spec(service)
+            self.engine_pools.set_spec(service)
         self.on_replicas()
 
     def on_replicas(self) -> None:
         """Update stages, engines and waiting jobs after the replica table changed."""
         self.stages.on_replicas()
-        self.boards.set_replicas(self.replicas, self.share_of)
+        self.engine_pools.set_replicas(self.replicas, self.share_of)
         self.recompute_lost()
         self.place_waiting_jobs()
 
@@ -173,7 +173,7 @@
         if self.is_idle:
             return
         now = self.clock.monotonic()
-        self.boards.expire(now)
+        self.engine_pools.expire(now)
         self.rejections.reject_blocked()
         self.place_waiting_jobs()
         self.rejections.check_waiting_jobs(now)
@@ -196,7 +196,7 @@
     def on_backoffs(self, message: BackoffNotice) -> None:
         """Record which engines back off a box, and recheck its waiting jobs."""
         now = self.clock.monotonic()
-        self.boards.backoffs.note(message.address, message.backoffs, now)
+        self.engine_pools.backoffs.note(message.address, message.backoffs, now)
         self.rejections.reject_backing_off(now)
 
     def on_place(self, place: PlaceJob) -> None:
@@ -204,7 +204,7 @@
         if place.job in self.jobs:
             return
         now = self.clock.monotonic()
-        self.boards.backoffs.note(place.reply_to, place.backoffs, now)
+        self.engine_pools.backoffs.note(place.reply_to, place.backoffs, now)
         job = Job(place=place, now=now)
         self.add_job(job)
         successor = self.succession.successor
@@ -212,11 +212,11 @@
             self.succession.hand_over(job)
             return
         job.is_adopted = successor is not None
-        board = self.boards.get(place.service)
-        if board is None:
+        pool = self.engine_pools.get(place.service)
+        if pool is None:
             self.reject(job, 'unknown-service')
             return
-        if not board.has_engine_for(job):
+        if not pool.has_engine_for(job):
             self.reject_unserved(job)
             return
         if not self.rejections.admits(job, now):
@@ -226,9 +226,9 @@
             job.is_over_allowance = self.allowances.charge(
                 place.workspace, self.stages.replica_time_s(place), now
             )
-        engine_s = board.min_first_event_s(job, now)
+        first_event_s = pool.min_first_event_s(job, now)
         waiting_jobs = self.unplaced.values()
-        verdict = self.admission.decide(job, waiting_jobs, self.stages.queues, engine_s, now)
+        verdict = self.admission.decide(job, waiting_jobs, self.stages.queues, first_event_s, now)
         if not verdict.admitted:
             self.reject(job, 'overloaded', verdict.retry_after_s)
             return
@@ -238,7 +238,7 @@
     def critical_paths(self, job: Job) -> dict[int, float]:
         """Return for each phase the expected seconds from its call to the engine's first event."""
         paths: dict[int, float] = {}
-        engine_s = self.engine_times.expected_s(job.place.prompt.tokens_in)
+        first_event_s = self.engine_times.expected_s(job.place.prompt.tokens_in)
         for number in reversed(range(len(job.place.phases))):
             phase = job.place.phases[number]
             queue = self.stages.queues.get(phase.service)
@@ -248,7 +248,7 @@
                 for reader, other in enumerate(job.place.phases)
                 if number in other.needs
             ]
-            paths[number] = own_s + max(readers, default=engine_s)
+            paths[number] = own_s + max(readers, default=first_event_s)
         return paths
 
     def advance(self, job: Job) -> None:
@@ -286,7 +286,7 @@
             else:
                 piece.set_dispatched(True)
 
-    def engine_s(self, job: Job) -> float:
+    def first_event_s(self, job: Job) -> float:
         """Return the estimated seconds that an engine takes to a job's first event."""
         return self.engine_times.expected_s(job.place.prompt.tokens_in)
 
@@ -302,7 +302,7 @@
 
     def has_engine_restrictions(self, job: Job) -> bool:
         """Tell whether other jobs may use engines that are closed to this one."""
-        return bool(job.place.exclude) or job.place.reply_to in self.boards.backoffs.by_box
+        return bool(job.place.exclude) or job.place.reply_to in self.engine_pools.backoffs.by_box
 
     def reject_unserved(self, job: Job) -> None:
         """Reject a job that no engine can serve."""
@@ -312,22 +312,22 @@
     def place_engine(self, job: Job) -> None:
         """Choose an engine and notify the box, or leave the job waiting."""
         now = self.clock.monotonic()
-        board = self.boards[job.place.service]
-        if not board.has_engine_for(job):
+        pool = self.engine_pools[job.place.service]
+        if not pool.has_engine_for(job):
             self.reject_unserved(job)
             return
-        choice = board.choose(job, now)
+        choice = pool.choose(job, now)
         if choice is None:
             return
         self.engine_queue.drop(job)
         permit = self.permits.take(choice.engine.replica)
-        board.start_run(choice, job, now)
+        pool.start_run(choice, job, now)
         replica = choice.engine.replica.id
         job.placed_on = replica
         del self.unplaced[job.id]
         job.fetch_pending_since = job.placed_at = now
         self.admission.learn(job, now - job.arrived_at)
-        in_time = now + self.engine_s(job) <= job.objective_at
+        in_time = now + self.first_event_s(job) <= job.objective_at
         self.evenness.learn(job.place.priority, in_time=in_time)
         inputs = tuple(result.handle for result in job.final_results())
         self.observer.on_placed(job, choice.engine.replica, choice.cost_s, now - job.arrived_at)
@@ -359,7 +359,7 @@
         if job.placed_at is not None:
             placed_at = job.placed_at
             self.engine_times.learn(job.place.prompt.tokens_in, now - placed_at)
-        self.boards[job.place.service].on_run_started(job.placed_on, job.id, placed_at, now)
+        self.engine_pools[job.place.service].on_run_started(job.placed_on, job.id, placed_at, now)
         self.stages.release.free_soon(job.all_results())
 
     def on_ended(self, message: RunEnded) -> None:
@@ -369,11 +369,11 @@
             return
         if job.placed_on is not None:
             now = self.clock.monotonic()
-            board = self.boards[job.place.service]
+            pool = self.engine_pools[job.place.service]
             if message.turned_away:
-                board.on_run_turned_away(job.placed_on, job.id, now)
+                pool.on_run_turned_away(job.placed_on, job.id, now)
             else:
-                board.on_run_ended(job.placed_on, job.id, failed=message.failed, now=now)
+                pool.on_run_ended(job.placed_on, job.id, failed=message.failed, now=now)
         self.end(job)
         self.place_waiting_jobs()
 
--- a/packages/core/calicopath_core/scheduling/stage_calls.py
+++ b/packages/core/calicopath_core/scheduling/stage_calls.py
@@ -215,10 +215,17 @@
             results = await self.call_monitor.run(replica, calls, expected_s, limit_s)
         except (BackendError, TimeoutError) as error:
             if isinstance(error, ConnectionBroken):
-                fate = ReplicaCrashProbe(reach=self.caller, replicas=self.replicas, replica=replica)
+                crash_probe = ReplicaCrashProbe(
+                    reach=self.caller, replicas=self.replicas, replica=replica
+                )
                 contents = [job.place.content for job in jobs_of(batch)]
                 await self.crashes.on_failed(
-                    contents, queue.service, fate, error, run_started_at=started_at, answered=True
+                    contents,
+                    queue.service,
+                    crash_probe,
+                    error,
+                    run_started_at=started_at,
+                    answered=True,
                 )
             self.on_call_failed(queue, batch, error, started_at)
             return
--- a/packages/core/calicopath_core/scheduling/succession.py
+++ b/packages/core/calicopath_core/scheduling/succession.py
@@ -23,7 +23,7 @@
     def activate(self) -> None:
         """Start scheduling."""
         self.successor = None
-        self.scheduler.boards.on_activated(self.scheduler.clock.monotonic())
+        self.scheduler.engine_pools.on_activated(self.scheduler.clock.monotonic())
 
     def step_down(self, successor: str) -> None:
         """Hand every job to the successor as soon as no call for the job is in progress.
@@ -40,7 +40,7 @@
     def send_estimates(self, successor: str) -> None:
         """Send the successor the load at the engines and the learned estimates."""
         scheduler = self.scheduler
-        loads = scheduler.boards.loads()
+        loads = scheduler.engine_pools.loads()
         if loads:
             message = EngineLoads(sender=scheduler.own_address, loads=loads)
             scheduler.send(successor, message)
@@ -48,7 +48,7 @@
         if usual_rates:
             learned = LearnedEstimates(
                 sender=scheduler.own_address,
-                taken=usual_rates,
+                usual_rates=usual_rates,
                 bias=scheduler.admission.bias,
                 first_events_s=scheduler.engine_times.snapshot(),
             )
@@ -67,7 +67,7 @@
             deadline_s=job.deadline_at - now,
             asked_before=True,
             is_over_allowance=job.is_over_allowance,
-            backoffs=scheduler.boards.backoffs.of_box(job.place.reply_to, now),
+            backoffs=scheduler.engine_pools.backoffs.of_box(job.place.reply_to, now),
         )
         waited_s = now - job.arrived_at
         scheduler.send(successor, AdoptJob(place=place, results=results, waited_s=waited_s))
@@ -82,12 +82,12 @@
         if message.place.job in scheduler.jobs:
             return
         now = scheduler.clock.monotonic()
-        scheduler.boards.backoffs.note(message.place.reply_to, message.place.backoffs, now)
+        scheduler.engine_pools.backoffs.note(message.place.reply_to, message.place.backoffs, now)
         job = Job(place=message.place, now=now)
         job.is_adopted = True
         job.arrived_at = now - message.waited_s
         scheduler.add_job(job)
-        if message.place.service not in scheduler.boards:
+        if message.place.service not in scheduler.engine_pools:
             scheduler.reject(job, 'unknown-service')
             return
         self.restore_results(job, message, now)
@@ -114,13 +114,13 @@
     def on_engine_loads(self, message: EngineLoads) -> None:
         """Record the load that a scheduler which steps down has placed at the engines."""
         now = self.scheduler.clock.monotonic()
-        self.scheduler.boards.on_foreign_loads(message.sender, message.loads, now)
+        self.scheduler.engine_pools.on_foreign_loads(message.sender, message.loads, now)
 
     def on_learned(self, message: LearnedEstimates) -> None:
         """Take over another scheduler's estimates, unless this one has enough of its own."""
         scheduler = self.scheduler
         now = scheduler.clock.monotonic()
-        if not scheduler.allowances.restore(message.taken, now):
+        if not scheduler.allowances.restore(message.usual_rates, now):
             return
         scheduler.admission.set_bias(message.bias)
         scheduler.engine_times.restore(message.first_events_s)
--- a/packages/core/calicopath_core/scheduling/tests/backoffs_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/backoffs_tests.py
@@ -185,7 +185,7 @@
 
     def test_it_is_chosen_again_once_it_takes_a_run(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
-            backoffs = scheduler.boards.backoffs
+            backoffs = scheduler.engine_pools.backoffs
             backoffs.on_turned_away('e1', 0.0)
             self.assertTrue(backoffs.is_avoided('e1', MIN_AVOIDANCE_S / 2))
             backoffs.on_placed('e1', MIN_AVOIDANCE_S)
@@ -229,8 +229,8 @@
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
             remaining_s = dict.fromkeys(ENGINES, 1.0)
             scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=remaining_s))
-            scheduler.boards.expire(30.0)
-            backoffs = scheduler.boards.backoffs
+            scheduler.engine_pools.expire(30.0)
+            backoffs = scheduler.engine_pools.backoffs
             self.assertEqual(({}, {}), (backoffs.by_box, backoffs.avoidances))
 
         self.play(work)
--- a/packages/core/calicopath_core/scheduling/tests/hopeless_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/hopeless_tests.py
@@ -46,7 +46,7 @@
             crashes=new_guard(),
         )
         found.stages.set_spec('look', SPEC)
-        found.boards['engine'] = EnginePool(slots=4, kv_tokens=1000)
+        found.engine_pools['engine'] = EnginePool(slots=4, kv_tokens=1000)
         found.on_replicas()
         return found
 
--- a/packages/core/calicopath_core/scheduling/tests/starts_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/starts_tests.py
@@ -138,7 +138,7 @@
             share_of=lambda replicas: replicas,
             crashes=new_guard(),
         )
-        found.boards['engine'] = EnginePool(slots=slots, kv_tokens=1000)
+        found.engine_pools['engine'] = EnginePool(slots=slots, kv_tokens=1000)
         found.on_replicas()
         return found
 
@@ -164,7 +164,7 @@
             sent: list[msgspec.Struct] = []
             scheduler = self.scheduler(sent, slots=1)
             scheduler.replicas.put(replica('other', service='other-engine'))
-            scheduler.boards['other-engine'] = EnginePool(slots=1, kv_tokens=1000)
+            scheduler.engine_pools['other-engine'] = EnginePool(slots=1, kv_tokens=1000)
             scheduler.on_replicas()
             scheduler.on_place(job('at-work').place)
             scheduler.on_place(job('waits', priority=0).place)
@@ -179,7 +179,7 @@
         async def scenario() -> None:
             sent: list[msgspec.Struct] = []
             scheduler = self.scheduler(sent, slots=100)
-            scheduler.boards['engine'].start_limit = LIMIT
+            scheduler.engine_pools['engine'].start_limit = LIMIT
             running = asyncio.create_task(scheduler.run())
             for number in range(20):
                 scheduler.on_place(job(f'j{number}').place)
--- a/packages/core/calicopath_core/scheduling/tests/succession_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/succession_tests.py
@@ -78,7 +78,9 @@
     def test_implausible_estimates_are_clamped(self) -> None:
         async def scenario() -> None:
             after = self.scheduler([])
-            wild = LearnedEstimates(sender='x', taken=(), bias=99.0, first_events_s={14: -5.0})
+            wild = LearnedEstimates(
+                sender='x', usual_rates=(), bias=99.0, first_events_s={14: -5.0}
+            )
             after.succession.on_learned(wild)
             self.assertEqual(MAX_BIAS, after.admission.bias)
             self.assertGreaterEqual(after.engine_times.expected_s(SIZE), 0.0)
--- a/packages/daemon/calicopathd/gateway/box.py
+++ b/packages/daemon/calicopathd/gateway/box.py
@@ -154,7 +154,7 @@
             support_backoff_left_s=self.gate.control_call_available_in_s,
             permits=self.notices.holder,
             warmup=settings.warmup,
-            new_board=self.random_board if alone else None,
+            pool_factory=self.random_board if alone else None,
         )
         self.client = SchedulerClient(
             clock=self.clock,
@@ -349,7 +349,7 @@
 
     def on_replica_backoff(self, replica: Replica) -> None:
         """Tell the box that schedules which engine wants nothing from this one."""
-        if replica.service in self.scheduler.boards:
+        if replica.service in self.scheduler.engine_pools:
             lefts = {replica.id: self.gate.backoffs.remaining_s(replica)}
             self.tell_backoffs(lefts)
 
@@ -361,7 +361,7 @@
 
     def on_scheduler(self, address: str, asked_again: int) -> None:
         """Note that another box schedules now."""
-        for service in self.scheduler.boards:
+        for service in self.scheduler.engine_pools:
             self.tell_backoffs(self.gate.remaining_backoffs(service))
         if address == self.own.address:
             self.scheduler.succession.activate()
--- a/packages/daemon/calicopathd/gateway/tests/exchanges_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/exchanges_tests.py
@@ -170,14 +170,14 @@
 
     def test_an_engine_that_declines_is_not_taken_for_a_broken_one(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
-            board = fleet.boxes['box-0'].box.scheduler.boards['engine']
+            board = fleet.boxes['box-0'].box.scheduler.engine_pools['engine']
             self.assertEqual([0.0, 0.0], [item.ejected_until for item in board.engines.values()])
 
         self.play('draft', {ANY: ['declined']}, check)
 
     def test_an_engine_that_breaks_is_left_alone_for_a_while(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
-            board = fleet.boxes['box-0'].box.scheduler.boards['engine']
+            board = fleet.boxes['box-0'].box.scheduler.engine_pools['engine']
             self.assertGreater(max(item.ejected_until for item in board.engines.values()), now())
 
         self.play('draft', {ANY: ['break:2']}, check)
--- a/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
@@ -212,7 +212,7 @@
                 fleet, self.box(fleet, 'box-3').client.scheduler_address.split(':')[0]
             )
             now = scheduler.clock.monotonic()
-            held = scheduler.scheduler.boards.backoffs.of_box('box-3:7', now)
+            held = scheduler.scheduler.engine_pools.backoffs.of_box('box-3:7', now)
             self.assertEqual({'engine-4', 'engine-5'}, set(held))
 
         self.play(work)
--- a/testkit/replay/plain.py
+++ b/testkit/replay/plain.py
@@ -102,7 +102,7 @@
 
 def without_start_bound(scheduler: Scheduler) -> None:
     """Let any number of runs begin at an engine within a second."""
-    for board in scheduler.boards.values():
+    for board in scheduler.engine_pools.values():
         board.start_limit = None
 
 
--- a/tools/mutants/notices.py
+++ b/tools/mutants/notices.py
@@ -100,9 +100,9 @@
     Mutant(
         'what waits is judged anew',
         f'{CORE}/scheduling/scheduler.py',
-        '        self.boards.backoffs.note(message.address, message.backoffs, now)\n'
+        '        self.engine_pools.backoffs.note(message.address, message.backoffs, now)\n'
         '        self.rejections.reject_backing_off(now)',
-        '        self.boards.backoffs.note(message.address, message.backoffs, now)',
+        '        self.engine_pools.backoffs.note(message.address, message.backoffs, now)',
         PLACING,
     ),
     Mutant(
