--- a/packages/core/calicopath_core/scheduling/placing.py
+++ b/packages/core/calicopath_core/scheduling/placing.py
@@ -45,8 +45,10 @@
 def may_run_in(
     preference: DomainPreference, failure_domain: str, waits: Mapping[str, float]
 ) -> bool:
-    """Tell whether pieces may run in a failure domain: the preferred one, or any if they can't
-    wait.
+    """Tell whether pieces may run in a failure domain other than the one that they prefer.
+
+    They may if waiting for the preferred one would make their job late, or if it has no usable
+    replica. Also true for the preferred failure domain itself and without a preference.
 
     `waits` holds the seconds until a replica of a failure domain is free. A late job keeps waiting
     for its preferred failure domain, because it misses its objective anyway.
@@ -68,7 +70,7 @@
     for item in replicas:
         if item.unavailable_until > now or item.is_slow(now) or item.is_overdue(now):
             continue
-        if item.room_left(spec, now) <= 0:
+        if item.free_result_bytes(spec, now) <= 0:
             continue
         failure_domain = item.replica.failure_domain
         wait_s = max(item.busy_for_s(now), permits.available_in_s(item.replica))
--- a/packages/core/calicopath_core/scheduling/release.py
+++ b/packages/core/calicopath_core/scheduling/release.py
@@ -17,7 +17,7 @@
     from calicopath_core.scheduling.jobs import Job, Piece, Result
     from calicopath_core.scheduling.stages import StageBatch, StageQueue
 
-AMPLE_ROOM_CALLS = 2
+AMPLE_SPACE_CALLS = 2
 """Full calls that a producer must have space for to keep fetched inputs until their readers are
 done. If inputs were always freed once fetched, a failed reader would need all of them recomputed:
 434 results on one day with faults, a score lower by 0.02."""
@@ -89,7 +89,7 @@
             if job.are_readers_done(number) or (
                 fetched
                 and job.have_readers_fetched(number)
-                and self.is_room_short(job, number, kept)
+                and self.is_space_short(job, number, kept)
             ):
                 self.free_soon(kept)
                 freed.append(number)
@@ -100,15 +100,17 @@
         """Free results at their producers soon."""
         self.freeing.add(results)
 
-    def is_room_short(self, job: Job, phase: int, results: list[Result]) -> bool:
+    def is_space_short(self, job: Job, phase: int, results: list[Result]) -> bool:
         """Tell whether a producer of a phase's results is short of space for its next calls."""
         queue = self.queues.get(job.place.phases[phase].service)
         if queue is None:
             return False
-        needed = AMPLE_ROOM_CALLS * queue.spec.batch * job.place.phases[phase].result_bytes
+        needed = AMPLE_SPACE_CALLS * queue.spec.batch * job.place.phases[phase].result_bytes
         producers = [queue.replicas.get(item.producer) for item in results]
         now = self.clock.monotonic()
-        return any(m is not None and m.room_left(queue.spec, now) < needed for m in producers)
+        return any(
+            m is not None and m.free_result_bytes(queue.spec, now) < needed for m in producers
+        )
 
     def was_freed_early(self, piece: Piece) -> bool:
         """Tell whether an input was freed before the piece read it, not lost with its producer."""
--- a/packages/core/calicopath_core/scheduling/stage_calls.py
+++ b/packages/core/calicopath_core/scheduling/stage_calls.py
@@ -89,7 +89,7 @@
             freeing=self.freeing,
         )
         self.tasks: set[asyncio.Task[None]] = set()
-        self.is_room_unknown = False
+        self.is_free_space_unknown = False
         self.is_dispatch_due = False
 
     def set_spec(self, service: str, spec: StageSpec) -> None:
@@ -147,18 +147,18 @@
         every replica just for that.
         """
         self.release.on_hand_over()
-        self.is_room_unknown = True
+        self.is_free_space_unknown = True
         if has_work:
-            self.query_all_room()
+            self.query_all_free_space()
 
-    def query_all_room(self) -> None:
+    def query_all_free_space(self) -> None:
         """Query the free space of every replica."""
-        self.is_room_unknown = False
+        self.is_free_space_unknown = False
         for queue in self.queues.values():
             for target in queue.replicas.values():
-                self.spawn(self.query_room(queue, target))
+                self.spawn(self.query_free_space(queue, target))
 
-    async def query_room(self, queue: StageQueue, target: StageReplica) -> None:
+    async def query_free_space(self, queue: StageQueue, target: StageReplica) -> None:
         """Query the free space of a replica; leave the estimate unchanged if the query fails."""
         try:
             async with asyncio.timeout(REPORT_TIMEOUT_S):
@@ -184,8 +184,8 @@
         """Start every call that is due now."""
         self.is_dispatch_due = False
         now = self.clock.monotonic()
-        if self.is_room_unknown and any(queue.waiting for queue in self.queues.values()):
-            self.query_all_room()
+        if self.is_free_space_unknown and any(queue.waiting for queue in self.queues.values()):
+            self.query_all_free_space()
         held = self.pacing.held_jobs(self.keeper.unplaced.values(), self.queues, now)
         for queue in self.queues.values():
             for batch in queue.batches(now, held):
@@ -334,8 +334,8 @@
             self.keeper.reject(job, 'deadline-passed')
             return
         full = result.reason == 'room'
-        if full and batch.target.no_room_until <= self.clock.monotonic():
-            queue.on_no_room(batch, self.clock.monotonic())
+        if full and batch.target.no_space_until <= self.clock.monotonic():
+            queue.on_no_space(batch, self.clock.monotonic())
         self.retry_piece(queue, piece, full=full)
 
     def on_freed(self, producer: str, handles: list[str]) -> None:
--- a/packages/core/calicopath_core/scheduling/stage_replicas.py
+++ b/packages/core/calicopath_core/scheduling/stage_replicas.py
@@ -8,7 +8,7 @@
     from calicopath_core.fleet.deployment import StageSpec
     from calicopath_core.fleet.replicas import Replica
 
-USABLE_ROOM_RATIO = 0.95
+USABLE_SPACE_RATIO = 0.95
 """Share of a replica's space that is used: result sizes are only estimates."""
 
 OTHER_BOOKING_S = 1.5
@@ -50,7 +50,7 @@
         self.consecutive_failures = 0
         self.consecutive_declines = 0
         self.unavailable_until = 0.0
-        self.no_room_until = 0.0
+        self.no_space_until = 0.0
         self.other_bytes = 0.0
         self.other_until = 0.0
         self.free_at = 0.0
@@ -75,13 +75,13 @@
         """Tell whether recent calls took much longer than expected."""
         return self.slowness > SLOW_FACTOR and now - self.slowness_measured_at < SLOWNESS_EXPIRY_S
 
-    def room_left(self, spec: StageSpec, now: float) -> float:
+    def free_result_bytes(self, spec: StageSpec, now: float) -> float:
         """Return the estimated free bytes for results; 0 for a while after there was no space."""
-        if now < self.no_room_until:
+        if now < self.no_space_until:
             return 0.0
         other = self.other_bytes if now < self.other_until else 0.0
         return (
-            spec.result_capacity_bytes * USABLE_ROOM_RATIO
+            spec.result_capacity_bytes * USABLE_SPACE_RATIO
             - self.booked_bytes
             - self.reserved_bytes
             - other
@@ -98,7 +98,7 @@
         booking = self.bookings.pop(handle, None)
         if booking is not None:
             self.booked_bytes -= booking.size
-            self.no_room_until = 0.0
+            self.no_space_until = 0.0
 
     def expire(self, now: float) -> None:
         """Release the space of results that have expired."""
--- a/packages/core/calicopath_core/scheduling/stages.py
+++ b/packages/core/calicopath_core/scheduling/stages.py
@@ -41,7 +41,7 @@
 """Backlog, in full calls per replica, above which preferred failure domains are ignored: pieces
 that wait for one failure domain then make other jobs late."""
 
-NO_ROOM_BACKOFF_S = 0.15
+NO_SPACE_BACKOFF_S = 0.15
 """How long a replica that had no space for a result gets no calls, whatever free space it reports:
 its reports are some 100 ms old."""
 
@@ -124,7 +124,7 @@
         ]
         if len(self.waiting) <= self.max_quick_backlog(now):
             found = [item for item in found if not item.is_slow(now)]
-        return sorted(found, key=lambda item: -item.room_left(self.spec, now))
+        return sorted(found, key=lambda item: -item.free_result_bytes(self.spec, now))
 
     def max_quick_backlog(self, now: float) -> int:
         """Return how many pieces two calls to each replica that is not slow would take."""
@@ -205,7 +205,7 @@
 
         Large results of one job stay together, so that its engine can be near all of them.
         """
-        room = target.room_left(self.spec, now)
+        free_bytes = target.free_result_bytes(self.spec, now)
         found: list[Piece] = []
         for group in groups:
             alone = self.runs_alone(group.first.job)
@@ -214,7 +214,7 @@
             size = group.result_bytes
             pieces = group.pieces
             free_slots = min(
-                self.spec.batch - len(found), int(room // size) if size else len(pieces)
+                self.spec.batch - len(found), int(free_bytes // size) if size else len(pieces)
             )
             fits_whole = len(pieces) <= free_slots
             if (
@@ -226,7 +226,7 @@
                 continue
             taken = pieces[: max(0, free_slots)]
             found.extend(taken)
-            room -= size * len(taken)
+            free_bytes -= size * len(taken)
             if len(found) == self.spec.batch or (alone and found):
                 break
         return found
@@ -263,9 +263,9 @@
             target.booked_bytes += size
         target.consecutive_failures = target.consecutive_declines = 0
 
-    def on_no_room(self, batch: StageBatch, now: float) -> None:
+    def on_no_space(self, batch: StageBatch, now: float) -> None:
         """Record that a replica had no space for a result."""
-        batch.target.no_room_until = now + NO_ROOM_BACKOFF_S
+        batch.target.no_space_until = now + NO_SPACE_BACKOFF_S
 
     def on_answer_lost(self, batch: StageBatch, now: float) -> None:
         """Book the space of results whose handles are unknown, until they expire."""
--- a/packages/core/calicopath_core/scheduling/tests/freeing_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/freeing_tests.py
@@ -77,23 +77,23 @@
 
 
 class Inputs(VirtualCase):
-    def given_up(self, taken_bytes: int) -> bool:
+    def is_freed(self, taken_bytes: int) -> bool:
         """Tell whether an input is freed once fetched, with `taken_bytes` reserved."""
         calls = calls_to(mock.Mock(spec=StageCaller))
-        maker = calls.queues['look'].replicas['maker-a']
-        maker.reserved_bytes = taken_bytes
+        producer = calls.queues['look'].replicas['maker-a']
+        producer.reserved_bytes = taken_bytes
         reader = job('reader', phase(size=100), phase(needs=(0,)))
         reader.started = {0, 1}
         made = reader.results[0][0] = result('input')
 
         async def scenario() -> bool:
-            calls.release.on_fetched(StageBatch(maker, reader.pieces[1]))
+            calls.release.on_fetched(StageBatch(producer, reader.pieces[1]))
             return made.freed
 
         return self.run_virtual(scenario())
 
-    def test_an_input_stays_until_its_reader_is_done_where_there_is_room(self) -> None:
-        self.assertFalse(self.given_up(0))
+    def test_an_input_stays_until_its_reader_is_done_where_there_is_space(self) -> None:
+        self.assertFalse(self.is_freed(0))
 
-    def test_an_input_is_given_up_once_it_was_fetched_where_room_is_short(self) -> None:
-        self.assertTrue(self.given_up(int(SPEC.result_capacity_bytes)))
+    def test_an_input_is_freed_once_it_was_fetched_where_space_is_short(self) -> None:
+        self.assertTrue(self.is_freed(int(SPEC.result_capacity_bytes)))
--- a/packages/core/calicopath_core/scheduling/tests/stages_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/stages_tests.py
@@ -14,7 +14,7 @@
 from calicopath_core.scheduling.stages import (
     MAX_BATCH_DELAY_S,
     MIN_FULL_BACKOFF_S,
-    NO_ROOM_BACKOFF_S,
+    NO_SPACE_BACKOFF_S,
 )
 from calicopath_core.scheduling.tests.work import SPEC, job, phase, queue, replica, result, wait
 from calicopath_core.scheduling.waiting import OLD_RESULT_AGE_S
@@ -182,11 +182,11 @@
         batch = target.next_batch(LATER)
         assert batch is not None
         target.on_finished(batch, {}, LATER)
-        target.on_no_room(batch, LATER)
+        target.on_no_space(batch, LATER)
         for piece in batch.pieces:
             target.add(piece, LATER)
-        self.assertIsNone(target.next_batch(LATER + NO_ROOM_BACKOFF_S / 2))
-        self.assertIsNotNone(target.next_batch(LATER + NO_ROOM_BACKOFF_S))
+        self.assertIsNone(target.next_batch(LATER + NO_SPACE_BACKOFF_S / 2))
+        self.assertIsNotNone(target.next_batch(LATER + NO_SPACE_BACKOFF_S))
 
     def test_a_replica_that_had_none_is_used_again_once_a_result_there_is_given_up(self) -> None:
         target = queue(replica('r'))
@@ -194,7 +194,7 @@
         batch = target.next_batch(LATER)
         assert batch is not None
         target.on_finished(batch, {'h': 100}, LATER)
-        target.on_no_room(batch, LATER)
+        target.on_no_space(batch, LATER)
         wait(target, job('two', phase(count=4)))
         self.assertIsNone(target.next_batch(LATER))
         target.replicas['r'].free('h')
@@ -202,11 +202,11 @@
 
     def test_what_others_have_booked_is_counted_until_it_is_adopted(self) -> None:
         target = queue(replica('r'))
-        maker = target.replicas['r']
-        maker.update_free_bytes(400_000, SPEC, 0.0)
-        before = maker.room_left(SPEC, 0.1)
+        target_replica = target.replicas['r']
+        target_replica.update_free_bytes(400_000, SPEC, 0.0)
+        before = target_replica.free_result_bytes(SPEC, 0.1)
         target.book_result('r', 'h1', LARGE, 0.1)
-        self.assertEqual(before, maker.room_left(SPEC, 0.1))
+        self.assertEqual(before, target_replica.free_result_bytes(SPEC, 0.1))
 
     def test_a_large_result_is_not_made_long_before_it_is_needed(self) -> None:
         target = queue(replica('r'))
