--- a/packages/core/calicopath_core/scheduling/placing.py
+++ b/packages/core/calicopath_core/scheduling/placing.py
@@ -1,9 +1,9 @@
-"""Decide in which failure domain pieces are made.
+"""Decide in which failure domain pieces run.
 
-Answers load that is spread unevenly: results moved between failure domains are the dearest thing
-the stages do, and every piece of a phase fetches all results of the phase before, so a phase of ten
-pieces in another failure domain moves its inputs ten times. A failure domain is waited for only
-while that makes no job late.
+Moving results between failure domains is the largest cost of stages when load is uneven: every
+piece fetches all results of the previous phase, so a phase of ten pieces in another failure domain
+moves its inputs ten times. Pieces wait for their preferred failure domain only while that does not
+make their job late.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
     from calicopath_core.scheduling.stage_replicas import StageReplica
 
 MIN_PREFERENCE_BYTES = 150_000
-"""A piece that moves less than this is made in any failure domain: it counts for less than 15 ms of
-an engine's time, by what a byte between failure domains counts there."""
+"""Transfer size below which a piece runs in any failure domain: it costs less than 15 ms of an
+engine's time, by the engines' cost of a byte between failure domains."""
 
 
 class DomainPreference(NamedTuple):
-    """Say in which failure domain, if any, pieces should be made, and how long they may wait."""
+    """Hold the preferred failure domain of a group of pieces, if any, and its slack in seconds."""
 
     failure_domain: str | None
     slack_s: float
@@ -35,7 +35,7 @@
 
 
 def preference_of(piece: Piece, now: float) -> DomainPreference:
-    """Return where a piece, and with it its group, should be made."""
+    """Return the preference of a piece, which is that of its group."""
     failure_domain = piece.preferred_failure_domain
     if failure_domain is None or piece.job.resumed or piece.transfer_bytes() < MIN_PREFERENCE_BYTES:
         return NO_PREFERENCE
@@ -45,11 +45,13 @@
 def may_run_in(
     preference: DomainPreference, failure_domain: str, waits: Mapping[str, float]
 ) -> bool:
-    """Tell whether pieces may be made in a failure domain: at home, or elsewhere if that can't
-    wait.
+    """Tell whether pieces may run in a failure domain other than the one that they prefer.
 
-    `waits` holds the seconds until a replica of a failure domain is free. A job that is late
-    already has nothing to lose by the wait.
+    They may if waiting for the preferred one would make their job late, or if it has no usable
+    replica. Also true for the preferred failure domain itself and without a preference.
+
+    `waits` holds the seconds until a replica of a failure domain is free. A late job keeps waiting
+    for its preferred failure domain, because it misses its objective anyway.
     """
     if (
         preference.failure_domain is None
@@ -63,12 +65,12 @@
 def failure_domain_waits(
     replicas: Iterable[StageReplica], spec: StageSpec, permits: PermitIssuer, now: float
 ) -> dict[str, float]:
-    """Return the failure domains worth waiting for, and for how many seconds."""
+    """Return the failure domains with usable replicas, and the seconds until one is free."""
     found: dict[str, float] = {}
     for item in replicas:
         if item.unavailable_until > now or item.is_slow(now) or item.is_overdue(now):
             continue
-        if item.room_left(spec, now) <= 0:
+        if item.free_result_bytes(spec, now) <= 0:
             continue
         failure_domain = item.replica.failure_domain
         wait_s = max(item.busy_for_s(now), permits.available_in_s(item.replica))
