--- a/packages/daemon/calicopathd/__main__.py
+++ b/packages/daemon/calicopathd/__main__.py
@@ -39,9 +39,9 @@
         raise typer.Exit(EXIT_FAILED) from None
 
 
-def flag_parameter(name: str, flag: str, help_text: str, shown: str) -> inspect.Parameter:
+def new_flag_parameter(name: str, flag: str, help_text: str, shown_default: str) -> inspect.Parameter:
     """Return the parameter by which the command line takes one setting."""
-    option = typer.Option(None, flag, help=help_text, show_default=shown, metavar='VALUE')
+    option = typer.Option(None, flag, help=help_text, show_default=shown_default, metavar='VALUE')
     return inspect.Parameter(
         name, inspect.Parameter.KEYWORD_ONLY, default=option, annotation=str | None
     )
@@ -50,7 +50,7 @@
 def declare_flags(command: Any) -> Any:
     """Give a command one flag for each setting of the schema."""
     parameters = [
-        flag_parameter(
+        new_flag_parameter(
             item.name,
             item.flag,
             f'{item.doc} ({item.kind}; {item.variable})',
--- a/packages/daemon/calicopathd/box/box.py
+++ b/packages/daemon/calicopathd/box/box.py
@@ -51,7 +51,7 @@
 
 log = structlog.get_logger(__name__)
 
-SECONDS_AN_HOUR = 3600
+SECONDS_PER_HOUR = 3600
 
 
 class Box:
@@ -72,7 +72,7 @@
         )
         self.transport = ZmqTransport(address=settings.peer_listen)
         self.gossip = self.new_gossip()
-        self.roles = RelayController(
+        self.relay_controller = RelayController(
             gossip=self.gossip,
             feed=self.feed,
             boxes=HttpBoxList(url=settings.platform, session=session),
@@ -81,7 +81,7 @@
         )
         subset = SubsetChooser(box=settings.box, failure_domain=settings.failure_domain)
         self.pools = PoolRegistry(view=self.view, subset=subset, new_pool=self.new_pool)
-        self.crashes = self.new_crashes()
+        self.crash_guard = self.new_crash_guard()
         self.backends = Backends(
             engine=HttpEngine(session=session),
             pool=HttpStagePool(session=session),
@@ -89,8 +89,8 @@
             prober=HttpReach(),
         )
         self.local_claims = self.new_local_claims()
-        peers = GossipShardOwners(gossip=self.gossip, local=self.local_claims, clock=self.clock)
-        self.forwarding = ForwardingExecutor(local=self.local_claims, shard_owners=peers)
+        shard_owners = GossipShardOwners(gossip=self.gossip, local=self.local_claims, clock=self.clock)
+        self.forwarding_executor = ForwardingExecutor(local=self.local_claims, shard_owners=shard_owners)
         self.executor = self.new_executor()
 
     def new_gossip(self) -> Gossip:
@@ -107,32 +107,32 @@
         )
         members = MemberTable(own=own)
         now = self.clock.monotonic()
-        seeds = [item.strip() for item in settings.seed_peers.split(',') if item.strip()]
-        members.on_listed([MemberInfo(seed, '', seed, 0, 0, False) for seed in seeds], now)
+        seed_addresses = [item.strip() for item in settings.seed_peers.split(',') if item.strip()]
+        members.on_listed([MemberInfo(seed, '', seed, 0, 0, False) for seed in seed_addresses], now)
         return Gossip(
             view=self.view,
             members=members,
             transport=self.transport,
             clock=self.clock,
             rng=self.rng,
-            is_ready=self.ready,
+            is_ready=self.is_ready,
         )
 
-    def new_crashes(self) -> CrashGuard:
+    def new_crash_guard(self) -> CrashGuard:
         """Return what is known of requests under which endpoints end, shared with other boxes."""
         ledger = CrashLedger(clock=self.clock, observer=CrashLog(counters=self.metrics))
         sharing = CrashSharing(
             clock=self.clock,
             ledger=ledger,
             own_address=self.gossip.members.own.address,
-            hubs=self.crash_hubs,
+            hubs=self.choose_crash_hubs,
             send=self.gossip.send,
             forwards=True,
         )
         self.gossip.share_crashes(sharing)
         return CrashGuard(ledger=ledger, sharing=sharing)
 
-    def crash_hubs(self) -> list[str]:
+    def choose_crash_hubs(self) -> list[str]:
         """Return a few boxes that are told at once, and pass it on."""
         members = self.gossip.members
         chosen = members.sample(PUSH_FANOUT, self.clock.monotonic(), self.rng)
@@ -151,23 +151,23 @@
             budget=RetryBudget(),
             observer=self.metrics,
             lag=self.lag,
-            crashes=self.crashes,
+            crashes=self.crash_guard,
         )
         door = Door(pools=self.pools, margin=policy.door_margin, lag=self.lag)
         claims = ClaimRegistry(
-            local=self.local_claims, executor=self.forwarding, new_nonce=self.new_id
+            local=self.local_claims, executor=self.forwarding_executor, new_nonce=self.new_id
         )
         return PipelineExecutor(context=context, door=door, claims=claims)
 
     def new_local_claims(self) -> LocalExecutor:
         """Return what this box writes of claims, for itself and for others."""
-        plan = GroupingConfig(
+        grouping = GroupingConfig(
             shards=self.settings.claim_shards,
             slot_s=self.settings.claim_slot_s,
-            retention_s=self.settings.claim_retention_h * SECONDS_AN_HOUR,
+            retention_s=self.settings.claim_retention_h * SECONDS_PER_HOUR,
             write_interval_s=self.settings.claim_write_interval_s,
         )
-        return LocalExecutor(store=self.store, clock=self.clock, grouping=plan)
+        return LocalExecutor(store=self.store, clock=self.clock, grouping=grouping)
 
     def new_pool(self, service: str) -> ServicePool:
         """Return the pool of a service that has appeared."""
@@ -190,11 +190,11 @@
         """
         return uuid.uuid4().hex
 
-    def synced(self) -> bool:
+    def is_synced(self) -> bool:
         """Tell whether the view was once whole: read from the platform or a ready peer."""
         return self.feed.synced or self.gossip.agreed_with_ready_peer
 
-    def isolated(self) -> bool:
+    def is_isolated(self) -> bool:
         """Tell whether this box is cut off from platform and peers, and so hears of no drain.
 
         A box that knows of no others has only the platform, whose outage it serves through.
@@ -204,14 +204,14 @@
         if age is not None and age <= limit_s:
             return False
         members = self.gossip.members
-        alone = not members.heard_within(limit_s, self.clock.monotonic())
-        return alone and members.expects_others
+        hears_no_peer = not members.heard_within(limit_s, self.clock.monotonic())
+        return hears_no_peer and members.expects_others
 
     def may_serve(self) -> bool:
         """Tell whether the view is good enough to serve by."""
-        return self.synced() and not self.isolated()
+        return self.is_synced() and not self.is_isolated()
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Tell whether the balancer should send callers here."""
         return self.may_serve() and not self.lifecycle.leaving
 
@@ -227,9 +227,9 @@
         return {
             'box': self.settings.box,
             'failure_domain': self.settings.failure_domain,
-            'ready': self.ready(),
+            'ready': self.is_ready(),
             'leaving': self.lifecycle.leaving,
-            'relaying': self.roles.is_relaying,
+            'relaying': self.relay_controller.is_relaying,
             'contact_age_s': self.gossip.contact_age_s(),
             'config_digest': f'{self.view.digest:016x}',
             'objects': len(self.view.entries),
--- a/packages/daemon/calicopathd/box/lifecycle.py
+++ b/packages/daemon/calicopathd/box/lifecycle.py
@@ -25,7 +25,7 @@
         self.idle.set()
 
     @contextlib.contextmanager
-    def request(self) -> Iterator[None]:
+    def track_request(self) -> Iterator[None]:
         """Count a request while it is in progress."""
         self.in_progress += 1
         self.idle.clear()
--- a/packages/daemon/calicopathd/box/monitor.py
+++ b/packages/daemon/calicopathd/box/monitor.py
@@ -14,8 +14,8 @@
 
 log = structlog.get_logger(__name__)
 
-INTERVAL_S = 0.2
-LOST_AFTER_S = 5.0
+CHECK_INTERVAL_S = 0.2
+PLATFORM_LOST_AFTER_S = 5.0
 """Seconds without contact, direct or through peers, after which the platform counts as lost."""
 
 
@@ -25,7 +25,7 @@
     def __init__(self, *, box: Box) -> None:
         self.box = box
         self.synced = False
-        self.unreached = False
+        self.unreachable_logged = False
         self.ready = False
         self.platform_lost = False
         self.ejections = 0
@@ -37,24 +37,24 @@
             self.check_platform()
             self.check_ready()
             self.check_ejections()
-            self.set_figures()
-            await asyncio.sleep(INTERVAL_S)
+            self.set_gauges()
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     def check_sync(self) -> None:
         """Report the first whole view, and once that the platform can't be reached for it."""
-        if self.box.synced() and not self.synced:
+        if self.box.is_synced() and not self.synced:
             self.synced = True
             events.emit(log, events.VIEW_SYNCED, objects=len(self.box.view.entries))
-        elif not self.synced and self.box.feed.last_error and not self.unreached:
-            self.unreached = True
+        elif not self.synced and self.box.feed.last_error and not self.unreachable_logged:
+            self.unreachable_logged = True
             platform = self.box.settings.platform
             error = self.box.feed.last_error
-            events.emit(log, events.PLATFORM_UNREACHED, platform=platform, error=error)
+            events.emit(log, events.PLATFORM_UNREACHABLE, platform=platform, error=error)
 
     def check_platform(self) -> None:
         """Report when the platform was lost or is back."""
         age = self.box.gossip.contact_age_s()
-        lost = age is None or age > LOST_AFTER_S
+        lost = age is None or age > PLATFORM_LOST_AFTER_S
         if lost and not self.platform_lost and self.synced:
             events.emit(log, events.PLATFORM_LOST, contact_age_s=age)
         if not lost and self.platform_lost:
@@ -63,7 +63,7 @@
 
     def check_ready(self) -> None:
         """Report when the box becomes ready or is no longer."""
-        ready = self.box.ready()
+        ready = self.box.is_ready()
         if ready and not self.ready:
             events.emit(log, events.READY, objects=len(self.box.view.entries))
         if self.ready and not ready and not self.box.lifecycle.leaving:
@@ -84,13 +84,13 @@
             events.emit(log, events.ENDPOINT_EJECTED, endpoints=names)
         self.ejections = ejections
 
-    def set_figures(self) -> None:
+    def set_gauges(self) -> None:
         """Set the gauges."""
         box = self.box
         age = box.gossip.contact_age_s()
         box.metrics.set_state(
             ready=float(self.ready),
-            relaying=float(box.roles.is_relaying),
+            relaying=float(box.relay_controller.is_relaying),
             in_progress=box.lifecycle.in_progress,
             objects=len(box.view.entries),
             boxes_live=len(box.gossip.members.live(box.clock.monotonic())) + 1,
@@ -98,10 +98,10 @@
             peer_sent_bytes=box.gossip.counts.sent_bytes,
             peer_received_bytes=box.gossip.counts.received_bytes,
             peer_bad_messages=box.gossip.counts.undecodable,
-            peer_dropped_messages=box.transport.dropped,
+            peer_dropped_messages=box.transport.dropped_messages,
             peer_repaired_objects=box.gossip.counts.repaired,
-            own_reads=box.roles.direct_reads,
-            claim_owners_passed_over=box.forwarding.owner_timeouts,
+            own_reads=box.relay_controller.direct_reads,
+            claim_owners_passed_over=box.forwarding_executor.owner_timeouts,
             ejections=self.ejections,
             loop_lag_seconds=box.lag.value_s,
         )
--- a/packages/daemon/calicopathd/box/runner.py
+++ b/packages/daemon/calicopathd/box/runner.py
@@ -12,7 +12,7 @@
 from calicopathd.box.box import Box
 from calicopathd.box.monitor import Monitor
 from calicopathd.box.tasks import keep_running
-from calicopathd.http.app import CallerProtocol, bind, new_app
+from calicopathd.http.app import CallerProtocol, bind_listener, new_app
 
 if TYPE_CHECKING:
     import aiohttp
@@ -22,7 +22,7 @@
 
 log = structlog.get_logger(__name__)
 
-FLUSH_TIMEOUT_S = 2.0
+CLAIM_FLUSH_TIMEOUT_S = 2.0
 """How long a stopping box waits for the platform to take what it has to say of claims."""
 
 
@@ -33,7 +33,7 @@
         self, *, settings: Settings, session: aiohttp.ClientSession, optimise: bool = False
     ) -> None:
         self.optimise = optimise
-        self.listener = bind(settings.listen)
+        self.listener = bind_listener(settings.listen)
         self.box = Box(settings=settings, session=session)
         self.server: AsyncioServer | None = None
         self.tasks: list[asyncio.Task[None]] = []
@@ -60,7 +60,7 @@
         self.server = server
         work = {
             'peers': self.box.transport.run,
-            'roles': self.box.roles.run,
+            'roles': self.box.relay_controller.run,
             'lag': self.box.lag.run,
             'monitor': Monitor(box=self.box).run,
         }
@@ -79,7 +79,7 @@
         while self.box.executor.late:
             await asyncio.wait(set(self.box.executor.late))
         # Answers and releases that still wait for the platform, of this box and of others.
-        await self.box.local_claims.flush(FLUSH_TIMEOUT_S)
+        await self.box.local_claims.flush(CLAIM_FLUSH_TIMEOUT_S)
 
     async def stop(self) -> None:
         """End the background tasks and the server."""
--- a/packages/daemon/calicopathd/commands/serve.py
+++ b/packages/daemon/calicopathd/commands/serve.py
@@ -32,8 +32,8 @@
     """Start all parts, wait for a stop signal, and stop in order."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     async with new_session() as session:
         runner = BoxRunner(settings=settings, session=session, optimise=True)
         await runner.start()
--- a/packages/daemon/calicopathd/config/reference.py
+++ b/packages/daemon/calicopathd/config/reference.py
@@ -24,7 +24,7 @@
 
 def option_docs(schema: type) -> list[OptionDoc]:
     """Return a description of every option of a schema, in order."""
-    texts = doc_strings(schema)
+    texts = attribute_docstrings(schema)
     return [
         OptionDoc(
             name, option.flag, option.variable, option.describe(), option.default, texts[name]
@@ -33,7 +33,7 @@
     ]
 
 
-def doc_strings(schema: type) -> dict[str, str]:
+def attribute_docstrings(schema: type) -> dict[str, str]:
     """Return the strings that stand under the assignments of a class body."""
     tree = ast.parse(textwrap.dedent(inspect.getsource(schema)))
     body = tree.body[0]
--- a/packages/daemon/calicopathd/crashlog.py
+++ b/packages/daemon/calicopathd/crashlog.py
@@ -23,8 +23,8 @@
 class CrashCounters(Protocol):
     """Count ends of replicas by request, and requests that are blocked for that."""
 
-    ends_noted: Counter
-    blocked: Counter
+    crashes_recorded: Counter
+    requests_blocked: Counter
 
 
 class CrashLog(CrashObserver):
@@ -35,20 +35,20 @@
 
     def on_evidence(self, key: SuspectKey, replicas: Iterable[str], source: str) -> None:
         """Note replicas that ended under a request."""
-        ended = sorted(replicas)
-        self.counters.ends_noted.add({'service': key.service}, len(ended))
+        crashed = sorted(replicas)
+        self.counters.crashes_recorded.add({'service': key.service}, len(crashed))
         events.emit(
             log,
-            events.REPLICA_ENDED_UNDER,
+            events.REPLICA_CRASHED_DURING_REQUEST,
             content=key.content,
             service=key.service,
-            replicas=ended,
+            replicas=crashed,
             source=source,
         )
 
     def on_blocked(self, blocked: Block, now: float) -> None:
         """Note that a request is not sent on any more."""
-        self.counters.blocked.inc({'service': blocked.key.service})
+        self.counters.requests_blocked.inc({'service': blocked.key.service})
         events.emit(
             log,
             events.REQUEST_BLOCKED,
@@ -61,5 +61,5 @@
     def on_unblocked(self, key: SuspectKey, reason: str) -> None:
         """Note that a request is sent on again."""
         events.emit(
-            log, events.REQUEST_LET_GO, content=key.content, service=key.service, reason=reason
+            log, events.REQUEST_UNBLOCKED, content=key.content, service=key.service, reason=reason
         )
--- a/packages/daemon/calicopathd/events.py
+++ b/packages/daemon/calicopathd/events.py
@@ -36,7 +36,7 @@
 VIEW_CHANGED = Event(302, 'info', 'view changed', 'A newer object is in force on this box.')
 VIEW_PROBLEM = Event(303, 'warning', 'view problem', 'An object in force cannot be used.')
 PLATFORM_LOST = Event(304, 'warning', 'platform lost', 'The platform has not answered of late.')
-PLATFORM_UNREACHED = Event(
+PLATFORM_UNREACHABLE = Event(
     306, 'warning', 'platform unreached', 'The configuration could not be read at the start yet.'
 )
 PLATFORM_BACK = Event(305, 'info', 'platform back', 'The platform answers again.')
@@ -66,14 +66,14 @@
 EXCHANGE_BAD = Event(603, 'info', 'exchange bad', 'A request could not be read.')
 ATTEMPT_FAILED = Event(604, 'warning', 'attempt failed', 'A replica gave no whole answer.')
 
-REPLICA_ENDED_UNDER = Event(
+REPLICA_CRASHED_DURING_REQUEST = Event(
     605, 'warning', 'replica ended under request', 'A replica that ran the request has ended.'
 )
 REQUEST_BLOCKED = Event(
     606, 'error', 'request blocked', 'Too many replicas ended under it; it is not sent on.'
 )
-REQUEST_LET_GO = Event(607, 'info', 'request let go', 'A blocked request is sent on again.')
-BLOCKED_UNKEPT = Event(
+REQUEST_UNBLOCKED = Event(607, 'info', 'request let go', 'A blocked request is sent on again.')
+BLOCKED_REQUESTS_UNAVAILABLE = Event(
     608, 'warning', 'blocked unkept', 'Blocked requests were not read from or written to the store.'
 )
 REPLICA_LEAVING = Event(
@@ -82,7 +82,7 @@
 REPLICA_BACKOFF = Event(
     610, 'info', 'replica backoff', 'A replica asked this box to send it nothing for a while.'
 )
-REPLICA_PASSED_OVER = Event(
+REPLICA_SKIPPED = Event(
     611, 'info', 'replica passed over', 'It was chosen for a request, and must not get it.'
 )
 BACKOFF_ENDED = Event(612, 'info', 'backoff ended', 'A replica may be called again from here.')
@@ -94,7 +94,7 @@
 )
 LIMIT_ENDED = Event(614, 'info', 'limit ended', 'A replica names no limit any more.')
 
-REPLICA_OVER = Event(
+REPLICA_REPLACED = Event(
     616, 'info', 'replica over', 'Another replica answers at its address; it is called no more.'
 )
 
@@ -108,7 +108,7 @@
 PEER_MESSAGE_BAD = Event(707, 'warning', 'peer message bad', 'A message could not be decoded.')
 JOB_HANDED_OVER = Event(709, 'info', 'job handed over', 'The next scheduler goes on with a job.')
 
-RELAYS_UNREAD = Event(711, 'warning', 'relays unread', 'Relays were not read or written down.')
+RELAYS_UNAVAILABLE = Event(711, 'warning', 'relays unread', 'Relays were not read or written down.')
 GROUP_CHANGED = Event(710, 'info', 'group changed', 'Another group of boxes decides for this one.')
 DEPLOYMENT_APPLIED = Event(801, 'info', 'deployment applied', 'A newer version is in force.')
 REPLICA_DROPPED = Event(802, 'info', 'replica dropped', 'A removal that was doubted is taken in.')
@@ -119,19 +119,19 @@
 FAILURE_DOMAIN_TAKEN_OUT = Event(
     808, 'warning', 'zone taken out', 'Its replicas get no new work from here.'
 )
-FAILURE_DOMAIN_GIVEN_BACK = Event(
+FAILURE_DOMAIN_BACK = Event(
     809, 'info', 'zone given back', 'Its replicas get new work again.'
 )
 LISTING_DROPPED = Event(
     810, 'warning', 'listing dropped', 'A list older than what is held was not taken in.'
 )
-STORE_ERA = Event(
+STORE_ERA_CHANGED = Event(
     811, 'warning', 'store era', 'The store counts its revisions anew: it is back from a copy.'
 )
 REPLICA_DRAINING = Event(
     812, 'info', 'replica draining', 'Its entry says that it gets no new work.'
 )
-DRAINING_TAKEN_BACK = Event(
+DRAINING_REVOKED = Event(
     813, 'warning', 'draining taken back', 'An entry says ready again; the replica drains on.'
 )
 KIND_RESTORED = Event(
@@ -147,5 +147,5 @@
 
 def all_events() -> list[Event]:
     """Return every event, by number."""
-    found = [value for value in globals().values() if isinstance(value, Event)]
-    return sorted(found)
+    catalogue = [value for value in globals().values() if isinstance(value, Event)]
+    return sorted(catalogue)
--- a/packages/daemon/calicopathd/gateway/metrics.py
+++ b/packages/daemon/calicopathd/gateway/metrics.py
@@ -23,10 +23,10 @@
         self.attempts_failed = self.counter(
             'attempts_failed_total', 'Failed attempts by service and failure.'
         )
-        self.ends_noted = self.counter(
+        self.crashes_recorded = self.counter(
             'replica_ends_noted_total', 'Ends of replicas, counted for each request that ran there.'
         )
-        self.blocked = self.counter(
+        self.requests_blocked = self.counter(
             'requests_blocked_total', 'Requests that are not sent on since replicas end under them.'
         )
         self.blocked_refused = self.counter(
--- a/packages/daemon/calicopathd/gateway/observer.py
+++ b/packages/daemon/calicopathd/gateway/observer.py
@@ -123,7 +123,7 @@
     def on_replaced(self, replica: str, source: str) -> None:
         """Note that another replica answers at a replica's address."""
         self.metrics.over.inc({'source': 'own' if source == OWN else 'peer'})
-        events.emit(log, events.REPLICA_OVER, replica=replica, source=source)
+        events.emit(log, events.REPLICA_REPLACED, replica=replica, source=source)
 
     def on_backoff(self, replica: Replica, backoff_s: float) -> None:
         """Note a replica that wants nothing from this box for a while."""
@@ -182,7 +182,7 @@
         self.metrics.passed_over.inc({'service': state.service, 'bar': bar.value})
         events.emit(
             log,
-            events.REPLICA_PASSED_OVER,
+            events.REPLICA_SKIPPED,
             request=state.exchange.call_id,
             replica=replica,
             bar=bar.value,
@@ -279,7 +279,7 @@
         evacuation = held.evacuation
         events.emit(
             log,
-            events.FAILURE_DOMAIN_GIVEN_BACK,
+            events.FAILURE_DOMAIN_BACK,
             zone=evacuation.failure_domain,
             revision=evacuation.revision,
             taken_out_since=held.since,
@@ -295,11 +295,11 @@
 
     def on_relays_unread(self, error: Exception) -> None:
         """Note that it could not be read or written which boxes are relays."""
-        events.emit(log, events.RELAYS_UNREAD, error=str(error))
+        events.emit(log, events.RELAYS_UNAVAILABLE, error=str(error))
 
     def on_blocked_unkept(self, error: Exception) -> None:
         """Note that blocked requests were not read from the store or written there."""
-        events.emit(log, events.BLOCKED_UNKEPT, error=str(error))
+        events.emit(log, events.BLOCKED_REQUESTS_UNAVAILABLE, error=str(error))
 
     def on_store_call(self, cause: str) -> None:
         """Count a call to the store."""
@@ -337,11 +337,11 @@
 
     def on_store_era(self, before: int, era: int) -> None:
         """Note that the store is back from a copy."""
-        events.emit(log, events.STORE_ERA, before=before, era=era)
+        events.emit(log, events.STORE_ERA_CHANGED, before=before, era=era)
 
     def on_draining(self, replica: Replica) -> None:
         """Note that a replica's entry says otherwise than before whether it drains."""
-        event = events.REPLICA_DRAINING if replica.draining else events.DRAINING_TAKEN_BACK
+        event = events.REPLICA_DRAINING if replica.draining else events.DRAINING_REVOKED
         events.emit(log, event, replica=replica.id, service=replica.service)
 
     def on_bad_object(self, name: str, error: Exception) -> None:
--- a/packages/daemon/calicopathd/gateway/run.py
+++ b/packages/daemon/calicopathd/gateway/run.py
@@ -173,11 +173,11 @@
             callers_connected=len(self.exchanges.connections),
             callers_turned_away=self.exchanges.turned_away,
             peer_messages_sent=box.link.sent,
-            peer_messages_dropped=self.transport.dropped,
+            peer_messages_dropped=self.transport.dropped_messages,
             hears_store_itself=float(not box.subscription.uses_relay()),
             subscribers=len(box.publisher.subscribers),
             store_calls=sum(feed.calls for feed in box.feeds.values()),
-            log_lines_dropped=self.log_writer.dropped,
+            log_lines_dropped=self.log_writer.dropped_lines,
         )
 
     async def leave(self) -> None:
--- a/packages/daemon/calicopathd/http/app.py
+++ b/packages/daemon/calicopathd/http/app.py
@@ -24,11 +24,11 @@
 
 log = structlog.get_logger(__name__)
 
-STATUS_FAULT = 500
+STATUS_INTERNAL_ERROR = 500
 STATUS_TOO_LARGE = 413
 STATUS_HEAD_TOO_LARGE = 431
 
-LIBRARY_PROBLEMS = {
+SANIC_PROBLEMS = {
     400: ('malformed request', 'the request is not sound HTTP'),
     404: ('unknown path', 'nothing is served at this path'),
     405: ('method not allowed', 'this path is not served by this method'),
@@ -40,15 +40,15 @@
 }
 """What the library finds wrong, by status: a title, which names the type, and a sentence."""
 
-OTHER_PROBLEM = ('request not served', 'the request could not be served')
+DEFAULT_PROBLEM = ('request not served', 'the request could not be served')
 
 STATUS_LINE = b'HTTP/1.1 '
 END_OF_HEAD = b'\r\n\r\n'
 END_OF_LINE = b'\r\n'
-EMPTY_HEADER = b'\r\nalt-svc: \r\n'
-LONGEST_REQUEST_S = 900
-KEEP_ALIVE_S = 30
-BACKLOG = 1024
+EMPTY_ALT_SVC_HEADER = b'\r\nalt-svc: \r\n'
+RESPONSE_TIMEOUT_S = 900
+IDLE_TIMEOUT_S = 30
+LISTEN_BACKLOG = 1024
 
 
 class CallerProtocol(HttpProtocol):
@@ -58,7 +58,7 @@
         """Send bytes; the first of an answer hold its head."""
         if data.startswith(STATUS_LINE):
             head, end, body = data.partition(END_OF_HEAD)
-            data = (head + END_OF_LINE).replace(EMPTY_HEADER, END_OF_LINE)[:-2] + end + body
+            data = (head + END_OF_LINE).replace(EMPTY_ALT_SVC_HEADER, END_OF_LINE)[:-2] + end + body
         await super().send(data)
 
 
@@ -70,16 +70,16 @@
     """
     app = Sanic(name, configure_logging=False)
     app.config.REQUEST_MAX_SIZE = box.settings.max_body_bytes
-    app.config.RESPONSE_TIMEOUT = LONGEST_REQUEST_S
-    app.config.REQUEST_TIMEOUT = KEEP_ALIVE_S
-    app.config.KEEP_ALIVE_TIMEOUT = KEEP_ALIVE_S
+    app.config.RESPONSE_TIMEOUT = RESPONSE_TIMEOUT_S
+    app.config.REQUEST_TIMEOUT = IDLE_TIMEOUT_S
+    app.config.KEEP_ALIVE_TIMEOUT = IDLE_TIMEOUT_S
     app.config.MOTD = False
     app.config.TOUCHUP = optimise
     app.blueprint(caller_routes(box))
     app.blueprint(operation_routes(box))
     app.error_handler.add(BadRequest, answer_bad_request)
-    app.error_handler.add(SanicException, answer_library_error)
-    app.error_handler.add(Exception, answer_fault)
+    app.error_handler.add(SanicException, answer_sanic_error)
+    app.error_handler.add(Exception, answer_internal_error)
     return app
 
 
@@ -89,15 +89,15 @@
     return plain_problem(error.status, error.title, error.detail)
 
 
-def answer_library_error(request: Request, error: SanicException) -> HTTPResponse:
+def answer_sanic_error(request: Request, error: SanicException) -> HTTPResponse:
     """Answer what the library found wrong: unknown routes, oversized or broken requests."""
-    status = library_status(request, error)
-    title, detail = LIBRARY_PROBLEMS.get(status, OTHER_PROBLEM)
+    status = sanic_error_status(request, error)
+    title, detail = SANIC_PROBLEMS.get(status, DEFAULT_PROBLEM)
     events.emit(log, events.REQUEST_BAD, title=title, detail=str(error))
     return plain_problem(status, title, detail)
 
 
-def library_status(request: Request, error: SanicException) -> int:
+def sanic_error_status(request: Request, error: SanicException) -> int:
     """Return the status for what the library found wrong.
 
     It reports a head that is too large like a body that is, before there is a request.
@@ -107,23 +107,23 @@
     return int(error.status_code)
 
 
-def answer_fault(request: Request, error: Exception) -> HTTPResponse:
+def answer_internal_error(request: Request, error: Exception) -> HTTPResponse:
     """Answer a fault of our own: the request may have run."""
     events.emit(log, events.REQUEST_FAULT, exc_info=error)
     detail = 'see the log of the box'
-    return plain_problem(STATUS_FAULT, 'internal fault', detail, outcome=OUTCOME_FAILED)
+    return plain_problem(STATUS_INTERNAL_ERROR, 'internal fault', detail, outcome=OUTCOME_FAILED)
 
 
-def bind(address: Address) -> socket.socket:
+def bind_listener(address: Address) -> socket.socket:
     """Return a listening socket; raise `StartError`."""
     family = socket.AF_INET6 if ':' in address.host else socket.AF_INET
-    found = socket.socket(family, socket.SOCK_STREAM)
-    found.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listener = socket.socket(family, socket.SOCK_STREAM)
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
-        found.bind((address.host, address.port))
+        listener.bind((address.host, address.port))
     except OSError as error:
-        found.close()
+        listener.close()
         raise StartError(f'cannot listen on {address}: {error.strerror}') from error
-    found.listen(BACKLOG)
-    found.setblocking(False)
-    return found
+    listener.listen(LISTEN_BACKLOG)
+    listener.setblocking(False)
+    return listener
--- a/packages/daemon/calicopathd/http/callers.py
+++ b/packages/daemon/calicopathd/http/callers.py
@@ -65,7 +65,7 @@
     """Answer one request; a streamed one sends its own response."""
     arrival = Arrival(
         request_id=box.new_id(),
-        at=box.clock.monotonic(),
+        arrived_s=box.clock.monotonic(),
         key=request.headers.get(KEY_HEADER),
     )
     if arrival.key is not None and len(arrival.key) > MAX_KEY_CHARACTERS:
@@ -73,13 +73,13 @@
             STATUS_BAD_REQUEST, 'malformed key', f'at most {MAX_KEY_CHARACTERS} characters'
         )
     body = parse_body(request.body)
-    refused = refuse_new_work(box)
-    if refused is not None:
-        return outcome_problem(refused, arrival.request_id)
+    refusal = refuse_new_work(box)
+    if refusal is not None:
+        return outcome_problem(refusal, arrival.request_id)
     plan = find_plan(box, workspace, pipeline)
     if isinstance(plan, Refused):
         return outcome_problem(plan, arrival.request_id)
-    with box.lifecycle.request():
+    with box.lifecycle.track_request():
         return await run_request(box, request, body, plan, arrival)
 
 
@@ -98,9 +98,9 @@
     """Return the plan in force, which the request keeps; raise `BadRequest` if unknown."""
     result = box.view.plan(workspace, pipeline)
     if result is None:
-        unknown = 'pipeline' if box.view.knows_workspace(workspace) else 'workspace'
+        unknown_kind = 'pipeline' if box.view.knows_workspace(workspace) else 'workspace'
         detail = f'{workspace}/{pipeline}'
-        raise BadRequest(STATUS_NOT_FOUND, f'unknown {unknown}', detail)
+        raise BadRequest(STATUS_NOT_FOUND, f'unknown {unknown_kind}', detail)
     if isinstance(result, Failure):
         problems = '; '.join(str(problem) for problem in result.failure())
         return Refused(RefusalReason.CONFIGURATION_INVALID, problems, CONFIGURATION_RETRY_S)
@@ -145,17 +145,17 @@
     await stream.finish(BROKEN_EVENT, problem_body(outcome, request_id))
 
 
-def log_outcome(plan: Plan, arrival: Arrival, name: str, outcome: Outcome | None) -> None:
+def log_outcome(plan: Plan, arrival: Arrival, outcome_name: str, outcome: Outcome | None) -> None:
     """Log how a request ended, and why if it was not answered."""
-    ended = outcome if isinstance(outcome, Refused | Failed) else None
+    unanswered = outcome if isinstance(outcome, Refused | Failed) else None
     events.emit(
         log,
         events.REQUEST_ENDED,
         request=arrival.request_id,
         workspace=plan.workspace,
         pipeline=plan.pipeline,
-        outcome=name,
-        reason=ended.reason.value if ended is not None else '',
-        cause=ended.cause if ended is not None else '',
+        outcome=outcome_name,
+        reason=unanswered.reason.value if unanswered is not None else '',
+        cause=unanswered.cause if unanswered is not None else '',
         config=plan.digest,
     )
--- a/packages/daemon/calicopathd/http/operations.py
+++ b/packages/daemon/calicopathd/http/operations.py
@@ -30,7 +30,7 @@
 
     @routes.get('/readyz')
     async def readyz(request: Request) -> HTTPResponse:
-        ready = box.ready()
+        ready = box.is_ready()
         return json_response({'ready': ready}, STATUS_OK if ready else STATUS_UNAVAILABLE)
 
     @routes.get('/metrics')
--- a/packages/daemon/calicopathd/http/parsing.py
+++ b/packages/daemon/calicopathd/http/parsing.py
@@ -39,7 +39,7 @@
     """Hold when and as what a request arrived; `at` is on the monotonic clock."""
 
     request_id: str
-    at: float
+    arrived_s: float
     key: str | None
 
 
@@ -49,9 +49,9 @@
         body = msgspec.json.decode(data, type=RequestBody)
     except msgspec.MsgspecError as error:
         raise BadRequest(STATUS_BAD_REQUEST, 'malformed body', str(error)) from error
-    repeated = repeated_names(data)
-    if repeated:
-        detail = f'given more than once: {", ".join(repeated)}'
+    duplicates = duplicate_names(data)
+    if duplicates:
+        detail = f'given more than once: {", ".join(duplicates)}'
         raise BadRequest(STATUS_BAD_REQUEST, 'repeated field', detail)
     problems = body_problems(body)
     if problems:
@@ -59,7 +59,7 @@
     return body
 
 
-def repeated_names(data: bytes) -> list[str]:
+def duplicate_names(data: bytes) -> list[str]:
     """Return the names that a body, which is sound JSON, gives more than once."""
     names: list[str] = []
 
@@ -91,16 +91,16 @@
     priority = plan.priority
     if body.priority is not None:
         priority = min(priority, body.priority)
-    same = [plan.workspace, plan.pipeline, body.input, body.repeatable]
+    fingerprint_fields = [plan.workspace, plan.pipeline, body.input, body.repeatable]
     return PipelineRequest(
         id=arrival.request_id,
         text=body.input,
-        arrived=arrival.at,
-        deadline=arrival.at + deadline_s,
+        arrived=arrival.arrived_s,
+        deadline=arrival.arrived_s + deadline_s,
         priority=priority,
         repeatable=body.repeatable,
         key=arrival.key,
-        body=body_digest(msgspec.json.encode(same)),
+        body=body_digest(msgspec.json.encode(fingerprint_fields)),
     )
 
 
--- a/packages/daemon/calicopathd/http/tests/callers_tests.py
+++ b/packages/daemon/calicopathd/http/tests/callers_tests.py
@@ -35,7 +35,7 @@
         return found
 
 
-async def ask(around: Surroundings, path: str, body: Any, key: str | None = None) -> Answer:
+async def post_request(around: Surroundings, path: str, body: Any, key: str | None = None) -> Answer:
     """Send a request; a dict is sent as JSON, bytes as they are."""
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     headers = {'Idempotency-Key': key} if key else {}
@@ -59,7 +59,7 @@
 class Answers(CallersCase):
     def test_an_answer_in_one_piece_has_stages_and_digest(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
-            answer = await ask(around, PATH + 'answer/requests', {'input': 'ਕਿੱਥੇ? پھاٹک'})
+            answer = await post_request(around, PATH + 'answer/requests', {'input': 'ਕਿੱਥੇ? پھاٹک'})
             self.assertEqual(200, answer.status)
             self.assertTrue(answer.json['output'].startswith('ਕਿੱਥੇ? پھاٹک —'))
             self.assertEqual(4, len(answer.json['stages']))
@@ -72,7 +72,7 @@
     def test_a_stream_ends_with_the_whole_answer(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
             body = {'input': 'Напомняне 🚤', 'stream': True}
-            answer = await ask(around, PATH + 'answer/requests', body)
+            answer = await post_request(around, PATH + 'answer/requests', body)
             self.assertEqual('text/event-stream', answer.headers['Content-Type'])
             text, final = read_events(answer.body.decode())
             self.assertEqual(text, final['output'])
@@ -84,7 +84,7 @@
             runner.box.executor.context.budget.tokens = 0
             around.engine.cut_after = 3
             body = {'input': 'Where may we moor?', 'stream': True}
-            answer = await ask(around, PATH + 'answer/requests', body)
+            answer = await post_request(around, PATH + 'answer/requests', body)
             text, final = read_events(answer.body.decode())
             self.assertTrue('Where may we moor?'.startswith(text))
             self.assertEqual('failed-may-have-run', final['outcome'])
@@ -95,10 +95,10 @@
     def test_a_request_run_once_answers_again_from_the_store(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
             key = new_key()
-            first = await ask(around, PATH + 'act/requests', {'input': 'charge'}, key)
+            first = await post_request(around, PATH + 'act/requests', {'input': 'charge'}, key)
             await asyncio.gather(*runner.box.executor.late)
-            again = await ask(around, PATH + 'act/requests', {'input': 'charge'}, key)
-            other = await ask(around, PATH + 'act/requests', {'input': 'charge more'}, key)
+            again = await post_request(around, PATH + 'act/requests', {'input': 'charge'}, key)
+            other = await post_request(around, PATH + 'act/requests', {'input': 'charge more'}, key)
             self.assertEqual([200, 200, 422], [first.status, again.status, other.status])
             self.assertTrue(again.json['replayed'])
             self.assertEqual(1, around.service.ran[key])
@@ -128,14 +128,14 @@
                 (PATH + 'act/requests', good, 400),
             ]
             for path, body, status in cases:
-                answer = await ask(around, path, body)
+                answer = await post_request(around, path, body)
                 self.assertEqual(status, answer.status, str(body)[:40])
                 self.assertEqual('application/problem+json', answer.headers['Content-Type'])
                 self.assertEqual('refused-not-run', answer.json['outcome'])
-            long_key = await ask(around, PATH + 'act/requests', good, 'k' * 100)
+            long_key = await post_request(around, PATH + 'act/requests', good, 'k' * 100)
             self.assertEqual(400, long_key.status)
             self.assertEqual({}, around.engine.asked)
-            answer = await ask(around, PATH + 'answer/requests', good)
+            answer = await post_request(around, PATH + 'answer/requests', good)
             self.assertEqual(200, answer.status)
 
         self.with_box(work, max_body_bytes='4096')
@@ -143,7 +143,7 @@
     def test_a_field_given_twice_is_refused_and_named(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
             body = b'{"input": "moor here?", "input": "or there?"}'
-            answer = await ask(around, PATH + 'answer/requests', body)
+            answer = await post_request(around, PATH + 'answer/requests', body)
             self.assertEqual(400, answer.status)
             self.assertEqual('urn:calicopath:problem:repeated-field', answer.json['type'])
             self.assertIn('input', answer.json['detail'])
@@ -158,16 +158,16 @@
                 found = await answer.json(content_type=None)
             self.assertEqual(431, answer.status)
             self.assertEqual('urn:calicopath:problem:head-too-large', found['type'])
-            body = await ask(around, PATH + 'answer/requests', b'x' * 5000)
+            body = await post_request(around, PATH + 'answer/requests', b'x' * 5000)
             self.assertEqual('urn:calicopath:problem:body-too-large', body.json['type'])
 
         self.with_box(work, max_body_bytes='4096')
 
     def test_problems_are_named_in_plain_words_and_no_header_is_empty(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
-            unknown = await ask(around, '/v1/else', {'input': 'x'})
+            unknown = await post_request(around, '/v1/else', {'input': 'x'})
             self.assertEqual('urn:calicopath:problem:unknown-path', unknown.json['type'])
-            answer = await ask(around, PATH + 'answer/requests', {'input': 'x'})
+            answer = await post_request(around, PATH + 'answer/requests', {'input': 'x'})
             for found in (unknown, answer):
                 self.assertNotIn('', found.headers.values())
 
@@ -179,7 +179,7 @@
                 if name.startswith('config/endpoints/') and entry.spec is not None:
                     spec = entry.spec | {'address': 'http://127.0.0.1:9'}
                     runner.box.view.apply(ViewUpdate(name, entry.version + 1, spec))
-            answer = await ask(around, PATH + 'answer/requests', {'input': 'x'})
+            answer = await post_request(around, PATH + 'answer/requests', {'input': 'x'})
             self.assertEqual(503, answer.status)
             self.assertEqual('refused-not-run', answer.json['outcome'])
             for inner in ('127.0.0.1', 'Error', '('):
@@ -191,7 +191,7 @@
     def test_a_refusal_says_when_to_come_back(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
             around.platform.faults.down = True
-            answer = await ask(around, PATH + 'act/requests', {'input': 'x'}, new_key())
+            answer = await post_request(around, PATH + 'act/requests', {'input': 'x'}, new_key())
             self.assertEqual(503, answer.status)
             self.assertEqual('2', answer.headers['Retry-After'])
             self.assertEqual('refused-not-run', answer.json['outcome'])
@@ -201,7 +201,7 @@
     def test_a_pipeline_whose_template_is_gone_is_refused_as_not_run(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
             runner.box.view.apply(ViewUpdate('config/templates/answer', 999, None))
-            answer = await ask(around, PATH + 'answer/requests', {'input': 'x'})
+            answer = await post_request(around, PATH + 'answer/requests', {'input': 'x'})
             self.assertEqual(503, answer.status)
             self.assertEqual('configuration invalid', answer.json['title'])
             self.assertEqual('refused-not-run', answer.json['outcome'])
@@ -211,7 +211,7 @@
     def test_a_fault_of_the_box_is_not_called_a_refusal(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
             runner.box.executor = None  # type: ignore[assignment]
-            answer = await ask(around, PATH + 'answer/requests', {'input': 'x'})
+            answer = await post_request(around, PATH + 'answer/requests', {'input': 'x'})
             self.assertEqual(500, answer.status)
             self.assertEqual('failed-may-have-run', answer.json['outcome'])
 
@@ -220,7 +220,7 @@
     def test_a_key_of_an_old_day_is_taken_as_long_as_nothing_newer_was_dropped(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
             key = uuid7(1_700_000_000.0)
-            answer = await ask(around, PATH + 'act/requests', {'input': 'x'}, key)
+            answer = await post_request(around, PATH + 'act/requests', {'input': 'x'}, key)
             self.assertEqual(200, answer.status)
 
         self.with_box(work)
@@ -244,7 +244,7 @@
             await runner.leave()
             async with around.session.get(around.url + '/readyz') as answer:
                 self.assertEqual(503, answer.status)
-            refused = await ask(around, PATH + 'answer/requests', {'input': 'x'})
+            refused = await post_request(around, PATH + 'answer/requests', {'input': 'x'})
             self.assertEqual(503, refused.status)
             self.assertEqual('refused-not-run', refused.json['outcome'])
 
@@ -264,7 +264,7 @@
 
     def test_metrics_health_status_and_versions_are_served(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
-            await ask(around, PATH + 'answer/requests', {'input': 'x'})
+            await post_request(around, PATH + 'answer/requests', {'input': 'x'})
             async with around.session.get(around.url + '/metrics') as answer:
                 text = await answer.text()
             self.assertIn('calicopath_requests_total', text)
--- a/packages/daemon/calicopathd/logs.py
+++ b/packages/daemon/calicopathd/logs.py
@@ -39,7 +39,7 @@
         logging.getLogger(name).setLevel(logging.CRITICAL)
 
 
-MAX_WAITING_LINES = 2000
+MAX_PENDING_LINES = 2000
 """Lines that wait for a reader that is slow; what comes after that is dropped and counted."""
 
 
@@ -48,37 +48,37 @@
 
     def __init__(self, *, descriptor: int) -> None:
         self.descriptor = descriptor
-        self.waiting: deque[bytes] = deque()
-        self.dropped = 0
+        self.pending: deque[bytes] = deque()
+        self.dropped_lines = 0
         os.set_blocking(descriptor, False)
 
     def msg(self, message: bytes) -> None:
         """Write a line, or keep it while the reader is slow."""
-        if len(self.waiting) >= MAX_WAITING_LINES:
-            self.dropped += 1
+        if len(self.pending) >= MAX_PENDING_LINES:
+            self.dropped_lines += 1
             return
-        self.waiting.append(message + b'\n')
+        self.pending.append(message + b'\n')
         self.flush()
 
     debug = info = warning = error = critical = msg
 
     def flush(self) -> None:
         """Write what waits as far as the reader takes it."""
-        while self.waiting:
-            line = self.waiting[0]
+        while self.pending:
+            line = self.pending[0]
             try:
                 written = os.write(self.descriptor, line)
             except BlockingIOError:
                 return
             except OSError:
                 # Nobody reads any more; there is no other place to say so.
-                self.dropped += len(self.waiting)
-                self.waiting.clear()
+                self.dropped_lines += len(self.pending)
+                self.pending.clear()
                 return
             if written < len(line):
-                self.waiting[0] = line[written:]
+                self.pending[0] = line[written:]
                 return
-            self.waiting.popleft()
+            self.pending.popleft()
 
 
 def set_up_bounded_logs(*, box: str) -> BoundedWriter:
@@ -89,7 +89,7 @@
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt='iso', utc=True),
-            structlog.processors.ExceptionRenderer(frames_of),
+            structlog.processors.ExceptionRenderer(exception_lines),
             structlog.processors.JSONRenderer(serializer=encode_line),
         ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
@@ -100,11 +100,11 @@
     return writer
 
 
-MAX_FRAMES = 20
+MAX_LOGGED_FRAMES = 20
 """Frames told of one failure: 2 KB, where a recursion has a thousand."""
 
 
-def frames_of(exc_info: ExcInfo) -> list[str]:
+def exception_lines(exc_info: ExcInfo) -> list[str]:
     """Return what an error says and the frames that it passed, the innermost first.
 
     The lines of the sources are left out: to read them blocks the loop, and a plain read of a file
@@ -115,7 +115,7 @@
         f'{frame.f_code.co_filename}:{line} in {frame.f_code.co_name}'
         for frame, line in traceback.walk_tb(trace)
     ]
-    return [f'{kind.__name__}: {error}', *reversed(frames[-MAX_FRAMES:])]
+    return [f'{kind.__name__}: {error}', *reversed(frames[-MAX_LOGGED_FRAMES:])]
 
 
 def encode_line(line: object, **_: object) -> bytes:
--- a/packages/daemon/calicopathd/metrics.py
+++ b/packages/daemon/calicopathd/metrics.py
@@ -23,50 +23,50 @@
 
     def __init__(self, *, box: str) -> None:
         self.registry = Registry()
-        const = {'box': box}
+        const_labels = {'box': box}
         self.requests = Counter(
-            'calicopath_requests_total', 'Requests by outcome and reason.', const, self.registry
+            'calicopath_requests_total', 'Requests by outcome and reason.', const_labels, self.registry
         )
         self.request_seconds = Histogram(
             'calicopath_request_seconds',
             'Time from arrival to the final answer.',
-            const,
+            const_labels,
             self.registry,
             buckets=LATENCY_BUCKETS,
         )
         self.first_token_seconds = Histogram(
             'calicopath_first_token_seconds',
             'Time from arrival to the first token.',
-            const,
+            const_labels,
             self.registry,
             buckets=LATENCY_BUCKETS,
         )
         self.calls = Counter(
             'calicopath_calls_total',
             'Calls to endpoints by service and result.',
-            const,
+            const_labels,
             self.registry,
         )
         self.call_seconds = Counter(
             'calicopath_call_seconds_total',
             'Time that endpoints spent on calls, by service and result.',
-            const,
+            const_labels,
             self.registry,
         )
-        self.ends_noted = Counter(
+        self.crashes_recorded = Counter(
             'calicopath_replica_ends_noted_total',
             'Ends of endpoints, counted for each request that ran there.',
-            const,
+            const_labels,
             self.registry,
         )
-        self.blocked = Counter(
+        self.requests_blocked = Counter(
             'calicopath_requests_blocked_total',
             'Requests that are not sent on since endpoints end under them.',
-            const,
+            const_labels,
             self.registry,
         )
         self.state = Gauge(
-            'calicopath_state', 'State of the box, by what is counted.', const, self.registry
+            'calicopath_state', 'State of the box, by what is counted.', const_labels, self.registry
         )
 
     def on_call(self, stage: StagePlan, endpoint: str, served_s: float, result: CallResult) -> None:
--- a/packages/daemon/calicopathd/peers/zmq_transport.py
+++ b/packages/daemon/calicopathd/peers/zmq_transport.py
@@ -16,25 +16,25 @@
 
     from calicopathd.config.options import Address
 
-SEND_QUEUE = 200
+SEND_QUEUE_MESSAGES = 200
 """Messages that wait for a peer; what comes after that is dropped, and repaired by digests."""
 
-RECEIVE_QUEUE = 5000
+RECEIVE_QUEUE_MESSAGES = 5000
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 MAX_CONNECTIONS = 128
 RECONNECT_MS = 100
 MAX_RECONNECT_MS = 2000
-UNACKED_MS = 600
+UNACKED_TIMEOUT_MS = 600
 """How long what was sent may stay without a word from the peer's kernel before the connection is
 given up and made anew. A connection may go silent for good without a reset; a box is passed over
 when it is not heard for 0.7 s, so that a live one must be reached on a new connection by then."""
 
-KEEPALIVE_S = 5
-KEEPALIVE_COUNT = 2
+KEEPALIVE_INTERVAL_S = 5
+KEEPALIVE_PROBES = 2
 """What a peer connects from is given up after 15 s of silence from its kernel: the peer has made a
 new connection by then, and the old one would keep its descriptor for good."""
 
-NO_LINGER = 0
+LINGER_MS = 0
 """A stop does not wait for messages that a dead peer will never take."""
 
 
@@ -51,29 +51,29 @@
         self.max_reconnect_ms = max_reconnect_ms
         self.max_connections = max_connections
         self.context = zmq.asyncio.Context()
-        self.plain = zmq.Context(self.context)
-        self.pull = self.context.socket(zmq.PULL)
-        self.pull.setsockopt(zmq.RCVHWM, RECEIVE_QUEUE)
-        self.pull.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
-        self.pull.setsockopt(zmq.LINGER, NO_LINGER)
-        self.pull.setsockopt(zmq.TCP_KEEPALIVE, 1)
-        self.pull.setsockopt(zmq.TCP_KEEPALIVE_IDLE, KEEPALIVE_S)
-        self.pull.setsockopt(zmq.TCP_KEEPALIVE_INTVL, KEEPALIVE_S)
-        self.pull.setsockopt(zmq.TCP_KEEPALIVE_CNT, KEEPALIVE_COUNT)
+        self.send_context = zmq.Context(self.context)
+        self.receive_socket = self.context.socket(zmq.PULL)
+        self.receive_socket.setsockopt(zmq.RCVHWM, RECEIVE_QUEUE_MESSAGES)
+        self.receive_socket.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
+        self.receive_socket.setsockopt(zmq.LINGER, LINGER_MS)
+        self.receive_socket.setsockopt(zmq.TCP_KEEPALIVE, 1)
+        self.receive_socket.setsockopt(zmq.TCP_KEEPALIVE_IDLE, KEEPALIVE_INTERVAL_S)
+        self.receive_socket.setsockopt(zmq.TCP_KEEPALIVE_INTVL, KEEPALIVE_INTERVAL_S)
+        self.receive_socket.setsockopt(zmq.TCP_KEEPALIVE_CNT, KEEPALIVE_PROBES)
         self.port = self.bind(address)
-        self.sockets: OrderedDict[str, zmq.Socket[bytes]] = OrderedDict()
+        self.connections: OrderedDict[str, zmq.Socket[bytes]] = OrderedDict()
         self.handler: Callable[[bytes], None] = lambda data: None
-        self.dropped = 0
+        self.dropped_messages = 0
 
     def bind(self, address: Address) -> int:
         """Listen, on a free port if none is given, and return the port."""
         host = f'[{address.host}]' if ':' in address.host else address.host
         if ':' in address.host:
-            self.pull.setsockopt(zmq.IPV6, 1)
+            self.receive_socket.setsockopt(zmq.IPV6, 1)
         try:
             if address.port == 0:
-                return int(self.pull.bind_to_random_port(f'tcp://{host}'))
-            self.pull.bind(f'tcp://{host}:{address.port}')
+                return int(self.receive_socket.bind_to_random_port(f'tcp://{host}'))
+            self.receive_socket.bind(f'tcp://{host}:{address.port}')
         except zmq.ZMQError as error:
             raise StartError(f'cannot listen on {address}: {error.strerror}') from error
         return address.port
@@ -85,47 +85,47 @@
     async def run(self) -> None:
         """Receive until cancelled."""
         while True:
-            self.handler(await self.pull.recv())
+            self.handler(await self.receive_socket.recv())
 
     def send(self, address: str, data: bytes) -> None:
         """Send without waiting; a full queue drops the message."""
         try:
-            self.socket(address).send(data, zmq.NOBLOCK)
+            self.connection_to(address).send(data, zmq.NOBLOCK)
         except zmq.ZMQError:
-            self.dropped += 1
+            self.dropped_messages += 1
 
-    def socket(self, address: str) -> zmq.Socket[bytes]:
+    def connection_to(self, address: str) -> zmq.Socket[bytes]:
         """Return the connection to a peer, closing the one unused longest if there are many."""
-        found = self.sockets.get(address)
-        if found is None:
-            found = self.connect(address)
-            self.sockets[address] = found
-            if len(self.sockets) > self.max_connections:
-                self.sockets.popitem(last=False)[1].close()
-        self.sockets.move_to_end(address)
-        return found
+        connection = self.connections.get(address)
+        if connection is None:
+            connection = self.connect(address)
+            self.connections[address] = connection
+            if len(self.connections) > self.max_connections:
+                self.connections.popitem(last=False)[1].close()
+        self.connections.move_to_end(address)
+        return connection
 
     def connect(self, address: str) -> zmq.Socket[bytes]:
         """Open a connection in the background."""
-        found = self.plain.socket(zmq.PUSH)
-        found.setsockopt(zmq.SNDHWM, SEND_QUEUE)
-        found.setsockopt(zmq.LINGER, NO_LINGER)
-        found.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
-        found.setsockopt(zmq.RECONNECT_IVL_MAX, self.max_reconnect_ms)
-        found.setsockopt(zmq.TCP_MAXRT, UNACKED_MS)
-        found.setsockopt(zmq.IPV6, 1)
-        found.connect(f'tcp://{address}')
-        return found
+        connection = self.send_context.socket(zmq.PUSH)
+        connection.setsockopt(zmq.SNDHWM, SEND_QUEUE_MESSAGES)
+        connection.setsockopt(zmq.LINGER, LINGER_MS)
+        connection.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
+        connection.setsockopt(zmq.RECONNECT_IVL_MAX, self.max_reconnect_ms)
+        connection.setsockopt(zmq.TCP_MAXRT, UNACKED_TIMEOUT_MS)
+        connection.setsockopt(zmq.IPV6, 1)
+        connection.connect(f'tcp://{address}')
+        return connection
 
     def drop_connection(self, address: str) -> None:
         """Close the connection to a peer; what still waits on it is dropped."""
-        found = self.sockets.pop(address, None)
-        if found is not None:
-            found.close()
+        connection = self.connections.pop(address, None)
+        if connection is not None:
+            connection.close()
 
     def close(self) -> None:
         """Close every connection."""
-        self.pull.close()
-        for found in self.sockets.values():
-            found.close()
+        self.receive_socket.close()
+        for connection in self.connections.values():
+            connection.close()
         self.context.term()
--- a/packages/daemon/calicopathd/tests/logs_tests.py
+++ b/packages/daemon/calicopathd/tests/logs_tests.py
@@ -17,7 +17,7 @@
 import testtools
 
 from calicopathd import events
-from calicopathd.logs import MAX_FRAMES, frames_of, set_up_bounded_logs
+from calicopathd.logs import MAX_LOGGED_FRAMES, exception_lines, set_up_bounded_logs
 
 log = structlog.get_logger(__name__)
 
@@ -39,8 +39,8 @@
         try:
             recurse(200)
         except ValueError as error:
-            told = frames_of((ValueError, error, error.__traceback__))
-        self.assertLessEqual(len(told), 1 + MAX_FRAMES)
+            told = exception_lines((ValueError, error, error.__traceback__))
+        self.assertLessEqual(len(told), 1 + MAX_LOGGED_FRAMES)
         self.assertTrue(told[1].endswith(' in fail'))
 
     def test_a_failure_tells_its_frames_innermost_first_and_reads_no_file(self) -> None:
--- a/packages/daemon/calicopathd/tests/monitor_tests.py
+++ b/packages/daemon/calicopathd/tests/monitor_tests.py
@@ -17,25 +17,25 @@
         self.box: Any = mock.Mock()
         self.box.settings.platform = 'http://127.0.0.1:9'
         self.box.view.entries = {}
-        self.box.synced.return_value = False
+        self.box.is_synced.return_value = False
         self.box.feed.last_error = ''
         self.emitted = mock.Mock()
         patcher = mock.patch('calicopathd.events.emit', self.emitted)
         patcher.start()
         self.addCleanup(patcher.stop)
 
-    def told(self) -> list[events.Event]:
+    def emitted_events(self) -> list[events.Event]:
         """Return the events so far."""
         return [call.args[1] for call in self.emitted.call_args_list]
 
     def test_a_platform_that_is_not_reached_is_told_of_at_once_and_once(self) -> None:
         monitor = Monitor(box=self.box)
         monitor.check_sync()
-        self.assertEqual([], self.told())
+        self.assertEqual([], self.emitted_events())
         self.box.feed.last_error = 'connection refused'
         for _ in range(3):
             monitor.check_sync()
-        self.assertEqual([events.PLATFORM_UNREACHED], self.told())
+        self.assertEqual([events.PLATFORM_UNREACHABLE], self.emitted_events())
         fields = self.emitted.call_args.kwargs
         self.assertEqual('http://127.0.0.1:9', fields['platform'])
         self.assertEqual('connection refused', fields['error'])
@@ -44,7 +44,7 @@
         monitor = Monitor(box=self.box)
         self.box.feed.last_error = 'connection refused'
         monitor.check_sync()
-        self.box.synced.return_value = True
+        self.box.is_synced.return_value = True
         for _ in range(3):
             monitor.check_sync()
-        self.assertEqual([events.PLATFORM_UNREACHED, events.VIEW_SYNCED], self.told())
+        self.assertEqual([events.PLATFORM_UNREACHABLE, events.VIEW_SYNCED], self.emitted_events())
--- a/packages/daemon/calicopathd/tests/transport_tests.py
+++ b/packages/daemon/calicopathd/tests/transport_tests.py
@@ -8,14 +8,14 @@
 
 from calicopathd.config.options import Address
 from calicopathd.exceptions import StartError
-from calicopathd.peers.zmq_transport import MAX_CONNECTIONS, SEND_QUEUE, ZmqTransport
+from calicopathd.peers.zmq_transport import MAX_CONNECTIONS, SEND_QUEUE_MESSAGES, ZmqTransport
 from testkit.servers import listening
 
 CHUNK = 65536
 ANY_PORT = Address('127.0.0.1', 0)
 
 
-class Swallowing:
+class SilencingProxy:
     """Carry connections to a port; `swallow` has those that are open go silent without a reset."""
 
     def __init__(self, *, port: int) -> None:
@@ -23,19 +23,19 @@
         self.open: set[asyncio.StreamWriter] = set()
         self.silent: set[asyncio.StreamWriter] = set()
 
-    async def carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def proxy(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Carry one connection both ways."""
         far_reader, far_writer = await asyncio.open_connection('127.0.0.1', self.port)
         self.open |= {writer, far_writer}
-        await asyncio.gather(self.pass_on(reader, far_writer), self.pass_on(far_reader, writer))
+        await asyncio.gather(self.forward(reader, far_writer), self.forward(far_reader, writer))
 
-    async def pass_on(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Carry what goes one way, or drop it."""
         while data := await reader.read(CHUNK):
             if writer not in self.silent:
                 writer.write(data)
 
-    def swallow(self) -> None:
+    def silence(self) -> None:
         """Drop from now on what the open connections carry."""
         self.silent |= self.open
 
@@ -63,11 +63,11 @@
             got: asyncio.Queue[bytes] = asyncio.Queue()
             other.listen(got.put_nowait)
             task = asyncio.create_task(other.run())
-            link = Swallowing(port=other.port)
-            async with listening(link.carry) as address:
+            link = SilencingProxy(port=other.port)
+            async with listening(link.proxy) as address:
                 one.send(address, b'before')
                 found = [await got.get()]
-                link.swallow()
+                link.silence()
                 one.send(address, b'swallowed')
                 one.drop_connection(address)
                 one.send(address, b'after')
@@ -83,12 +83,12 @@
     def test_a_full_queue_drops_and_connections_are_bounded(self) -> None:
         async def scenario() -> None:
             transport = ZmqTransport(address=ANY_PORT)
-            for _ in range(SEND_QUEUE + 50):
+            for _ in range(SEND_QUEUE_MESSAGES + 50):
                 transport.send('127.0.0.1:1', b'x')
-            self.assertGreater(transport.dropped, 0)
+            self.assertGreater(transport.dropped_messages, 0)
             for port in range(2, MAX_CONNECTIONS + 50):
                 transport.send(f'127.0.0.1:{port}', b'x')
-            self.assertEqual(MAX_CONNECTIONS, len(transport.sockets))
+            self.assertEqual(MAX_CONNECTIONS, len(transport.connections))
             transport.close()
 
         asyncio.run(scenario())
