--- a/packages/daemon/calicopathd/box/box.py
+++ b/packages/daemon/calicopathd/box/box.py
@@ -164,7 +164,7 @@
         return PipelineExecutor(context=context, door=door, claims=claims)
 
     def new_local_claims(self) -> LocalExecutor:
-        """Return the executor of claim operations, both its own and those other boxes forward."""
+        """Return the executor of claim operations, for requests of this box and for other boxes."""
         grouping = GroupingConfig(
             shards=self.settings.claim_shards,
             slot_s=self.settings.claim_slot_s,
--- a/packages/daemon/calicopathd/http/parsing.py
+++ b/packages/daemon/calicopathd/http/parsing.py
@@ -36,7 +36,7 @@
 
 
 class Arrival(NamedTuple):
-    """Hold the identity of a request and its arrival in monotonic seconds; `key` is optional."""
+    """Hold the identity, arrival in monotonic seconds and idempotency key of a request."""
 
     request_id: str
     arrived_s: float
