--- a/packages/daemon/calicopathd/box/monitor.py
+++ b/packages/daemon/calicopathd/box/monitor.py
@@ -52,7 +52,7 @@
             events.emit(log, events.PLATFORM_UNREACHABLE, platform=platform, error=error)
 
     def check_platform(self) -> None:
-        """Log when contact with the platform is lost after the first sync, and when it is restored."""
+        """Log when contact with the platform is lost after the first sync, or restored."""
         age = self.box.gossip.contact_age_s()
         lost = age is None or age > PLATFORM_LOST_AFTER_S
         if lost and not self.platform_lost and self.synced:
