--- a/packages/daemon/calicopathd/box/runner.py
+++ b/packages/daemon/calicopathd/box/runner.py
@@ -12,7 +12,7 @@
 from calicopathd.box.box import Box
 from calicopathd.box.monitor import Monitor
 from calicopathd.box.tasks import keep_running
-from calicopathd.http.app import CallerProtocol, bind, new_app
+from calicopathd.http.app import CallerProtocol, bind_listener, new_app
 
 if TYPE_CHECKING:
     import aiohttp
@@ -22,8 +22,8 @@
 
 log = structlog.get_logger(__name__)
 
-FLUSH_TIMEOUT_S = 2.0
-"""How long a stopping box waits for the platform to take what it has to say of claims."""
+CLAIM_FLUSH_TIMEOUT_S = 2.0
+"""Time for which a stopping box waits for its pending claim writes."""
 
 
 class BoxRunner:
@@ -33,7 +33,7 @@
         self, *, settings: Settings, session: aiohttp.ClientSession, optimise: bool = False
     ) -> None:
         self.optimise = optimise
-        self.listener = bind(settings.listen)
+        self.listener = bind_listener(settings.listen)
         self.box = Box(settings=settings, session=session)
         self.server: AsyncioServer | None = None
         self.tasks: list[asyncio.Task[None]] = []
@@ -45,7 +45,7 @@
         return f'{host}:{port}'
 
     async def start(self) -> None:
-        """Listen, and follow platform, peers and endpoints."""
+        """Start the web server and the background tasks."""
         name = f'calicopathd-{uuid.uuid4().hex}'
         app = new_app(self.box, name, optimise=self.optimise)
         server = await app.create_server(
@@ -60,14 +60,14 @@
         self.server = server
         work = {
             'peers': self.box.transport.run,
-            'roles': self.box.roles.run,
+            'roles': self.box.relay_controller.run,
             'lag': self.box.lag.run,
             'monitor': Monitor(box=self.box).run,
         }
         self.tasks = [asyncio.create_task(keep_running(*item)) for item in work.items()]
 
     async def leave(self) -> None:
-        """Leave without cutting a request: not ready, then refusing, then idle."""
+        """Drain the box: report not ready, refuse new requests, wait for those in progress."""
         lifecycle = self.box.lifecycle
         lifecycle.leave()
         self.box.gossip.leave()
@@ -78,11 +78,11 @@
         await lifecycle.idle.wait()
         while self.box.executor.late:
             await asyncio.wait(set(self.box.executor.late))
-        # Answers and releases that still wait for the platform, of this box and of others.
-        await self.box.local_claims.flush(FLUSH_TIMEOUT_S)
+        # Answers and releases of claims, own and forwarded ones, may not be written yet.
+        await self.box.local_claims.flush(CLAIM_FLUSH_TIMEOUT_S)
 
     async def stop(self) -> None:
-        """End the background tasks and the server."""
+        """Cancel the background tasks, close the server and the connections to peers."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
--- a/packages/daemon/calicopathd/config/reference.py
+++ b/packages/daemon/calicopathd/config/reference.py
@@ -1,4 +1,4 @@
-"""Read the doc string under each option of a schema, for `--help` and the reference page."""
+"""Read the docstring below each option of a schema, for `--help` and the reference page."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class OptionDoc(NamedTuple):
-    """Describe one setting for a reader."""
+    """Describe one setting for `--help` and the reference page."""
 
     name: str
     flag: str
@@ -24,7 +24,7 @@
 
 def option_docs(schema: type) -> list[OptionDoc]:
     """Return a description of every option of a schema, in order."""
-    texts = doc_strings(schema)
+    texts = attribute_docstrings(schema)
     return [
         OptionDoc(
             name, option.flag, option.variable, option.describe(), option.default, texts[name]
@@ -33,8 +33,8 @@
     ]
 
 
-def doc_strings(schema: type) -> dict[str, str]:
-    """Return the strings that stand under the assignments of a class body."""
+def attribute_docstrings(schema: type) -> dict[str, str]:
+    """Return the docstrings below the assignments of a class body, by attribute name."""
     tree = ast.parse(textwrap.dedent(inspect.getsource(schema)))
     body = tree.body[0]
     assert isinstance(body, ast.ClassDef)
--- a/packages/daemon/calicopathd/http/parsing.py
+++ b/packages/daemon/calicopathd/http/parsing.py
@@ -1,4 +1,4 @@
-"""Read callers' requests."""
+"""Parse and validate the requests of callers."""
 
 from __future__ import annotations
 
@@ -36,22 +36,22 @@
 
 
 class Arrival(NamedTuple):
-    """Hold when and as what a request arrived; `at` is on the monotonic clock."""
+    """Hold the identity, arrival in monotonic seconds and idempotency key of a request."""
 
     request_id: str
-    at: float
+    arrived_s: float
     key: str | None
 
 
 def parse_body(data: bytes) -> RequestBody:
-    """Read and check a body; raise `BadRequest`."""
+    """Parse and validate a body; raise `BadRequest` if it is malformed."""
     try:
         body = msgspec.json.decode(data, type=RequestBody)
     except msgspec.MsgspecError as error:
         raise BadRequest(STATUS_BAD_REQUEST, 'malformed body', str(error)) from error
-    repeated = repeated_names(data)
-    if repeated:
-        detail = f'given more than once: {", ".join(repeated)}'
+    duplicates = duplicate_names(data)
+    if duplicates:
+        detail = f'given more than once: {", ".join(duplicates)}'
         raise BadRequest(STATUS_BAD_REQUEST, 'repeated field', detail)
     problems = body_problems(body)
     if problems:
@@ -59,8 +59,8 @@
     return body
 
 
-def repeated_names(data: bytes) -> list[str]:
-    """Return the names that a body, which is sound JSON, gives more than once."""
+def duplicate_names(data: bytes) -> list[str]:
+    """Return the names that occur more than once in a body, which must be valid JSON."""
     names: list[str] = []
 
     def note(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
@@ -72,7 +72,7 @@
 
 
 def body_problems(body: RequestBody) -> list[str]:
-    """Return everything that is wrong with the values of a body."""
+    """Return one message for each invalid value of a body."""
     problems = []
     if not body.input or len(body.input) > MAX_INPUT_CHARACTERS:
         problems.append(f'input must have 1 to {MAX_INPUT_CHARACTERS} characters')
@@ -84,28 +84,28 @@
 
 
 def pipeline_request(body: RequestBody, plan: Plan, arrival: Arrival) -> PipelineRequest:
-    """Return a request with what its pipeline gives; callers may lower the priority only."""
+    """Return a request with the defaults of its pipeline; a caller can only lower the priority."""
     deadline_s = plan.deadline_s
     if body.deadline_ms is not None:
         deadline_s = body.deadline_ms / 1000
     priority = plan.priority
     if body.priority is not None:
         priority = min(priority, body.priority)
-    same = [plan.workspace, plan.pipeline, body.input, body.repeatable]
+    fingerprint_fields = [plan.workspace, plan.pipeline, body.input, body.repeatable]
     return PipelineRequest(
         id=arrival.request_id,
         text=body.input,
-        arrived=arrival.at,
-        deadline=arrival.at + deadline_s,
+        arrived=arrival.arrived_s,
+        deadline=arrival.arrived_s + deadline_s,
         priority=priority,
         repeatable=body.repeatable,
         key=arrival.key,
-        body=body_digest(msgspec.json.encode(same)),
+        body=body_digest(msgspec.json.encode(fingerprint_fields)),
     )
 
 
 def answer_body(answer: Answered, request_id: str) -> dict[str, Any]:
-    """Return the JSON form of a whole answer."""
+    """Return the JSON body of a complete answer."""
     return {
         'request_id': request_id,
         'output': answer.output,
--- a/packages/daemon/calicopathd/logs.py
+++ b/packages/daemon/calicopathd/logs.py
@@ -1,4 +1,4 @@
-"""Set up structured logging."""
+"""Configure structured logging."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def set_up_logs(*, level: str, json: bool, box: str) -> None:
-    """Write log lines to standard error, as JSON or for a terminal."""
+    """Configure logging to standard error, as JSON or as text for a terminal."""
     renderer: structlog.typing.Processor = structlog.dev.ConsoleRenderer(colors=False)
     if json:
         renderer = structlog.processors.JSONRenderer()
@@ -34,62 +34,62 @@
         cache_logger_on_first_use=False,
     )
     structlog.contextvars.bind_contextvars(box=box)
-    # Sanic logs by the standard library; what it says of single requests is ours to say.
+    # Sanic logs requests through the standard library; the daemon logs its own event for each.
     for name in ('sanic.root', 'sanic.access', 'sanic.error', 'sanic.server'):
         logging.getLogger(name).setLevel(logging.CRITICAL)
 
 
-MAX_WAITING_LINES = 2000
-"""Lines that wait for a reader that is slow; what comes after that is dropped and counted."""
+MAX_PENDING_LINES = 2000
+"""Lines kept for a slow reader; further lines are dropped and counted."""
 
 
 class BoundedWriter:
-    """Write lines to a descriptor without ever waiting for its reader."""
+    """Write lines to a file descriptor without blocking when its reader is slow."""
 
     def __init__(self, *, descriptor: int) -> None:
         self.descriptor = descriptor
-        self.waiting: deque[bytes] = deque()
-        self.dropped = 0
+        self.pending: deque[bytes] = deque()
+        self.dropped_lines = 0
         os.set_blocking(descriptor, False)
 
     def msg(self, message: bytes) -> None:
-        """Write a line, or keep it while the reader is slow."""
-        if len(self.waiting) >= MAX_WAITING_LINES:
-            self.dropped += 1
+        """Write a line, or queue it while the reader is slow; drop it if the queue is full."""
+        if len(self.pending) >= MAX_PENDING_LINES:
+            self.dropped_lines += 1
             return
-        self.waiting.append(message + b'\n')
+        self.pending.append(message + b'\n')
         self.flush()
 
     debug = info = warning = error = critical = msg
 
     def flush(self) -> None:
-        """Write what waits as far as the reader takes it."""
-        while self.waiting:
-            line = self.waiting[0]
+        """Write queued lines until the descriptor would block."""
+        while self.pending:
+            line = self.pending[0]
             try:
                 written = os.write(self.descriptor, line)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; there is no other place to say so.
-                self.dropped += len(self.waiting)
-                self.waiting.clear()
+                # The reader has closed the descriptor, so the failure cannot be logged either.
+                self.dropped_lines += len(self.pending)
+                self.pending.clear()
                 return
             if written < len(line):
-                self.waiting[0] = line[written:]
+                self.pending[0] = line[written:]
                 return
-            self.waiting.popleft()
+            self.pending.popleft()
 
 
 def set_up_bounded_logs(*, box: str) -> BoundedWriter:
-    """Write log lines as JSON to standard output; a slow reader costs lines, never time."""
+    """Configure JSON logging to standard output; a slow reader loses lines and never blocks."""
     writer = BoundedWriter(descriptor=sys.stdout.fileno())
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt='iso', utc=True),
-            structlog.processors.ExceptionRenderer(frames_of),
+            structlog.processors.ExceptionRenderer(exception_lines),
             structlog.processors.JSONRenderer(serializer=encode_line),
         ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
@@ -100,24 +100,24 @@
     return writer
 
 
-MAX_FRAMES = 20
-"""Frames told of one failure: 2 KB, where a recursion has a thousand."""
+MAX_LOGGED_FRAMES = 20
+"""Frames logged for one exception, about 2 KB; a recursion can have a thousand."""
 
 
-def frames_of(exc_info: ExcInfo) -> list[str]:
-    """Return what an error says and the frames that it passed, the innermost first.
+def exception_lines(exc_info: ExcInfo) -> list[str]:
+    """Return an exception's type and message, then its frames, innermost first.
 
-    The lines of the sources are left out: to read them blocks the loop, and a plain read of a file
-    beside the threads of the peers' sockets has ended processes.
+    Source lines are omitted: reading them blocks the event loop, and plain file reads while the
+    threads of the peers' sockets run have crashed processes.
     """
     kind, error, trace = exc_info
     frames = [
         f'{frame.f_code.co_filename}:{line} in {frame.f_code.co_name}'
         for frame, line in traceback.walk_tb(trace)
     ]
-    return [f'{kind.__name__}: {error}', *reversed(frames[-MAX_FRAMES:])]
+    return [f'{kind.__name__}: {error}', *reversed(frames[-MAX_LOGGED_FRAMES:])]
 
 
 def encode_line(line: object, **_: object) -> bytes:
-    """Return a log line as JSON."""
+    """Return a log line as JSON; values of unknown types are written with `str`."""
     return msgspec.json.encode(line, enc_hook=str)
