--- a/packages/core/calicopath_core/scheduling/tests/stages_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/stages_tests.py
@@ -1,4 +1,4 @@
-"""Test how pieces become calls: order, filling, room, failure domains, slow replicas."""
+"""Test how pieces are batched into calls: order, filling, space, failure domains, slow replicas."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from calicopath_core.scheduling.stages import (
     MAX_BATCH_DELAY_S,
     MIN_FULL_BACKOFF_S,
-    NO_ROOM_BACKOFF_S,
+    NO_SPACE_BACKOFF_S,
 )
 from calicopath_core.scheduling.tests.work import SPEC, job, phase, queue, replica, result, wait
 from calicopath_core.scheduling.waiting import OLD_RESULT_AGE_S
@@ -31,7 +31,7 @@
 
 class Order(testtools.TestCase):
     def served(self, *jobs: Job, now: float = LATER) -> list[str]:
-        """Return the jobs in the order in which one replica serves them."""
+        """Return the names of jobs in the order in which one replica serves them."""
         target = queue(replica('r'), spec=SPEC._replace(batch=1))
         for item in jobs:
             wait(target, item)
@@ -51,12 +51,12 @@
         high = job('high', phase(), priority=0, objective_s=0.3)
         self.assertEqual(['high', 'low'], self.served(low, high))
 
-    def test_what_is_late_gives_way_to_what_is_not(self) -> None:
+    def test_late_jobs_go_after_jobs_in_time(self) -> None:
         late = job('late', phase(), objective_s=0.01)
         timely = job('timely', phase(), priority=2)
         self.assertEqual(['timely', 'late'], self.served(late, timely))
 
-    def test_what_can_not_be_in_time_any_more_gives_way_to_what_can(self) -> None:
+    def test_jobs_that_will_be_late_go_after_jobs_in_time(self) -> None:
         hopeless = job('hopeless', phase(), objective_s=1.0)
         hopeless.critical_path_s = {0: 1.5}
         timely = job('timely', phase(), priority=2, objective_s=3.0)
@@ -123,7 +123,7 @@
 
 
 class Cost(testtools.TestCase):
-    def test_a_burst_is_looked_at_once_for_all_calls_of_a_moment(self) -> None:
+    def test_a_burst_is_ranked_once_for_all_calls_of_a_dispatch(self) -> None:
         jobs, replicas = 200, 20
         target = queue(*(replica(f'r{number}') for number in range(replicas)))
         for number in range(jobs):
@@ -134,7 +134,7 @@
         self.assertEqual(replicas, len(calls))
         self.assertLessEqual(looks.call_count, jobs + 2 * replicas)
 
-    def test_what_frees_many_things_at_a_moment_is_decided_on_once(self) -> None:
+    def test_simultaneous_triggers_cause_one_dispatch(self) -> None:
         async def scenario() -> int:
             calls = StageCalls(
                 clock=VirtualClock(),
@@ -182,11 +182,11 @@
         batch = target.next_batch(LATER)
         assert batch is not None
         target.on_finished(batch, {}, LATER)
-        target.on_no_room(batch, LATER)
+        target.on_no_space(batch, LATER)
         for piece in batch.pieces:
             target.add(piece, LATER)
-        self.assertIsNone(target.next_batch(LATER + NO_ROOM_BACKOFF_S / 2))
-        self.assertIsNotNone(target.next_batch(LATER + NO_ROOM_BACKOFF_S))
+        self.assertIsNone(target.next_batch(LATER + NO_SPACE_BACKOFF_S / 2))
+        self.assertIsNotNone(target.next_batch(LATER + NO_SPACE_BACKOFF_S))
 
     def test_a_replica_that_had_none_is_used_again_once_a_result_there_is_given_up(self) -> None:
         target = queue(replica('r'))
@@ -194,7 +194,7 @@
         batch = target.next_batch(LATER)
         assert batch is not None
         target.on_finished(batch, {'h': 100}, LATER)
-        target.on_no_room(batch, LATER)
+        target.on_no_space(batch, LATER)
         wait(target, job('two', phase(count=4)))
         self.assertIsNone(target.next_batch(LATER))
         target.replicas['r'].free('h')
@@ -202,11 +202,11 @@
 
     def test_what_others_have_booked_is_counted_until_it_is_adopted(self) -> None:
         target = queue(replica('r'))
-        maker = target.replicas['r']
-        maker.update_free_bytes(400_000, SPEC, 0.0)
-        before = maker.room_left(SPEC, 0.1)
+        target_replica = target.replicas['r']
+        target_replica.update_free_bytes(400_000, SPEC, 0.0)
+        before = target_replica.free_result_bytes(SPEC, 0.1)
         target.book_result('r', 'h1', LARGE, 0.1)
-        self.assertEqual(before, maker.room_left(SPEC, 0.1))
+        self.assertEqual(before, target_replica.free_result_bytes(SPEC, 0.1))
 
     def test_a_large_result_is_not_made_long_before_it_is_needed(self) -> None:
         target = queue(replica('r'))
@@ -237,7 +237,7 @@
         self.assertEqual('near', batch.target.replica.id)
 
     def busy_at_home(self, item: Job) -> StageQueue:
-        """Return a queue in which a piece's home has a call at work until 0.4 s."""
+        """Return a queue whose replica in the preferred failure domain is busy until 0.4 s."""
         target = queue(replica('far', 'a'), replica('near', 'b'))
         near = target.replicas['near']
         near.open_calls, near.free_at, near.due_at = 1, 0.4, 9.0
@@ -294,18 +294,18 @@
             pauses.append(target.replicas['r'].unavailable_until - now)
         self.assertEqual([1.0, 2.0, 4.0], pauses)
 
-    def test_one_that_wants_nothing_gets_nothing_and_counts_for_nothing_until_it_is_back(
+    def test_a_replica_that_backs_off_gets_no_calls_and_adds_no_throughput(
         self,
     ) -> None:
-        wishes = {'r': 3.0}
+        backoffs = {'r': 3.0}
         target = queue(replica('r'), replica('s'))
-        target.backoff_left_s = lambda item: wishes.get(item.id, 0.0)
+        target.backoff_left_s = lambda item: backoffs.get(item.id, 0.0)
         both = queue(replica('r'), replica('s')).pieces_per_s()
         self.assertEqual(both / 2, target.pieces_per_s())
         wait(target, job('one', phase(count=8)))
         names = [batch.target.replica.id for batch in target.batches(LATER)]
         self.assertEqual(['s'], names)
-        wishes['s'] = 2.0
+        backoffs['s'] = 2.0
         self.assertEqual(2.0, target.opens_in_s())
 
     def test_a_replica_that_declines_all_is_asked_less_often_each_time(self) -> None:
