--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -112,7 +112,7 @@
         staged = kind is RequestKind.DRAFT
         path, life = repeat.path + repeat.query, self.world.boxes[box].life
         data = soak_request(
-            path, call_id, staged=staged, patience_s=CALLER_DEADLINE_S, body=repeat.body
+            path, call_id, staged=staged, deadline_s=CALLER_DEADLINE_S, body=repeat.body
         )
         question = Question(call_id, kind, box, life, data, 0, repeat.path)
         connection = CallerConnection(address=self.world.boxes[box].frontend)
@@ -139,7 +139,7 @@
         # What each asks is its own: what many ask is popular, which has tests of its own.
         path = f'/since-{since}/x' if since else f'/{kind.value}/{call_id}'
         staged = kind is RequestKind.DRAFT
-        data = soak_request(path, call_id, staged=staged, patience_s=CALLER_DEADLINE_S)
+        data = soak_request(path, call_id, staged=staged, deadline_s=CALLER_DEADLINE_S)
         return Question(call_id, kind, box, self.world.boxes[box].life, data, since)
 
     async def ask(self, connection: CallerConnection, question: Question) -> Seen:
@@ -206,7 +206,7 @@
             ),
             *checks.pauses_are_kept(
                 self.seen,
-                [item for life in world.lives for item in life.turned_away if item.wish_s],
+                [item for life in world.lives for item in life.refusals if item.wish_s],
                 [item for life in world.lives for item in life.arrivals],
                 steps,
             ),
--- a/tools/soak/tests/limits_tests.py
+++ b/tools/soak/tests/limits_tests.py
@@ -31,7 +31,7 @@
             await asyncio.sleep(0.0)
             replica.limited_at = world.now()
             replica.crash()
-            ended_at = replica.ended_at
+            ended_at = replica.crashed_at
             await limiting
             self.assertEqual([ended_at], [named.ended for named in world.limits_named])
 
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -16,9 +16,9 @@
 
 from calicopath_platform import names
 from calicopath_platform.tests.soak_replicas import (
-    WRONG_WISHES,
+    INVALID_RETRY_AFTERS,
     SoakReplica,
-    foreign_spec,
+    invalid_spec,
     soak_config,
     soak_settings,
 )
@@ -152,7 +152,7 @@
             clock=self.now,
             runs=self.runs,
             handles=self.handles,
-            on_deadly=partial(self.on_deadly, slot),
+            on_crash_request=partial(self.on_deadly, slot),
         )
         self.lives.append(slot.replica)
         slot.link.target = await slot.stack.enter_async_context(slot.replica.served())
@@ -169,9 +169,9 @@
         """End a replica with its port, some moments after a request began; its entry lapses."""
         await asyncio.sleep(random.uniform(0.0, LONGEST_RUN_S))
         self.ends.setdefault(path, []).append(self.now())
-        if replica.ended:
+        if replica.has_crashed:
             return
-        replica.ended = True
+        replica.has_crashed = True
         slot.link.shut()
         replica.crash()
         async with slot.lock:
@@ -195,7 +195,7 @@
             'state': state,
             'warmupLeftMs': 0,
             'sequence': 1,
-            'born': slot.replica.born,
+            'born': slot.replica.started_ms,
         }
         self.store.put(names.REPLICA_KIND, slot.replica.name, spec)
 
@@ -236,7 +236,7 @@
             case FaultKind.STORE_GOES_BACK:
                 await self.restore_store(step)
             case FaultKind.STORE_FORGETS:
-                self.store.forget_history()
+                self.store.drop_history()
             case (
                 FaultKind.REPLICA_CRASH
                 | FaultKind.REPLICA_DRAINS
@@ -261,11 +261,11 @@
 
     async def restore_store(self, step: Step) -> None:
         """Have the store be away and come back in a new era, from a copy as old as the step."""
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         await asyncio.sleep(step.for_s)
         rng = random.Random(step.at_s)
         away_s, again_s = rng.uniform(0.1, MOST_AWAY_S), rng.uniform(0.0, MOST_AGAIN_S)
-        await self.store.go_back(copy, away_s, again_s)
+        await self.store.restore(copy, away_s, again_s)
 
     async def take_failure_domain_out(self, failure_domain: str, for_s: float) -> None:
         """Take a failure domain out for a while, unless it is out already."""
@@ -282,7 +282,7 @@
     async def write_foreign(self, step: Step) -> None:
         """Have another writer's entry, which names no replica, stand among the replicas'."""
         name = f'foreign-{step.at_s}'
-        self.store.put(names.REPLICA_KIND, name, foreign_spec(step.target))
+        self.store.put(names.REPLICA_KIND, name, invalid_spec(step.target))
         await asyncio.sleep(step.for_s)
         self.store.delete(names.REPLICA_KIND, name)
 
@@ -291,9 +291,9 @@
         assert replica is not None
         rng = random.Random(step.at_s)
         wish = b'%.2f' % rng.uniform(0.5, step.for_s + 1.0)
-        replica.turns_away = rng.choice(WRONG_WISHES) if rng.random() < WRONG_SHARE else wish
+        replica.retry_after = rng.choice(INVALID_RETRY_AFTERS) if rng.random() < WRONG_SHARE else wish
         await asyncio.sleep(step.for_s)
-        replica.turns_away = None
+        replica.retry_after = None
 
     async def limit(self, step: Step, replica: SoakReplica | None) -> None:
         """Have a replica name a limit, unless it does already."""
@@ -306,7 +306,7 @@
         replica.limit = None
         if replica.limited_at is not None:
             # Another life of that name may have come meanwhile, which names none.
-            ended = min(self.now(), replica.ended_at)
+            ended = min(self.now(), replica.crashed_at)
             named = LimitNamed(replica.name, per_s, replica.limited_at, ended)
             self.limits_named.append(named)
 
