--- a/packages/daemon/calicopathd/box/box.py
+++ b/packages/daemon/calicopathd/box/box.py
@@ -1,4 +1,4 @@
-"""Assemble a box: its view, pools, claims and executor."""
+"""Assemble the components of a box: view, gossip, pools, claims and executor."""
 
 from __future__ import annotations
 
@@ -51,11 +51,11 @@
 
 log = structlog.get_logger(__name__)
 
-SECONDS_AN_HOUR = 3600
+SECONDS_PER_HOUR = 3600
 
 
 class Box:
-    """Hold everything that one daemon consists of."""
+    """Hold the components of one daemon."""
 
     def __init__(self, *, settings: Settings, session: aiohttp.ClientSession) -> None:
         self.settings = settings
@@ -72,7 +72,7 @@
         )
         self.transport = ZmqTransport(address=settings.peer_listen)
         self.gossip = self.new_gossip()
-        self.roles = RelayController(
+        self.relay_controller = RelayController(
             gossip=self.gossip,
             feed=self.feed,
             boxes=HttpBoxList(url=settings.platform, session=session),
@@ -81,7 +81,7 @@
         )
         subset = SubsetChooser(box=settings.box, failure_domain=settings.failure_domain)
         self.pools = PoolRegistry(view=self.view, subset=subset, new_pool=self.new_pool)
-        self.crashes = self.new_crashes()
+        self.crash_guard = self.new_crash_guard()
         self.backends = Backends(
             engine=HttpEngine(session=session),
             pool=HttpStagePool(session=session),
@@ -89,12 +89,16 @@
             prober=HttpReach(),
         )
         self.local_claims = self.new_local_claims()
-        peers = GossipShardOwners(gossip=self.gossip, local=self.local_claims, clock=self.clock)
-        self.forwarding = ForwardingExecutor(local=self.local_claims, shard_owners=peers)
+        shard_owners = GossipShardOwners(
+            gossip=self.gossip, local=self.local_claims, clock=self.clock
+        )
+        self.forwarding_executor = ForwardingExecutor(
+            local=self.local_claims, shard_owners=shard_owners
+        )
         self.executor = self.new_executor()
 
     def new_gossip(self) -> Gossip:
-        """Return the exchange with other boxes, starting from the seed peers."""
+        """Return the gossip with other boxes, which starts with the seed peers."""
         settings = self.settings
         address = settings.peer_address or f'{settings.peer_listen.host}:{self.transport.port}'
         own = MemberInfo(
@@ -107,39 +111,39 @@
         )
         members = MemberTable(own=own)
         now = self.clock.monotonic()
-        seeds = [item.strip() for item in settings.seed_peers.split(',') if item.strip()]
-        members.on_listed([MemberInfo(seed, '', seed, 0, 0, False) for seed in seeds], now)
+        seed_addresses = [item.strip() for item in settings.seed_peers.split(',') if item.strip()]
+        members.on_listed([MemberInfo(seed, '', seed, 0, 0, False) for seed in seed_addresses], now)
         return Gossip(
             view=self.view,
             members=members,
             transport=self.transport,
             clock=self.clock,
             rng=self.rng,
-            is_ready=self.ready,
+            is_ready=self.is_ready,
         )
 
-    def new_crashes(self) -> CrashGuard:
-        """Return what is known of requests under which endpoints end, shared with other boxes."""
+    def new_crash_guard(self) -> CrashGuard:
+        """Return the guard that blocks requests that crash endpoints, with evidence from peers."""
         ledger = CrashLedger(clock=self.clock, observer=CrashLog(counters=self.metrics))
         sharing = CrashSharing(
             clock=self.clock,
             ledger=ledger,
             own_address=self.gossip.members.own.address,
-            hubs=self.crash_hubs,
+            hubs=self.choose_crash_hubs,
             send=self.gossip.send,
             forwards=True,
         )
         self.gossip.share_crashes(sharing)
         return CrashGuard(ledger=ledger, sharing=sharing)
 
-    def crash_hubs(self) -> list[str]:
-        """Return a few boxes that are told at once, and pass it on."""
+    def choose_crash_hubs(self) -> list[str]:
+        """Return the addresses of a few random boxes that forward crash evidence to others."""
         members = self.gossip.members
         chosen = members.sample(PUSH_FANOUT, self.clock.monotonic(), self.rng)
         return [member.info.address for member in chosen]
 
     def new_executor(self) -> PipelineExecutor:
-        """Return the executor with the policy that the deployment chose."""
+        """Return the executor of requests, with the policy that the settings choose."""
         policy = policy_for(
             Objective(self.settings.objective), affinity=self.settings.prefix_affinity == 'on'
         )
@@ -151,26 +155,26 @@
             budget=RetryBudget(),
             observer=self.metrics,
             lag=self.lag,
-            crashes=self.crashes,
+            crashes=self.crash_guard,
         )
         door = Door(pools=self.pools, margin=policy.door_margin, lag=self.lag)
         claims = ClaimRegistry(
-            local=self.local_claims, executor=self.forwarding, new_nonce=self.new_id
+            local=self.local_claims, executor=self.forwarding_executor, new_nonce=self.new_id
         )
         return PipelineExecutor(context=context, door=door, claims=claims)
 
     def new_local_claims(self) -> LocalExecutor:
-        """Return what this box writes of claims, for itself and for others."""
-        plan = GroupingConfig(
+        """Return the executor of claim operations, for requests of this box and for other boxes."""
+        grouping = GroupingConfig(
             shards=self.settings.claim_shards,
             slot_s=self.settings.claim_slot_s,
-            retention_s=self.settings.claim_retention_h * SECONDS_AN_HOUR,
+            retention_s=self.settings.claim_retention_h * SECONDS_PER_HOUR,
             write_interval_s=self.settings.claim_write_interval_s,
         )
-        return LocalExecutor(store=self.store, clock=self.clock, grouping=plan)
+        return LocalExecutor(store=self.store, clock=self.clock, grouping=grouping)
 
     def new_pool(self, service: str) -> ServicePool:
-        """Return the pool of a service that has appeared."""
+        """Return the pool of a service that is new in the configuration."""
         return ServicePool(
             service=service,
             clock=self.clock,
@@ -179,57 +183,58 @@
         )
 
     def new_limit(self, endpoint: Endpoint) -> ConcurrencyLimit:
-        """Return an endpoint's limit, which starts at this box's share."""
+        """Return the concurrency limit of an endpoint, which starts at this box's share."""
         return GradientLimit(concurrency=endpoint.concurrency, boxes=self.settings.boxes)
 
     def new_id(self) -> str:
-        """Return an identifier that no other request or claim has.
+        """Return a unique identifier for a request or a claim nonce.
 
-        It must not come from `rng`: boxes may be given the same seed, and a nonce that two boxes
-        share would let both run one request.
+        It must not come from `rng`: boxes may have the same seed, and a nonce that two boxes share
+        would let both run one request.
         """
         return uuid.uuid4().hex
 
-    def synced(self) -> bool:
-        """Tell whether the view was once whole: read from the platform or a ready peer."""
+    def is_synced(self) -> bool:
+        """Tell whether the view was once complete, read from the platform or from a ready peer."""
         return self.feed.synced or self.gossip.agreed_with_ready_peer
 
-    def isolated(self) -> bool:
-        """Tell whether this box is cut off from platform and peers, and so hears of no drain.
+    def is_isolated(self) -> bool:
+        """Tell whether this box has lost contact with the platform and all peers.
 
-        A box that knows of no others has only the platform, whose outage it serves through.
+        An isolated box does not learn that endpoints are draining. A box that knows no other box
+        never counts as isolated: it depends on the platform alone and serves during its outages.
         """
         age = self.gossip.contact_age_s()
         limit_s = self.settings.isolation_s
         if age is not None and age <= limit_s:
             return False
         members = self.gossip.members
-        alone = not members.heard_within(limit_s, self.clock.monotonic())
-        return alone and members.expects_others
+        hears_no_peer = not members.heard_within(limit_s, self.clock.monotonic())
+        return hears_no_peer and members.expects_others
 
     def may_serve(self) -> bool:
-        """Tell whether the view is good enough to serve by."""
-        return self.synced() and not self.isolated()
+        """Tell whether the view is complete and recent enough to serve requests."""
+        return self.is_synced() and not self.is_isolated()
 
-    def ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
+    def is_ready(self) -> bool:
+        """Tell whether the load balancer should send callers to this box."""
         return self.may_serve() and not self.lifecycle.leaving
 
     def log_updates(self, updates: list[ViewUpdate]) -> None:
-        """Log what has come into force."""
+        """Log objects that came into force and the problems found in them."""
         for update in updates:
             events.emit(log, events.VIEW_CHANGED, key=update.key, version=update.version)
             for problem in self.view.problems.get(update.key, []):
                 events.emit(log, events.VIEW_PROBLEM, problem=str(problem))
 
     def status(self) -> dict[str, Any]:
-        """Return what operators see of this box."""
+        """Return the state of this box for operators, as in `GET /admin/v1/status`."""
         return {
             'box': self.settings.box,
             'failure_domain': self.settings.failure_domain,
-            'ready': self.ready(),
+            'ready': self.is_ready(),
             'leaving': self.lifecycle.leaving,
-            'relaying': self.roles.is_relaying,
+            'relaying': self.relay_controller.is_relaying,
             'contact_age_s': self.gossip.contact_age_s(),
             'config_digest': f'{self.view.digest:016x}',
             'objects': len(self.view.entries),
--- a/packages/daemon/calicopathd/http/tests/callers_tests.py
+++ b/packages/daemon/calicopathd/http/tests/callers_tests.py
@@ -1,4 +1,4 @@
-"""Test the callers' interface over real connections."""
+"""Test the callers' HTTP interface over real connections."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Answer(NamedTuple):
-    """Hold an HTTP answer."""
+    """Hold the response to a request."""
 
     status: int
     headers: dict[str, str]
@@ -35,8 +35,10 @@
         return found
 
 
-async def ask(around: Surroundings, path: str, body: Any, key: str | None = None) -> Answer:
-    """Send a request; a dict is sent as JSON, bytes as they are."""
+async def post_request(
+    around: Surroundings, path: str, body: Any, key: str | None = None
+) -> Answer:
+    """Post a request body, as JSON unless it is bytes."""
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     headers = {'Idempotency-Key': key} if key else {}
     async with around.session.post(around.url + path, data=data, headers=headers) as answer:
@@ -47,7 +49,7 @@
     def with_box(
         self, work: Callable[[BoxRunner, Surroundings], Awaitable[None]], **flags: str
     ) -> None:
-        """Run something against a running box."""
+        """Run `work` against a running box that has these settings."""
 
         async def scenario() -> None:
             async with running_box(**flags) as (runner, around):
@@ -59,7 +61,7 @@
 class Answers(CallersCase):
     def test_an_answer_in_one_piece_has_stages_and_digest(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
-            answer = await ask(around, PATH + 'answer/requests', {'input': 'ਕਿੱਥੇ? پھاٹک'})
+            answer = await post_request(around, PATH + 'answer/requests', {'input': 'ਕਿੱਥੇ? پھاٹک'})
             self.assertEqual(200, answer.status)
             self.assertTrue(answer.json['output'].startswith('ਕਿੱਥੇ? پھاٹک —'))
             self.assertEqual(4, len(answer.json['stages']))
@@ -72,7 +74,7 @@
     def test_a_stream_ends_with_the_whole_answer(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
             body = {'input': 'Напомняне 🚤', 'stream': True}
-            answer = await ask(around, PATH + 'answer/requests', body)
+            answer = await post_request(around, PATH + 'answer/requests', body)
             self.assertEqual('text/event-stream', answer.headers['Content-Type'])
             text, final = read_events(answer.body.decode())
             self.assertEqual(text, final['output'])
@@ -84,7 +86,7 @@
             runner.box.executor.context.budget.tokens = 0
             around.engine.cut_after = 3
             body = {'input': 'Where may we moor?', 'stream': True}
-            answer = await ask(around, PATH + 'answer/requests', body)
+            answer = await post_request(around, PATH + 'answer/requests', body)
             text, final = read_events(answer.body.decode())
             self.assertTrue('Where may we moor?'.startswith(text))
             self.assertEqual('failed-may-have-run', final['outcome'])
@@ -92,13 +94,13 @@
 
         self.with_box(work)
 
-    def test_a_request_run_once_answers_again_from_the_store(self) -> None:
+    def test_a_repeated_request_is_answered_from_the_store(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
             key = new_key()
-            first = await ask(around, PATH + 'act/requests', {'input': 'charge'}, key)
+            first = await post_request(around, PATH + 'act/requests', {'input': 'charge'}, key)
             await asyncio.gather(*runner.box.executor.late)
-            again = await ask(around, PATH + 'act/requests', {'input': 'charge'}, key)
-            other = await ask(around, PATH + 'act/requests', {'input': 'charge more'}, key)
+            again = await post_request(around, PATH + 'act/requests', {'input': 'charge'}, key)
+            other = await post_request(around, PATH + 'act/requests', {'input': 'charge more'}, key)
             self.assertEqual([200, 200, 422], [first.status, again.status, other.status])
             self.assertTrue(again.json['replayed'])
             self.assertEqual(1, around.service.ran[key])
@@ -107,7 +109,7 @@
 
 
 class BadInput(CallersCase):
-    def test_each_kind_has_its_status_and_the_box_goes_on(self) -> None:
+    def test_each_kind_of_bad_request_has_its_status_and_the_box_keeps_serving(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
             good = {'input': 'x'}
             cases: list[tuple[str, Any, int]] = [
@@ -128,14 +130,14 @@
                 (PATH + 'act/requests', good, 400),
             ]
             for path, body, status in cases:
-                answer = await ask(around, path, body)
+                answer = await post_request(around, path, body)
                 self.assertEqual(status, answer.status, str(body)[:40])
                 self.assertEqual('application/problem+json', answer.headers['Content-Type'])
                 self.assertEqual('refused-not-run', answer.json['outcome'])
-            long_key = await ask(around, PATH + 'act/requests', good, 'k' * 100)
+            long_key = await post_request(around, PATH + 'act/requests', good, 'k' * 100)
             self.assertEqual(400, long_key.status)
             self.assertEqual({}, around.engine.asked)
-            answer = await ask(around, PATH + 'answer/requests', good)
+            answer = await post_request(around, PATH + 'answer/requests', good)
             self.assertEqual(200, answer.status)
 
         self.with_box(work, max_body_bytes='4096')
@@ -143,14 +145,14 @@
     def test_a_field_given_twice_is_refused_and_named(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
             body = b'{"input": "moor here?", "input": "or there?"}'
-            answer = await ask(around, PATH + 'answer/requests', body)
+            answer = await post_request(around, PATH + 'answer/requests', body)
             self.assertEqual(400, answer.status)
             self.assertEqual('urn:calicopath:problem:repeated-field', answer.json['type'])
             self.assertIn('input', answer.json['detail'])
 
         self.with_box(work)
 
-    def test_headers_that_are_too_large_are_told_from_a_body_that_is(self) -> None:
+    def test_oversized_headers_and_oversized_bodies_have_different_problem_types(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
             path = f'{around.url}{PATH}answer/requests'
             large = {'X-Large': 'x' * 30_000}
@@ -158,28 +160,28 @@
                 found = await answer.json(content_type=None)
             self.assertEqual(431, answer.status)
             self.assertEqual('urn:calicopath:problem:head-too-large', found['type'])
-            body = await ask(around, PATH + 'answer/requests', b'x' * 5000)
+            body = await post_request(around, PATH + 'answer/requests', b'x' * 5000)
             self.assertEqual('urn:calicopath:problem:body-too-large', body.json['type'])
 
         self.with_box(work, max_body_bytes='4096')
 
     def test_problems_are_named_in_plain_words_and_no_header_is_empty(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
-            unknown = await ask(around, '/v1/else', {'input': 'x'})
+            unknown = await post_request(around, '/v1/else', {'input': 'x'})
             self.assertEqual('urn:calicopath:problem:unknown-path', unknown.json['type'])
-            answer = await ask(around, PATH + 'answer/requests', {'input': 'x'})
+            answer = await post_request(around, PATH + 'answer/requests', {'input': 'x'})
             for found in (unknown, answer):
                 self.assertNotIn('', found.headers.values())
 
         self.with_box(work)
 
-    def test_a_refusal_names_no_inner_address_and_says_when_to_come_back(self) -> None:
+    def test_a_refusal_names_no_internal_address_and_has_a_retry_time(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
             for name, entry in list(runner.box.view.entries.items()):
                 if name.startswith('config/endpoints/') and entry.spec is not None:
                     spec = entry.spec | {'address': 'http://127.0.0.1:9'}
                     runner.box.view.apply(ViewUpdate(name, entry.version + 1, spec))
-            answer = await ask(around, PATH + 'answer/requests', {'input': 'x'})
+            answer = await post_request(around, PATH + 'answer/requests', {'input': 'x'})
             self.assertEqual(503, answer.status)
             self.assertEqual('refused-not-run', answer.json['outcome'])
             for inner in ('127.0.0.1', 'Error', '('):
@@ -188,10 +190,10 @@
 
         self.with_box(work)
 
-    def test_a_refusal_says_when_to_come_back(self) -> None:
+    def test_a_refusal_has_a_retry_time(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
             around.platform.faults.down = True
-            answer = await ask(around, PATH + 'act/requests', {'input': 'x'}, new_key())
+            answer = await post_request(around, PATH + 'act/requests', {'input': 'x'}, new_key())
             self.assertEqual(503, answer.status)
             self.assertEqual('2', answer.headers['Retry-After'])
             self.assertEqual('refused-not-run', answer.json['outcome'])
@@ -201,26 +203,26 @@
     def test_a_pipeline_whose_template_is_gone_is_refused_as_not_run(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
             runner.box.view.apply(ViewUpdate('config/templates/answer', 999, None))
-            answer = await ask(around, PATH + 'answer/requests', {'input': 'x'})
+            answer = await post_request(around, PATH + 'answer/requests', {'input': 'x'})
             self.assertEqual(503, answer.status)
             self.assertEqual('configuration invalid', answer.json['title'])
             self.assertEqual('refused-not-run', answer.json['outcome'])
 
         self.with_box(work)
 
-    def test_a_fault_of_the_box_is_not_called_a_refusal(self) -> None:
+    def test_an_internal_error_is_not_reported_as_a_refusal(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
             runner.box.executor = None  # type: ignore[assignment]
-            answer = await ask(around, PATH + 'answer/requests', {'input': 'x'})
+            answer = await post_request(around, PATH + 'answer/requests', {'input': 'x'})
             self.assertEqual(500, answer.status)
             self.assertEqual('failed-may-have-run', answer.json['outcome'])
 
         self.with_box(work)
 
-    def test_a_key_of_an_old_day_is_taken_as_long_as_nothing_newer_was_dropped(self) -> None:
+    def test_a_key_made_long_ago_is_accepted_while_no_newer_claim_was_deleted(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
             key = uuid7(1_700_000_000.0)
-            answer = await ask(around, PATH + 'act/requests', {'input': 'x'}, key)
+            answer = await post_request(around, PATH + 'act/requests', {'input': 'x'}, key)
             self.assertEqual(200, answer.status)
 
         self.with_box(work)
@@ -244,7 +246,7 @@
             await runner.leave()
             async with around.session.get(around.url + '/readyz') as answer:
                 self.assertEqual(503, answer.status)
-            refused = await ask(around, PATH + 'answer/requests', {'input': 'x'})
+            refused = await post_request(around, PATH + 'answer/requests', {'input': 'x'})
             self.assertEqual(503, refused.status)
             self.assertEqual('refused-not-run', refused.json['outcome'])
 
@@ -264,7 +266,7 @@
 
     def test_metrics_health_status_and_versions_are_served(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
-            await ask(around, PATH + 'answer/requests', {'input': 'x'})
+            await post_request(around, PATH + 'answer/requests', {'input': 'x'})
             async with around.session.get(around.url + '/metrics') as answer:
                 text = await answer.text()
             self.assertIn('calicopath_requests_total', text)
