--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -18,7 +18,7 @@
 from calicopath_core.claims.keys import body_digest
 from calicopath_core.claims.registry import ClaimRegistry
 from calicopath_core.execution.attempts import StageContext
-from calicopath_core.execution.door import Door
+from calicopath_core.execution.admission import PipelineAdmission
 from calicopath_core.execution.executor import PipelineExecutor
 from calicopath_core.execution.requests import NullObserver, PipelineRequest, TokenSink
 from calicopath_core.limits.concurrency import FixedLimit, GradientLimit
@@ -115,7 +115,7 @@
             backends=self.backends,
             clock=self.clock,
             policy=variant.policy,
-            budget=self.budget,
+            retry_budget=self.budget,
             observer=NullObserver(),
             lag=self.lag,
             crashes=new_guard(),
@@ -123,9 +123,9 @@
         local = LocalExecutor(store=self.store, clock=self.clock)
         executor = world.claim_executor(local)
         claims = ClaimRegistry(local=local, executor=executor, new_nonce=world.new_id)
-        margin = variant.policy.door_margin if variant.door else 0.0
-        door = Door(pools=self.pools, margin=margin, lag=self.lag)
-        self.executor = PipelineExecutor(context=context, door=door, claims=claims)
+        margin = variant.policy.admission_margin if variant.door else 0.0
+        admission = PipelineAdmission(pools=self.pools, margin=margin, lag=self.lag)
+        self.executor = PipelineExecutor(context=context, admission=admission, claims=claims)
         self.tasks: set[asyncio.Task[AnyOutcome]] = set()
 
     def new_pool(self, service: str) -> ServicePool:
@@ -283,12 +283,12 @@
         request = PipelineRequest(
             id=request_id,
             text=text,
-            arrived=asyncio.get_running_loop().time(),
+            arrived_at=asyncio.get_running_loop().time(),
             deadline=arrived + DEADLINE_S,
             priority=plan.priority,
             repeatable=True,
             key=key,
-            body=body_digest(text.encode()),
+            body_digest=body_digest(text.encode()),
         )
         task = asyncio.get_running_loop().create_task(box.handle(request, plan, sink))
         box.tasks.add(task)
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -25,9 +25,9 @@
 COST = Variant('cost', policy=policy_for(Objective.COST))
 ABLATIONS = (
     Variant('affinity', policy=OURS._replace(affinity=True)),
-    Variant('margin-1.0', policy=OURS._replace(door_margin=1.0)),
-    Variant('margin-1.2', policy=OURS._replace(door_margin=1.2)),
-    Variant('margin-1.5', policy=OURS._replace(door_margin=1.5)),
+    Variant('margin-1.0', policy=OURS._replace(admission_margin=1.0)),
+    Variant('margin-1.2', policy=OURS._replace(admission_margin=1.2)),
+    Variant('margin-1.5', policy=OURS._replace(admission_margin=1.5)),
     Variant('random', selector='random'),
     Variant('two-choices', selector='two-choices'),
     Variant('least-loaded', selector='least-loaded'),
--- a/packages/cli/calicopath_cli/commands/endpoints.py
+++ b/packages/cli/calicopath_cli/commands/endpoints.py
@@ -12,7 +12,7 @@
 from calicopath_cli.utils.operator import Operator, Options, open_operator
 from calicopath_cli.utils.output import OutputFormat, print_json, print_rows
 from calicopath_core.config.parsers import parse_endpoint
-from calicopath_core.store.base import ABSENT, StoredObject
+from calicopath_core.store.base import ABSENT_VERSION, StoredObject
 from calicopath_core.store.records import ChangeAction
 from calicopath_core.structure.endpoints import EndpointState
 from calicopath_core.structure.keys import ENDPOINT_PREFIX, endpoint_key
@@ -46,7 +46,7 @@
         found = await operator.store.get(key)
         if found is not None and is_active(found):
             raise InvalidInput(f'{key}: exists already')
-        version = found.version if found else ABSENT
+        version = found.version if found else ABSENT_VERSION
         accepted = await operator.change(key, spec, ChangeAction.ADD, version)
         await report(operator, accepted, 'active', wait_s)
 
--- a/packages/cli/calicopath_cli/utils/operator.py
+++ b/packages/cli/calicopath_cli/utils/operator.py
@@ -19,7 +19,7 @@
     ChangeError,
     ChangeWriter,
     Conflict,
-    Unsettled,
+    Unconfirmed,
 )
 from calicopath_core.store.records import Change, ChangeAction
 
@@ -80,7 +80,7 @@
     error = result.failure()
     if isinstance(error, Conflict):
         raise ChangeConflict(describe_conflict(error))
-    if isinstance(error, Unsettled):
+    if isinstance(error, Unconfirmed):
         raise ChangeUnsettled(
             f'{error.key}: change {error.change_id} may or may not have been accepted '
             f'({error.detail}); look for it with: calicopath audit --key {error.key}'
--- a/packages/core/calicopath_core/claims/groups.py
+++ b/packages/core/calicopath_core/claims/groups.py
@@ -19,7 +19,7 @@
 )
 from calicopath_core.store import versions
 from calicopath_core.store.base import (
-    ABSENT,
+    ABSENT_VERSION,
     StoreUnavailable,
     VersionConflict,
     WriteUnknown,
@@ -84,7 +84,7 @@
         self.total_written_bytes = 0
         self.waiting: deque[WaitingOp] = deque()
         self.version: int | None = None
-        self.last_seen_version = ABSENT
+        self.last_seen_version = ABSENT_VERSION
         self.needs_rewrite = False
         self.value = GroupValue(threshold_ms=0, claims={})
         self.task: asyncio.Task[None] | None = None
@@ -177,7 +177,7 @@
         """Read the group; if the store was restored from an older copy, merge in what it lost."""
         stored = await self.store.get(self.key)
         value = GroupValue(threshold_ms=0, claims={})
-        self.version = ABSENT
+        self.version = ABSENT_VERSION
         if stored is not None:
             value = msgspec.convert(stored.value, GroupValue)
             self.version = stored.version
@@ -189,7 +189,7 @@
 
     def was_restored(self, version: int) -> bool:
         """Return whether the store was restored from an older copy since the last access."""
-        if self.last_seen_version == ABSENT:
+        if self.last_seen_version == ABSENT_VERSION:
             return False
         is_other_era = versions.split(version).era != versions.split(self.last_seen_version).era
         return is_other_era or version < self.last_seen_version
--- a/packages/core/calicopath_core/config/documents.py
+++ b/packages/core/calicopath_core/config/documents.py
@@ -19,7 +19,7 @@
     from calicopath_core.structure.endpoints import Endpoint
     from calicopath_core.structure.stages import PipelineSpec, Template
 
-KINDS = ('template', 'pipeline', 'endpoint')
+DOCUMENT_KINDS = ('template', 'pipeline', 'endpoint')
 
 
 class Document(NamedTuple):
@@ -48,28 +48,28 @@
         self.endpoints: dict[str, Endpoint] = {}
         self.keys: set[str] = set()
         for key, spec in (in_force or {}).items():
-            self.remember(key, spec)
+            self.add_in_force(key, spec)
 
-    def remember(self, key: str, spec: dict[str, Any]) -> None:
+    def add_in_force(self, key: str, spec: dict[str, Any]) -> None:
         """Take note of an object in force, which new documents may refer to."""
         if spec.get('kind') == 'template':
-            parse_template(spec, key).map(self.keep_template)
+            parse_template(spec, key).map(self.store_template)
         elif spec.get('kind') == 'endpoint':
-            parse_endpoint(spec, key).map(self.keep_endpoint)
+            parse_endpoint(spec, key).map(self.store_endpoint)
         elif spec.get('kind') == 'pipeline':
             parse_pipeline(spec, key).map(lambda found: self.pipelines.append((found, key)))
 
-    def keep_template(self, template: Template) -> str:
+    def store_template(self, template: Template) -> str:
         """Hold a template and return its key."""
         self.templates[template.name] = template
         return template_key(template.name)
 
-    def keep_endpoint(self, endpoint: Endpoint) -> str:
+    def store_endpoint(self, endpoint: Endpoint) -> str:
         """Hold an endpoint and return its key."""
         self.endpoints[endpoint.name] = endpoint
         return endpoint_key(endpoint.name)
 
-    def keep_pipeline(self, spec: PipelineSpec, source: str) -> str:
+    def store_pipeline(self, spec: PipelineSpec, source: str) -> str:
         """Hold a pipeline in place of the one in force and return its key."""
         key = pipeline_key(spec.workspace, spec.name)
         self.pipelines = [
@@ -83,15 +83,15 @@
     def add(self, raw: RawDocument) -> None:
         """Check one document by itself."""
         kind = raw.data.get('kind') if isinstance(raw.data, dict) else None
-        if kind not in KINDS:
-            message = f'must be one of {", ".join(KINDS)}'
+        if kind not in DOCUMENT_KINDS:
+            message = f'must be one of {", ".join(DOCUMENT_KINDS)}'
             self.problems.append(Problem(raw.source, 'kind', message))
             return
         parsers: dict[str, Callable[[], Result[str, list[Problem]]]] = {
-            'template': lambda: parse_template(raw.data, raw.source).map(self.keep_template),
-            'endpoint': lambda: parse_endpoint(raw.data, raw.source).map(self.keep_endpoint),
+            'template': lambda: parse_template(raw.data, raw.source).map(self.store_template),
+            'endpoint': lambda: parse_endpoint(raw.data, raw.source).map(self.store_endpoint),
             'pipeline': lambda: parse_pipeline(raw.data, raw.source).map(
-                lambda spec: self.keep_pipeline(spec, raw.source)
+                lambda spec: self.store_pipeline(spec, raw.source)
             ),
         }
         result = parsers[kind]()
@@ -137,7 +137,7 @@
     """Read every YAML document of the given files; folders are read whole."""
     documents: list[RawDocument] = []
     problems: list[Problem] = []
-    for path in expand(paths):
+    for path in expand_folders(paths):
         try:
             found = list(yaml.safe_load_all(path.read_text(encoding='utf-8')))
         except (OSError, UnicodeDecodeError, yaml.YAMLError) as error:
@@ -149,7 +149,7 @@
     return Failure(problems) if problems else Success(documents)
 
 
-def expand(paths: Iterable[Path]) -> list[Path]:
+def expand_folders(paths: Iterable[Path]) -> list[Path]:
     """Replace each folder by the YAML files in it, in order of name."""
     files: list[Path] = []
     for path in paths:
--- a/packages/core/calicopath_core/config/parsers.py
+++ b/packages/core/calicopath_core/config/parsers.py
@@ -8,7 +8,7 @@
 
 from returns.result import Failure, Result, Success
 
-from calicopath_core.config.fields import Fields
+from calicopath_core.config.fields import FieldReader
 from calicopath_core.config.problems import Problem, ProblemList
 from calicopath_core.structure.endpoints import Endpoint, EndpointState
 from calicopath_core.structure.stages import (
@@ -29,7 +29,7 @@
 DEFAULT_PRIORITY = 5
 MAX_CONCURRENCY = 4096
 MAX_STAGES = 8
-REFERENCE = re.compile(r'\$\{([^}]*)\}')
+PARAMETER_REFERENCE = re.compile(r'\$\{([^}]*)\}')
 
 PYTHON_TYPES: dict[ParameterType, tuple[type, ...]] = {
     ParameterType.STRING: (str,),
@@ -46,23 +46,23 @@
     return isinstance(value, PYTHON_TYPES[kind])
 
 
-def references(value: Any) -> Iterator[str]:
+def parameter_references(value: Any) -> Iterator[str]:
     """Yield the names of the parameters that `value` refers to, at any depth."""
     if isinstance(value, str):
-        yield from REFERENCE.findall(value)
+        yield from PARAMETER_REFERENCE.findall(value)
     elif isinstance(value, dict):
         for item in value.values():
-            yield from references(item)
+            yield from parameter_references(item)
     elif isinstance(value, list):
         for item in value:
-            yield from references(item)
+            yield from parameter_references(item)
 
 
 def parse_template(data: Any, source: str) -> Result[Template, list[Problem]]:
     """Check a template document and return it, or all its problems."""
     problems = ProblemList(source=source)
-    fields = Fields(data=data, path='', problems=problems)
-    fields.take('kind')
+    fields = FieldReader(data=data, path='', problems=problems)
+    fields.raw('kind')
     name = fields.name('name')
     parameters = tuple(
         parse_parameter(key, item, f'parameters.{key}', problems)
@@ -81,10 +81,10 @@
 
 def parse_parameter(name: str, data: Any, path: str, problems: ProblemList) -> Parameter:
     """Read the declaration of one parameter."""
-    fields = Fields(data=data, path=path, problems=problems)
+    fields = FieldReader(data=data, path=path, problems=problems)
     kind = ParameterType(fields.choice('type', [item.value for item in ParameterType]))
     required = 'default' not in fields.data
-    default = fields.take('default')
+    default = fields.raw('default')
     doc = fields.text('doc', '')
     fields.finish()
     if not required and not has_type(default, kind):
@@ -94,7 +94,7 @@
 
 def parse_stage(data: Any, path: str, problems: ProblemList) -> StageTemplate:
     """Read the declaration of one stage."""
-    fields = Fields(data=data, path=path, problems=problems)
+    fields = FieldReader(data=data, path=path, problems=problems)
     stage = StageTemplate(
         name=fields.name('name'),
         kind=StageKind(fields.choice('kind', [item.value for item in StageKind])),
@@ -121,7 +121,7 @@
         if stage.name and stage.name in names:
             problems.add(f'stages[{index}].name', f'{stage.name!r} is used twice')
         names.add(stage.name)
-        for reference in references(stage.params):
+        for reference in parameter_references(stage.params):
             if reference not in known:
                 problems.add(f'stages[{index}].params', f'unknown parameter {reference!r}')
     if sum(not stage.repeatable for stage in stages) > 1:
@@ -131,13 +131,13 @@
 def parse_pipeline(data: Any, source: str) -> Result[PipelineSpec, list[Problem]]:
     """Check a pipeline document by itself; the template is checked by `resolve_plan`."""
     problems = ProblemList(source=source)
-    fields = Fields(data=data, path='', problems=problems)
-    fields.take('kind')
+    fields = FieldReader(data=data, path='', problems=problems)
+    fields.raw('kind')
     spec = PipelineSpec(
         workspace=fields.name('workspace'),
         name=fields.name('name'),
         template=fields.name('template'),
-        parameters=read_parameters(fields, problems),
+        parameters=parse_parameter_values(fields, problems),
         deadline_ms=fields.integer('deadline_ms', low=1, high=MAX_DEADLINE_MS),
         priority=fields.integer('priority', low=0, high=MAX_PRIORITY, default=DEFAULT_PRIORITY),
     )
@@ -145,7 +145,7 @@
     return Failure(problems.problems) if problems.problems else Success(spec)
 
 
-def read_parameters(fields: Fields, problems: ProblemList) -> dict[str, ParameterValue]:
+def parse_parameter_values(fields: FieldReader, problems: ProblemList) -> dict[str, ParameterValue]:
     """Read the parameters of a pipeline, which must be plain values."""
     values = fields.mapping('parameters')
     for name, value in values.items():
@@ -157,8 +157,8 @@
 def parse_endpoint(data: Any, source: str) -> Result[Endpoint, list[Problem]]:
     """Check an endpoint document and return it, or all its problems."""
     problems = ProblemList(source=source)
-    fields = Fields(data=data, path='', problems=problems)
-    fields.take('kind')
+    fields = FieldReader(data=data, path='', problems=problems)
+    fields.raw('kind')
     endpoint = Endpoint(
         name=fields.name('name'),
         service=fields.name('service'),
--- a/packages/core/calicopath_core/config/plans.py
+++ b/packages/core/calicopath_core/config/plans.py
@@ -8,7 +8,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from calicopath_core.config.parsers import REFERENCE, has_type
+from calicopath_core.config.parsers import PARAMETER_REFERENCE, has_type
 from calicopath_core.config.problems import Problem, ProblemList
 from calicopath_core.structure.stages import Plan, StagePlan
 
@@ -20,7 +20,7 @@
         Template,
     )
 
-DIGEST_LENGTH = 16
+PLAN_DIGEST_DIGITS = 16
 """Hexadecimal digits of a plan's digest."""
 
 
@@ -29,13 +29,13 @@
 ) -> Result[Plan, list[Problem]]:
     """Return the plan of a pipeline, or every reason why there is none."""
     problems = ProblemList(source=source)
-    values = fill_parameters(spec, template, problems)
+    values = resolve_parameters(spec, template, problems)
     needed_ms = sum(stage.expected_ms for stage in template.stages)
     if spec.deadline_ms < needed_ms:
         problems.add('deadline_ms', f"{spec.deadline_ms} is below the stages' {needed_ms}")
     if problems.problems:
         return Failure(problems.problems)
-    stages = tuple(fill_stage(stage, values) for stage in template.stages)
+    stages = tuple(resolve_stage(stage, values) for stage in template.stages)
     return Success(
         Plan(
             workspace=spec.workspace,
@@ -48,7 +48,7 @@
     )
 
 
-def fill_parameters(
+def resolve_parameters(
     spec: PipelineSpec, template: Template, problems: ProblemList
 ) -> dict[str, ParameterValue]:
     """Return a value for each parameter of the template, noting what is wrong."""
@@ -69,7 +69,7 @@
     return values
 
 
-def fill_stage(stage: StageTemplate, values: dict[str, ParameterValue]) -> StagePlan:
+def resolve_stage(stage: StageTemplate, values: dict[str, ParameterValue]) -> StagePlan:
     """Return a stage with its parameters filled in."""
     return StagePlan(
         name=stage.name,
@@ -89,10 +89,10 @@
         return [substitute(item, values) for item in value]
     if not isinstance(value, str):
         return value
-    whole = REFERENCE.fullmatch(value)
+    whole = PARAMETER_REFERENCE.fullmatch(value)
     if whole:
         return values[whole.group(1)]
-    return REFERENCE.sub(lambda match: str(values[match.group(1)]), value)
+    return PARAMETER_REFERENCE.sub(lambda match: str(values[match.group(1)]), value)
 
 
 def plan_digest(spec: PipelineSpec, stages: tuple[StagePlan, ...]) -> str:
@@ -105,4 +105,4 @@
         'stages': [stage._asdict() for stage in stages],
     }
     encoded = msgspec.json.encode(data, order='sorted')
-    return hashlib.sha256(encoded).hexdigest()[:DIGEST_LENGTH]
+    return hashlib.sha256(encoded).hexdigest()[:PLAN_DIGEST_DIGITS]
--- a/packages/core/calicopath_core/execution/door.py
+++ b/packages/core/calicopath_core/execution/admission.py
@@ -12,14 +12,14 @@
     from calicopath_core.structure.stages import Plan
 
 MIN_RETRY_AFTER_S = 0.1
-BUSY_RETRY_S = 0.5
+LAGGING_BOX_RETRY_S = 0.5
 """When to come back to a box that has more to do than its processor can."""
 
 NO_ENDPOINT_RETRY_S = 5.0
 """When to come back while a service has no active endpoint; operators work in seconds."""
 
 
-class Door:
+class PipelineAdmission:
     """Estimate what a request needs, stage by stage, and compare it with what it has.
 
     A refused request has cost no endpoint anything.
@@ -54,8 +54,8 @@
         """Refuse what the queues would make late; say when they should have drained."""
         if self.lag.is_too_high:
             detail = f'this box is {self.lag.value_s:.3f} s behind'
-            return Refused(RefusalReason.OVERLOADED, detail, BUSY_RETRY_S)
-        needed_s = self.estimate(plan, priority)
+            return Refused(RefusalReason.OVERLOADED, detail, LAGGING_BOX_RETRY_S)
+        needed_s = self.estimated_response_s(plan, priority)
         excess_s = now + needed_s * self.margin - deadline
         if excess_s <= 0:
             return None
@@ -65,7 +65,7 @@
             max(MIN_RETRY_AFTER_S, excess_s),
         )
 
-    def estimate(self, plan: Plan, priority: int) -> float:
+    def estimated_response_s(self, plan: Plan, priority: int) -> float:
         """Estimate the seconds until a request that comes now is answered.
 
         A queue in front of a later stage drains while the earlier stages run.
--- a/packages/core/calicopath_core/execution/attempts.py
+++ b/packages/core/calicopath_core/execution/attempts.py
@@ -13,7 +13,7 @@
 )
 from calicopath_core.crashes.fate import EndpointCrashProbe
 from calicopath_core.execution.requests import CallResult
-from calicopath_core.execution.run import Run, StageFailed
+from calicopath_core.execution.run import PipelineRun, StageFailed
 from calicopath_core.routing.pools import NoEndpoint, NoFreeSlot, Slot, SlotRequest
 from calicopath_core.structure.outcomes import FailureReason
 from calicopath_core.structure.stages import StageKind
@@ -31,10 +31,10 @@
     from calicopath_core.routing.registry import PoolRegistry
     from calicopath_core.structure.stages import StagePlan
 
-LATE_FACTOR = 2.0
+LATE_CALL_FACTOR = 2.0
 """A call that took this many times longer than it should tells that its endpoint is failing."""
 
-NO_ENDPOINT_RETRY_S = 1.0
+FAILED_STAGE_RETRY_S = 1.0
 
 
 class TimedOut(MayHaveRun):
@@ -48,7 +48,7 @@
     backends: Backends
     clock: Clock
     policy: ExecutionPolicy
-    budget: RetryBudget
+    retry_budget: RetryBudget
     observer: Observer
     lag: LoopLag
     crashes: CrashGuard
@@ -58,31 +58,31 @@
     """Hold a stage's share of the time left; times are on the monotonic clock, in seconds."""
 
     stage: StagePlan
-    stop_at: float
+    deadline: float
     expected_s: float
 
     @property
     def latest_start(self) -> float:
         """Return the time after which the stage cannot be answered in time."""
-        return self.stop_at - self.expected_s
+        return self.deadline - self.expected_s
 
 
-def stage_budget(run: Run, index: int, slowness: float) -> StageBudget:
+def stage_budget(run: PipelineRun, index: int, slowness: float) -> StageBudget:
     """Leave later stages what they need when unloaded, and give the rest to this one."""
     stage = run.plan.stages[index]
     later_s = sum(later.expected_s for later in run.plan.stages[index + 1 :])
     return StageBudget(
         stage=stage,
-        stop_at=run.request.deadline - later_s,
+        deadline=run.request.deadline - later_s,
         expected_s=stage.expected_s * max(1.0, slowness),
     )
 
 
 async def acquire_slot(
-    context: StageContext, run: Run, budget: StageBudget, tried: set[str]
+    context: StageContext, run: PipelineRun, budget: StageBudget, tried: set[str]
 ) -> Slot:
     """Get a slot for a stage, turning a refusal into the stage's failure."""
-    check_sendable(context, run, budget)
+    check_not_blocked(context, run, budget)
     pool = context.pools.pool(budget.stage.service)
     request = SlotRequest(
         workspace=run.plan.workspace,
@@ -91,30 +91,30 @@
         latest_start=budget.latest_start,
         expected_s=budget.stage.expected_s,
         exclude=frozenset(tried),
-        affinity=affinity_of(context, run, budget),
+        affinity=affinity_key(context, run, budget),
     )
     try:
         slot = await pool.acquire(request)
     except NoEndpoint as error:
         raise StageFailed(
-            FailureReason.NO_ENDPOINT, str(error), retry_after_s=NO_ENDPOINT_RETRY_S
+            FailureReason.NO_ENDPOINT, str(error), retry_after_s=FAILED_STAGE_RETRY_S
         ) from error
     except NoFreeSlot as error:
         raise StageFailed(
             FailureReason.OVERLOADED, str(error), retry_after_s=error.retry_after_s
         ) from error
-    run.got_slot(budget.stage)
+    run.remove_pending(budget.stage)
     return slot
 
 
-def affinity_of(context: StageContext, run: Run, budget: StageBudget) -> str | None:
+def affinity_key(context: StageContext, run: PipelineRun, budget: StageBudget) -> str | None:
     """Return the prompt prefix that an engine may have cached, if calls are to follow it."""
     if not context.policy.affinity or budget.stage.kind is not StageKind.ENGINE:
         return None
     return run.plan.digest
 
 
-def check_sendable(context: StageContext, run: Run, budget: StageBudget) -> None:
+def check_not_blocked(context: StageContext, run: PipelineRun, budget: StageBudget) -> None:
     """Fail a stage whose endpoints have ended too often under what the request asks."""
     wait_s = context.crashes.blocked_s(run.content, [budget.stage.service])
     if wait_s is not None:
@@ -124,7 +124,7 @@
 
 async def note_crash(
     context: StageContext,
-    run: Run,
+    run: PipelineRun,
     slot: Slot,
     service: str,
     error: MayHaveRun,
@@ -133,20 +133,20 @@
 ) -> None:
     """Find out whether an endpoint has ended, before the request is sent once more."""
     if isinstance(error, ConnectionBroken):
-        fate = EndpointCrashProbe(reach=context.backends.prober, endpoint=slot.endpoint)
+        probe = EndpointCrashProbe(reach=context.backends.prober, endpoint=slot.endpoint)
         await context.crashes.on_failed(
-            [run.content], service, fate, error, run_started_at=run.sent_at, answered=answered
+            [run.content], service, probe, error, run_started_at=run.last_sent_at, answered=answered
         )
 
 
 def check_time_left(context: StageContext, budget: StageBudget) -> None:
     """Fail a stage whose time is over."""
-    if context.clock.monotonic() >= budget.stop_at:
+    if context.clock.monotonic() >= budget.deadline:
         detail = f'stage {budget.stage.name!r} was not answered in time'
         raise StageFailed(FailureReason.DEADLINE_PASSED, detail)
 
 
-def endpoint_failed(
+def stage_failure(
     budget: StageBudget,
     last: Exception | None,
     reason: FailureReason = FailureReason.ENDPOINT_FAILED,
@@ -156,7 +156,7 @@
         detail = f'no endpoint of stage {budget.stage.name!r} could be reached'
     else:
         detail = f'an endpoint of stage {budget.stage.name!r} gave no whole answer'
-    return StageFailed(reason, detail, retry_after_s=NO_ENDPOINT_RETRY_S, cause=str(last))
+    return StageFailed(reason, detail, retry_after_s=FAILED_STAGE_RETRY_S, cause=str(last))
 
 
 class CallAttempt:
@@ -165,16 +165,16 @@
     `first_response_s` is set by streams; other calls give their first response with their last.
     """
 
-    def __init__(self, *, context: StageContext, run: Run, budget: StageBudget, slot: Slot) -> None:
+    def __init__(self, *, context: StageContext, run: PipelineRun, budget: StageBudget, slot: Slot) -> None:
         self.context = context
         self.run = run
         self.budget = budget
         self.slot = slot
-        self.started = context.clock.monotonic()
+        self.started_at = context.clock.monotonic()
         self.first_response_s: float | None = None
 
     def __enter__(self) -> CallAttempt:
-        self.run.on_sent(self.budget.stage, self.started)
+        self.run.on_sent(self.budget.stage, self.started_at)
         return self
 
     def __exit__(
@@ -183,52 +183,52 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        served_s = self.context.clock.monotonic() - self.started
-        result = result_of(error)
+        served_s = self.context.clock.monotonic() - self.started_at
+        result = call_result(error)
         if result is CallResult.NOT_STARTED:
             self.run.on_not_started(self.budget.stage)
         if result is CallResult.ANSWERED:
-            self.context.budget.on_success()
-        self.end_slot(result, error, served_s)
+            self.context.retry_budget.on_success()
+        self.release_slot(result, error, served_s)
         name = self.slot.endpoint.name
         self.context.observer.on_call(self.budget.stage, name, served_s, result)
 
-    def end_slot(self, result: CallResult, error: BaseException | None, served_s: float) -> None:
+    def release_slot(self, result: CallResult, error: BaseException | None, served_s: float) -> None:
         """Give the slot back with what the call told about its endpoint."""
         if result is CallResult.ANSWERED:
             first_s = served_s if self.first_response_s is None else self.first_response_s
             self.slot.answered(first_response_s=first_s, served_s=served_s)
         elif result is CallResult.ABANDONED:
             self.slot.abandoned()
-        elif self.is_failure(error, served_s):
+        elif self.is_endpoint_failure(error, served_s):
             self.slot.failed()
         else:
-            self.slot.declined(backoff_of(error))
+            self.slot.declined(requested_backoff_s(error))
 
-    def is_failure(self, error: BaseException | None, served_s: float) -> bool:
+    def is_endpoint_failure(self, error: BaseException | None, served_s: float) -> bool:
         """Tell whether the endpoint failed, rather than having too much to do."""
         if isinstance(error, NotStarted):
             return not isinstance(error, Declined)
         if isinstance(error, TimedOut):
-            return self.tells_of_endpoint(served_s)
+            return self.indicates_endpoint_failure(served_s)
         return True
 
-    def tells_of_endpoint(self, served_s: float) -> bool:
+    def indicates_endpoint_failure(self, served_s: float) -> bool:
         """Tell whether a call given up on says something about its endpoint.
 
         It does if it was given up for being slow, or took far too long; it does not if it had
         hardly begun when the time of the whole request was over.
         """
-        in_time = self.context.clock.monotonic() < self.budget.stop_at
-        return in_time or served_s >= self.budget.expected_s * LATE_FACTOR
+        in_time = self.context.clock.monotonic() < self.budget.deadline
+        return in_time or served_s >= self.budget.expected_s * LATE_CALL_FACTOR
 
 
-def backoff_of(error: BaseException | None) -> float:
+def requested_backoff_s(error: BaseException | None) -> float:
     """Return for how many seconds a declining endpoint wants nothing, 0 if it does not say."""
     return (error.retry_after_s or 0.0) if isinstance(error, NotStarted) else 0.0
 
 
-def result_of(error: BaseException | None) -> CallResult:
+def call_result(error: BaseException | None) -> CallResult:
     """Return how a call ended by what it raised."""
     if error is None:
         return CallResult.ANSWERED
--- a/packages/core/calicopath_core/execution/executor.py
+++ b/packages/core/calicopath_core/execution/executor.py
@@ -12,7 +12,7 @@
 from calicopath_core.claims.registry import Granted, Taken
 from calicopath_core.execution.attempts import StageContext, stage_budget
 from calicopath_core.execution.generation import GenerationRunner
-from calicopath_core.execution.run import Run, StageFailed
+from calicopath_core.execution.run import PipelineRun, StageFailed
 from calicopath_core.execution.stages import CallRunner
 from calicopath_core.store.base import StoreUnavailable
 from calicopath_core.structure.outcomes import (
@@ -28,7 +28,7 @@
     from collections.abc import Coroutine
 
     from calicopath_core.claims.registry import ClaimRegistry
-    from calicopath_core.execution.door import Door
+    from calicopath_core.execution.admission import PipelineAdmission
     from calicopath_core.execution.requests import PipelineRequest, TokenSink
     from calicopath_core.structure.outcomes import Outcome
     from calicopath_core.structure.stages import Plan
@@ -41,7 +41,7 @@
 CLAIM_RETRY_S = 1.0
 """When to ask again for the answer of a request that somebody else runs."""
 
-REASONS = {
+REFUSAL_REASONS = {
     FailureReason.OVERLOADED: RefusalReason.OVERLOADED,
     FailureReason.NO_ENDPOINT: RefusalReason.NO_ENDPOINT,
     FailureReason.ENDPOINT_FAILED: RefusalReason.NO_ENDPOINT,
@@ -54,34 +54,34 @@
 class PipelineExecutor:
     """Run a plan's stages in order under one deadline."""
 
-    def __init__(self, *, context: StageContext, door: Door, claims: ClaimRegistry) -> None:
+    def __init__(self, *, context: StageContext, admission: PipelineAdmission, claims: ClaimRegistry) -> None:
         self.context = context
-        self.door = door
+        self.admission = admission
         self.claims = claims
-        self.calls = CallRunner(context=context)
-        self.generations = GenerationRunner(context=context)
-        self.late: set[asyncio.Task[Any]] = set()
+        self.call_runner = CallRunner(context=context)
+        self.generation_runner = GenerationRunner(context=context)
+        self.background_tasks: set[asyncio.Task[Any]] = set()
 
     async def run(self, request: PipelineRequest, plan: Plan, sink: TokenSink) -> Outcome:
         """Return the request's one outcome; tokens go to `sink` as they come."""
-        run = Run(request=request, plan=plan, sink=sink)
-        outcome = await self.run_admitted(run)
-        took_s = self.context.clock.monotonic() - request.arrived
+        run = PipelineRun(request=request, plan=plan, sink=sink)
+        outcome = await self.admit_and_run(run)
+        took_s = self.context.clock.monotonic() - request.arrived_at
         self.context.observer.on_outcome(plan, outcome, took_s, tuple(run.timings))
         return outcome
 
-    async def run_admitted(self, run: Run) -> Outcome:
+    async def admit_and_run(self, run: PipelineRun) -> Outcome:
         """Refuse at the door, or run with or without a claim."""
         now = self.context.clock.monotonic()
-        refused = self.door.check(run.plan, run.request.priority, now, run.request.deadline)
-        refused = refused or self.blocked(run)
+        refused = self.admission.check(run.plan, run.request.priority, now, run.request.deadline)
+        refused = refused or self.refuse_blocked(run)
         if refused is not None:
             return refused
         if run.repeatable:
             return await self.run_stages(run)
         return await self.run_claimed(run)
 
-    def blocked(self, run: Run) -> Refused | None:
+    def refuse_blocked(self, run: PipelineRun) -> Refused | None:
         """Return the refusal of a request under which endpoints end, or nothing."""
         services = [stage.service for stage in run.plan.stages]
         wait_s = self.context.crashes.blocked_s(run.content, services)
@@ -90,24 +90,24 @@
         detail = 'endpoints end under this request; it is not sent on for now'
         return Refused(RefusalReason.CRASHES_ENDPOINTS, detail, wait_s)
 
-    async def run_claimed(self, run: Run) -> Outcome:
+    async def run_claimed(self, run: PipelineRun) -> Outcome:
         """Claim the request's key, run it, and keep its answer or give the key back."""
         claimed = await self.claim(run)
         if not isinstance(claimed, Granted):
             return claimed
         # Once claimed, the run goes on even if the caller hangs up: its answer is kept.
         task = self.spawn(self.run_stages(run))
-        task.add_done_callback(lambda done: self.spawn(self.settle(run, claimed, done.result())))
+        task.add_done_callback(lambda done: self.spawn(self.settle_claim(run, claimed, done.result())))
         return await asyncio.shield(task)
 
-    def spawn(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
+    def spawn(self, coroutine: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
         """Run something to its end, whoever waits for it."""
-        task = asyncio.get_running_loop().create_task(work)
-        self.late.add(task)
-        task.add_done_callback(self.late.discard)
+        task = asyncio.get_running_loop().create_task(coroutine)
+        self.background_tasks.add(task)
+        task.add_done_callback(self.background_tasks.discard)
         return task
 
-    async def claim(self, run: Run) -> Granted | Outcome:
+    async def claim(self, run: PipelineRun) -> Granted | Outcome:
         """Claim the key, or return the outcome of not getting it."""
         request = run.request
         if request.key is None:
@@ -122,88 +122,88 @@
             )
         except InvalidKey as error:
             return Refused(RefusalReason.KEY_INVALID, str(error), None)
-        left_s = request.deadline - self.context.clock.monotonic()
-        timeout_s = min(self.context.policy.claim_timeout_s, left_s)
+        remaining_s = request.deadline - self.context.clock.monotonic()
+        timeout_s = min(self.context.policy.claim_timeout_s, remaining_s)
         try:
-            result = await self.claims.claim(key, request.body, timeout_s)
+            result = await self.claims.claim(key, request.body_digest, timeout_s)
         except StoreUnavailable as error:
             return Refused(RefusalReason.STORE_UNAVAILABLE, str(error), STORE_RETRY_S)
         if isinstance(result, Taken):
-            return taken_outcome(result.claim, run)
+            return existing_claim_outcome(result.claim, run)
         return result
 
-    async def settle(self, run: Run, granted: Granted, outcome: Outcome) -> None:
+    async def settle_claim(self, run: PipelineRun, granted: Granted, outcome: Outcome) -> None:
         """Make the claim say what is known: the answer, that nothing happened, or neither."""
         timeout_s = self.context.policy.claim_timeout_s
         if not isinstance(outcome, Answered):
-            late = await self.late_answer(run)
-            outcome = late or outcome
+            late_answer = await self.late_answer(run)
+            outcome = late_answer or outcome
         with contextlib.suppress(StoreUnavailable):
             if isinstance(outcome, Answered):
                 await self.claims.record(granted, answer_record(outcome), timeout_s)
-            elif run.unproved_effects == 0:
+            elif run.possible_side_effects == 0:
                 await self.claims.release(granted, timeout_s)
 
-    async def late_answer(self, run: Run) -> Answered | None:
+    async def late_answer(self, run: PipelineRun) -> Answered | None:
         """Wait for a last call that outlived the deadline, so that its answer can be kept."""
         if run.late_call is None:
             return None
         try:
-            async with asyncio.timeout(self.context.policy.late_answer_s):
+            async with asyncio.timeout(self.context.policy.late_answer_timeout_s):
                 output = await run.late_call
         except TimeoutError:
             return None
         except NotStarted:
-            run.unproved_effects -= 1
+            run.possible_side_effects -= 1
             return None
         except MayHaveRun:
             return None
         last = run.plan.stages[-1]
         if len(run.timings) < len(run.plan.stages) - 1:
             return None
-        run.take_output(last, output)
-        return whole_answer(run)
+        run.merge_output(last, output)
+        return complete_answer(run)
 
-    async def run_stages(self, run: Run) -> Outcome:
+    async def run_stages(self, run: PipelineRun) -> Outcome:
         """Run the stages in order and turn what happens into an outcome."""
         pools = {stage.name: self.context.pools.pool(stage.service) for stage in run.plan.stages}
-        run.expect_slots(dict(pools))
+        run.add_pending(dict(pools))
         try:
             async with asyncio.timeout_at(run.request.deadline):
                 for index, stage in enumerate(run.plan.stages):
                     await self.run_stage(run, index, pools[stage.name].slowness())
         except StageFailed as error:
-            return self.failure(run, error)
+            return self.failed_outcome(run, error)
         except TimeoutError:
             passed = StageFailed(FailureReason.DEADLINE_PASSED, 'the deadline passed')
-            return self.failure(run, passed)
+            return self.failed_outcome(run, passed)
         finally:
-            run.expect_no_more()
-        return whole_answer(run)
+            run.remove_all_pending()
+        return complete_answer(run)
 
-    async def run_stage(self, run: Run, index: int, slowness: float) -> None:
+    async def run_stage(self, run: PipelineRun, index: int, slowness: float) -> None:
         """Run one stage within its share of the time left."""
         budget = stage_budget(run, index, slowness)
         if budget.stage.kind is StageKind.ENGINE:
-            await self.generations.run(run, budget)
+            await self.generation_runner.run(run, budget)
         else:
-            await self.calls.run(run, budget)
+            await self.call_runner.run(run, budget)
 
-    def failure(self, run: Run, error: StageFailed) -> Outcome:
+    def failed_outcome(self, run: PipelineRun, error: StageFailed) -> Outcome:
         """Refuse as not run only if every call that left is proved unstarted."""
-        if run.unproved_calls == 0 and error.reason in REASONS:
-            return Refused(REASONS[error.reason], error.detail, error.retry_after_s, error.cause)
+        if run.possibly_run_calls == 0 and error.reason in REFUSAL_REASONS:
+            return Refused(REFUSAL_REASONS[error.reason], error.detail, error.retry_after_s, error.cause)
         timings = tuple(run.timings)
         return Failed(error.reason, error.detail, error.retry_after_s, timings, error.cause)
 
 
-def taken_outcome(claim: StoredClaim | None, run: Run) -> Outcome:
+def existing_claim_outcome(claim: StoredClaim | None, run: PipelineRun) -> Outcome:
     """Return what a second caller with the same key gets."""
     if claim is None:
         return Failed(
             FailureReason.ALREADY_CLAIMED, 'the key is too old to tell whether it ran', None
         )
-    if claim['body'] != run.request.body:
+    if claim['body'] != run.request.body_digest:
         return Refused(
             RefusalReason.KEY_REUSED, 'the key was used before with another request', None
         )
@@ -225,7 +225,7 @@
     )
 
 
-def whole_answer(run: Run) -> Answered:
+def complete_answer(run: PipelineRun) -> Answered:
     """Return the answer of a run whose stages have all been answered."""
     return Answered(
         output=run.input.get('output', ''),
--- a/packages/core/calicopath_core/execution/generation.py
+++ b/packages/core/calicopath_core/execution/generation.py
@@ -20,7 +20,7 @@
     TimedOut,
     acquire_slot,
     check_time_left,
-    endpoint_failed,
+    stage_failure,
     note_crash,
 )
 from calicopath_core.structure.calls import GenerationCall, GenerationEnd, StageOutput, Token
@@ -29,11 +29,11 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-    from calicopath_core.execution.run import Run
+    from calicopath_core.execution.run import PipelineRun
     from calicopath_core.routing.pools import Slot
 
 
-class Progress:
+class GenerationProgress:
     """Collect tokens in order, whichever replicas they come from.
 
     Characters are passed on only when all their bytes are there.
@@ -82,11 +82,11 @@
 
     def __init__(self, *, context: StageContext) -> None:
         self.context = context
-        self.cancels: set[asyncio.Task[None]] = set()
+        self.cancel_tasks: set[asyncio.Task[None]] = set()
 
-    async def run(self, run: Run, budget: StageBudget) -> StageOutput:
+    async def run(self, run: PipelineRun, budget: StageBudget) -> StageOutput:
         """Return the whole text; raise `StageFailed`."""
-        progress = Progress()
+        progress = GenerationProgress()
         tried: set[str] = set()
         last: NotStarted | MayHaveRun | None = None
         queued_s = 0.0
@@ -119,33 +119,33 @@
                 return output
             tried.add(slot.endpoint.name)
         reason = FailureReason.STREAM_BROKEN if progress.offset else FailureReason.ENDPOINT_FAILED
-        raise endpoint_failed(budget, last, reason)
+        raise stage_failure(budget, last, reason)
 
-    def may_continue(self, run: Run, budget: StageBudget, progress: Progress) -> bool:
+    def may_continue(self, run: PipelineRun, budget: StageBudget, progress: GenerationProgress) -> bool:
         """Tell whether a broken generation may go on elsewhere.
 
         Resuming after the tokens received runs nothing twice; starting over might.
         """
-        if run.single_shot(budget.stage) and progress.offset == 0:
+        if run.runs_at_most_once(budget.stage) and progress.offset == 0:
             return False
-        return self.context.budget.try_spend()
+        return self.context.retry_budget.try_spend()
 
-    async def attempt(self, run: Run, budget: StageBudget, slot: Slot, progress: Progress) -> None:
+    async def attempt(self, run: PipelineRun, budget: StageBudget, slot: Slot, progress: GenerationProgress) -> None:
         """Stream from one replica until the end."""
         stage = budget.stage
         with CallAttempt(context=self.context, run=run, budget=budget, slot=slot) as attempt:
             call = GenerationCall(
-                id=run.next_call(stage),
+                id=run.next_call_id(stage),
                 params=stage.params,
                 input=run.input,
-                timeout_s=budget.stop_at - attempt.started,
+                timeout_s=budget.deadline - attempt.started_at,
                 priority=run.request.priority,
                 offset=progress.offset,
                 prefix=b''.join(progress.tokens),
             )
-            watch = StreamWatch(started=attempt.started)
+            timing = StreamTiming(started_at=attempt.started_at)
             try:
-                await self.stream(run, budget, slot, call, progress, watch)
+                await self.stream(run, budget, slot, call, progress, timing)
             except TimeoutError:
                 self.cancel(slot, call)
                 raise TimedOut(f'{slot.endpoint.name} stopped sending tokens') from None
@@ -154,99 +154,99 @@
             except BaseException:
                 self.cancel(slot, call)
                 raise
-            attempt.first_response_s = watch.first_response_s
-            if watch.gap_s is not None:
-                slot.pool.record_token_gap(watch.gap_s)
+            attempt.first_response_s = timing.first_response_s
+            if timing.mean_token_gap_s is not None:
+                slot.pool.record_token_gap(timing.mean_token_gap_s)
 
     async def stream(
         self,
-        run: Run,
+        run: PipelineRun,
         budget: StageBudget,
         slot: Slot,
         call: GenerationCall,
-        progress: Progress,
-        watch: StreamWatch,
+        progress: GenerationProgress,
+        timing: StreamTiming,
     ) -> None:
         """Take tokens until the end; raise `TimeoutError` when none comes for too long."""
-        identity = str(call.id)
+        call_id = str(call.id)
         clock = self.context.clock
         items = self.context.backends.engine.generate(slot.endpoint, call)
         async with contextlib.aclosing(items):  # type: ignore[type-var]
             while progress.total is None:
-                async with asyncio.timeout_at(self.next_token_by(budget, watch)):
+                async with asyncio.timeout_at(self.next_token_deadline(budget, timing)):
                     item = await next_item(items)
-                if item.call != identity:
-                    raise WrongAnswer(f'an answer to {item.call} came to {identity}')
+                if item.call != call_id:
+                    raise WrongAnswer(f'an answer to {item.call} came to {call_id}')
                 if isinstance(item, GenerationEnd):
                     progress.finish(item)
                     return
-                watch.on_token(clock.monotonic())
-                self.note_first_token(run, watch)
+                timing.on_token(clock.monotonic())
+                self.note_first_token(run, timing)
                 text = progress.add(item)
                 if text:
                     await run.sink.write(text)
                 # The time that a slow caller takes is not the replica's.
-                watch.waiting_since = clock.monotonic()
+                timing.waiting_since = clock.monotonic()
 
-    def next_token_by(self, budget: StageBudget, watch: StreamWatch) -> float:
+    def next_token_deadline(self, budget: StageBudget, timing: StreamTiming) -> float:
         """Return when to give up waiting for the next token.
 
         The first one may take as long as the whole stage should, since calls queue.
         """
         policy = self.context.policy
         lag_s = self.context.lag.value_s
-        if watch.first_at is None:
+        if timing.first_token_at is None:
             first_s = max(policy.max_stall_s, budget.expected_s) + lag_s
-            return min(budget.stop_at, watch.started + first_s)
-        usual_s = self.context.pools.pool(budget.stage.service).token_gap_s
-        if usual_s is None:
-            return min(budget.stop_at, watch.waiting_since + policy.max_stall_s + lag_s)
-        stall_s = max(policy.min_stall_s, usual_s * policy.stall_factor)
+            return min(budget.deadline, timing.started_at + first_s)
+        usual_gap_s = self.context.pools.pool(budget.stage.service).token_gap_s
+        if usual_gap_s is None:
+            return min(budget.deadline, timing.waiting_since + policy.max_stall_s + lag_s)
+        stall_s = max(policy.min_stall_s, usual_gap_s * policy.stall_factor)
         stall_s = min(policy.max_stall_s, stall_s) + lag_s
-        return min(budget.stop_at, watch.waiting_since + stall_s)
+        return min(budget.deadline, timing.waiting_since + stall_s)
 
-    def note_first_token(self, run: Run, watch: StreamWatch) -> None:
+    def note_first_token(self, run: PipelineRun, timing: StreamTiming) -> None:
         """Report a request's first token once."""
         if run.first_token_at is None:
-            run.first_token_at = watch.last_at
-            self.context.observer.on_first_token(run.plan, watch.last_at - run.request.arrived)
+            run.first_token_at = timing.last_token_at
+            self.context.observer.on_first_token(run.plan, timing.last_token_at - run.request.arrived_at)
 
     def cancel(self, slot: Slot, call: GenerationCall) -> None:
         """Ask the replica to stop, without waiting for it."""
         engine = self.context.backends.engine
         task = asyncio.get_running_loop().create_task(engine.cancel(slot.endpoint, call))
-        self.cancels.add(task)
-        task.add_done_callback(self.cancels.discard)
+        self.cancel_tasks.add(task)
+        task.add_done_callback(self.cancel_tasks.discard)
 
 
-class StreamWatch:
+class StreamTiming:
     """Hold when a stream started and gave tokens, on the monotonic clock, in seconds."""
 
-    def __init__(self, *, started: float) -> None:
-        self.started = started
-        self.first_at: float | None = None
-        self.last_at = started
-        self.waiting_since = started
-        self.tokens = 0
+    def __init__(self, *, started_at: float) -> None:
+        self.started_at = started_at
+        self.first_token_at: float | None = None
+        self.last_token_at = started_at
+        self.waiting_since = started_at
+        self.token_count = 0
 
     @property
     def first_response_s(self) -> float:
         """Return the time to the first token, 0 if there was none."""
-        return 0.0 if self.first_at is None else self.first_at - self.started
+        return 0.0 if self.first_token_at is None else self.first_token_at - self.started_at
 
     @property
-    def gap_s(self) -> float | None:
+    def mean_token_gap_s(self) -> float | None:
         """Return the mean time between tokens, if there were two."""
-        if self.first_at is None or self.tokens < 2:
+        if self.first_token_at is None or self.token_count < 2:
             return None
-        return (self.last_at - self.first_at) / (self.tokens - 1)
+        return (self.last_token_at - self.first_token_at) / (self.token_count - 1)
 
     def on_token(self, now: float) -> None:
         """Note a token."""
-        if self.first_at is None:
-            self.first_at = now
-        self.last_at = now
-        self.tokens += 1
+        if self.first_token_at is None:
+            self.first_token_at = now
+        self.last_token_at = now
+        self.token_count += 1
 
 
 async def next_item(items: AsyncIterator[Token | GenerationEnd]) -> Token | GenerationEnd:
--- a/packages/core/calicopath_core/execution/policy.py
+++ b/packages/core/calicopath_core/execution/policy.py
@@ -23,24 +23,24 @@
     prompt prefix to one replica.
     """
 
-    door_margin: float = 1.35
+    admission_margin: float = 1.35
     affinity: bool = False
     max_attempts: int = 4
-    try_factor: float = 5.0
-    min_try_s: float = 0.1
+    attempt_timeout_factor: float = 5.0
+    min_attempt_timeout_s: float = 0.1
     stall_factor: float = 4.0
     min_stall_s: float = 0.15
     max_stall_s: float = 0.4
     claim_timeout_s: float = 1.0
-    late_answer_s: float = 10.0
+    late_answer_timeout_s: float = 10.0
 
 
-COST_DOOR_MARGIN = 2.0
+COST_ADMISSION_MARGIN = 2.0
 """Refusing earlier throws away less and answers fewer requests of the highest priority."""
 
 
 def policy_for(objective: Objective, *, affinity: bool = False) -> ExecutionPolicy:
     """Return the policy of an objective, with or without prefix affinity."""
     if objective is Objective.COST:
-        return ExecutionPolicy(door_margin=COST_DOOR_MARGIN, affinity=affinity)
+        return ExecutionPolicy(admission_margin=COST_ADMISSION_MARGIN, affinity=affinity)
     return ExecutionPolicy(affinity=affinity)
--- a/packages/core/calicopath_core/execution/requests.py
+++ b/packages/core/calicopath_core/execution/requests.py
@@ -19,12 +19,12 @@
 
     id: str
     text: str
-    arrived: float
+    arrived_at: float
     deadline: float
     priority: int
     repeatable: bool
     key: str | None
-    body: str
+    body_digest: str
 
 
 class TokenSink(ABC):
--- a/packages/core/calicopath_core/execution/run.py
+++ b/packages/core/calicopath_core/execution/run.py
@@ -20,7 +20,7 @@
     from calicopath_core.structure.stages import Plan, StagePlan
 
 
-NAME_BYTES = 8
+PIPELINE_DIGEST_BYTES = 8
 
 
 class StageFailed(CalicopathError):
@@ -44,7 +44,7 @@
         self.retry_after_s = retry_after_s
 
 
-class Run:
+class PipelineRun:
     """Follow a request through its stages.
 
     `unproved_calls` counts the calls that left the box and are not proved unstarted: only
@@ -58,27 +58,27 @@
         self.sink = sink
         self.input = StageInput(text=request.text)
         self.timings: list[StageTiming] = []
-        self.unproved_calls = 0
-        self.unproved_effects = 0
-        self.attempts = 0
-        self.sent_at = 0.0
+        self.possibly_run_calls = 0
+        self.possible_side_effects = 0
+        self.call_count = 0
+        self.last_sent_at = 0.0
         self.first_token_at: float | None = None
         self.late_call: asyncio.Task[StageOutput] | None = None
-        self.pending: dict[str, ServicePool] = {}
+        self.pending_pools: dict[str, ServicePool] = {}
 
     @property
     def content(self) -> str:
         """Return what names what is asked: pipeline and workspace, then the body."""
         asked = f'{self.plan.workspace}/{self.plan.pipeline}'.encode()
-        pipeline = hashlib.blake2b(asked, digest_size=NAME_BYTES).hexdigest()
-        return request_fingerprint(pipeline, self.request.body)
+        pipeline = hashlib.blake2b(asked, digest_size=PIPELINE_DIGEST_BYTES).hexdigest()
+        return request_fingerprint(pipeline, self.request.body_digest)
 
     @property
     def repeatable(self) -> bool:
         """Tell whether the whole request may be run again."""
         return self.request.repeatable and self.plan.repeatable
 
-    def single_shot(self, stage: StagePlan) -> bool:
+    def runs_at_most_once(self, stage: StagePlan) -> bool:
         """Tell whether a stage must not be called again once a call may have run.
 
         In a request marked not repeatable these are the calls of plain services, which have
@@ -95,45 +95,45 @@
         """Tell whether any stage calls a plain service."""
         return any(stage.kind is StageKind.SERVICE for stage in self.plan.stages)
 
-    def next_call(self, stage: StagePlan) -> CallId:
+    def next_call_id(self, stage: StagePlan) -> CallId:
         """Return a fresh identity for a call."""
-        self.attempts += 1
-        return CallId(self.request.id, stage.name, self.attempts)
+        self.call_count += 1
+        return CallId(self.request.id, stage.name, self.call_count)
 
     def on_sent(self, stage: StagePlan, now: float) -> None:
         """Note that a call is about to leave the box."""
-        self.sent_at = now
-        self.unproved_calls += 1
-        self.unproved_effects += self.single_shot(stage)
+        self.last_sent_at = now
+        self.possibly_run_calls += 1
+        self.possible_side_effects += self.runs_at_most_once(stage)
 
     def on_not_started(self, stage: StagePlan) -> None:
         """Note that a call is proved not to have started."""
-        self.unproved_calls -= 1
-        self.unproved_effects -= self.single_shot(stage)
+        self.possibly_run_calls -= 1
+        self.possible_side_effects -= self.runs_at_most_once(stage)
 
-    def expect_slots(self, pools: dict[str, ServicePool]) -> None:
+    def add_pending(self, pools: dict[str, ServicePool]) -> None:
         """Count this request, by stage name, among those that will ask the pools for slots."""
-        self.pending = pools
+        self.pending_pools = pools
         for pool in pools.values():
             pool.add_pending(self.request.priority)
 
-    def got_slot(self, stage: StagePlan) -> None:
+    def remove_pending(self, stage: StagePlan) -> None:
         """Count this request out of those that a stage's pool still expects."""
-        pool = self.pending.pop(stage.name, None)
+        pool = self.pending_pools.pop(stage.name, None)
         if pool is not None:
             pool.remove_pending(self.request.priority)
 
-    def expect_no_more(self) -> None:
+    def remove_all_pending(self) -> None:
         """Count this request out of every pool that still expects it."""
         for stage in self.plan.stages:
-            self.got_slot(stage)
+            self.remove_pending(stage)
 
     def finish_stage(self, stage: StagePlan, output: StageOutput, timing: StageTiming) -> None:
         """Hand a stage's output on to the next stages."""
         self.timings.append(timing)
-        self.take_output(stage, output)
+        self.merge_output(stage, output)
 
-    def take_output(self, stage: StagePlan, output: StageOutput) -> None:
+    def merge_output(self, stage: StagePlan, output: StageOutput) -> None:
         """Merge a stage's output into the input of the next ones."""
         if 'vector' in output:
             self.input['vector'] = output['vector']
--- a/packages/core/calicopath_core/execution/stages.py
+++ b/packages/core/calicopath_core/execution/stages.py
@@ -13,7 +13,7 @@
     TimedOut,
     acquire_slot,
     check_time_left,
-    endpoint_failed,
+    stage_failure,
     note_crash,
 )
 from calicopath_core.structure.calls import StageCall, StageOutput
@@ -22,7 +22,7 @@
 
 if TYPE_CHECKING:
     from calicopath_core.backends.base import PlainService, StagePool
-    from calicopath_core.execution.run import Run
+    from calicopath_core.execution.run import PipelineRun
     from calicopath_core.routing.pools import Slot
     from calicopath_core.structure.stages import StagePlan
 
@@ -33,7 +33,7 @@
     def __init__(self, *, context: StageContext) -> None:
         self.context = context
 
-    async def run(self, run: Run, budget: StageBudget) -> StageOutput:
+    async def run(self, run: PipelineRun, budget: StageBudget) -> StageOutput:
         """Return the stage's output; raise `StageFailed`."""
         tried: set[str] = set()
         last: NotStarted | MayHaveRun | None = None
@@ -51,7 +51,7 @@
                 service = budget.stage.service
                 await note_crash(self.context, run, slot, service, error, answered=False)
                 check_time_left(self.context, budget)
-                if run.single_shot(budget.stage) or not self.context.budget.try_spend():
+                if run.runs_at_most_once(budget.stage) or not self.context.retry_budget.try_spend():
                     break
             else:
                 self.context.crashes.on_survived(run.content, budget.stage.service)
@@ -62,34 +62,34 @@
                 run.finish_stage(budget.stage, output, timing)
                 return output
             tried.add(slot.endpoint.name)
-        raise endpoint_failed(budget, last)
+        raise stage_failure(budget, last)
 
-    async def attempt(self, run: Run, budget: StageBudget, slot: Slot) -> StageOutput:
+    async def attempt(self, run: PipelineRun, budget: StageBudget, slot: Slot) -> StageOutput:
         """Make one call."""
         stage = budget.stage
         with CallAttempt(context=self.context, run=run, budget=budget, slot=slot) as attempt:
-            stop_at = self.try_until(run, budget, attempt.started)
+            deadline = self.attempt_deadline(run, budget, attempt.started_at)
             call = StageCall(
-                id=run.next_call(stage),
+                id=run.next_call_id(stage),
                 params=stage.params,
                 input=run.input,
-                timeout_s=stop_at - attempt.started,
+                timeout_s=deadline - attempt.started_at,
                 priority=run.request.priority,
-                idempotency_key=run.request.key if run.single_shot(stage) else None,
+                idempotency_key=run.request.key if run.runs_at_most_once(stage) else None,
             )
             try:
-                async with asyncio.timeout_at(stop_at):
+                async with asyncio.timeout_at(deadline):
                     return await self.send(run, stage, slot, call)
             except TimeoutError:
                 raise TimedOut(f'{slot.endpoint.name} did not answer in time') from None
 
-    async def send(self, run: Run, stage: StagePlan, slot: Slot, call: StageCall) -> StageOutput:
+    async def send(self, run: PipelineRun, stage: StagePlan, slot: Slot, call: StageCall) -> StageOutput:
         """Make the call; one that must not happen twice goes on when its waiter gives up."""
         answer = self.adapter(stage).call(slot.endpoint, call)
-        if not run.single_shot(stage):
+        if not run.runs_at_most_once(stage):
             return await answer
         task = asyncio.get_running_loop().create_task(answer)
-        task.add_done_callback(note_retrieved)
+        task.add_done_callback(mark_exception_retrieved)
         run.late_call = task
         try:
             return await asyncio.shield(task)
@@ -103,18 +103,18 @@
             return self.context.backends.service
         return self.context.backends.pool
 
-    def try_until(self, run: Run, budget: StageBudget, now: float) -> float:
+    def attempt_deadline(self, run: PipelineRun, budget: StageBudget, now: float) -> float:
         """Return when a try ends: in time for another one if the stage may be repeated."""
-        if run.single_shot(budget.stage):
-            return budget.stop_at
+        if run.runs_at_most_once(budget.stage):
+            return budget.deadline
         policy = self.context.policy
         now += self.context.lag.value_s
         return min(
-            budget.stop_at, now + max(policy.min_try_s, budget.expected_s * policy.try_factor)
+            budget.deadline, now + max(policy.min_attempt_timeout_s, budget.expected_s * policy.attempt_timeout_factor)
         )
 
 
-def note_retrieved(task: asyncio.Task[StageOutput]) -> None:
+def mark_exception_retrieved(task: asyncio.Task[StageOutput]) -> None:
     """Keep the event loop from reporting an error that nobody waits for any more."""
     if not task.cancelled():
         task.exception()
--- a/packages/core/calicopath_core/execution/tests/answers_tests.py
+++ b/packages/core/calicopath_core/execution/tests/answers_tests.py
@@ -35,8 +35,8 @@
 
 def fault_once(*faults: Fault) -> Callable[[str], Fault | None]:
     """Return a source that gives each fault to one call and then none."""
-    left = list(faults)
-    return lambda call: left.pop(0) if left else None
+    remaining = list(faults)
+    return lambda call: remaining.pop(0) if remaining else None
 
 
 def set_faults(fleet: FakeFleet, service: str, source: Callable[[str], Fault | None]) -> None:
@@ -225,7 +225,7 @@
 
         self.run_virtual(scenario())
 
-    def test_an_answer_with_another_calls_identity_goes_nowhere(self) -> None:
+    def test_an_answer_with_another_calls_identity_is_rejected(self) -> None:
         async def scenario() -> None:
             fleet = new_fleet(replicas=1)
             set_faults(fleet, 'encoders', lambda call: Fault.WRONG_IDENTITY)
@@ -299,7 +299,7 @@
 
         run_virtual(scenario())
 
-    def test_hopeless_requests_are_refused_at_the_door(self) -> None:
+    def test_requests_that_cannot_meet_their_deadline_are_refused_at_admission(self) -> None:
         async def scenario() -> None:
             fleet = new_fleet()
             box = FakeBox(fleet=fleet, state=StoreState()).configure(fleet)
@@ -337,7 +337,7 @@
 
         self.run_virtual(scenario())
 
-    def test_a_box_behind_with_its_own_work_refuses_at_the_door(self) -> None:
+    def test_a_box_whose_event_loop_lags_refuses_at_admission(self) -> None:
         async def scenario() -> None:
             fleet = new_fleet()
             box = FakeBox(fleet=fleet, state=StoreState()).configure(fleet)
--- a/packages/core/calicopath_core/execution/tests/crashing_tests.py
+++ b/packages/core/calicopath_core/execution/tests/crashing_tests.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from testkit.fake_endpoints import FakeFleet
 
-POISON = 'poison'
+CRASHING_TEXT = 'poison'
 GAP_S = 2.0
 
 
@@ -28,14 +28,14 @@
         fleet = new_fleet(replicas=4)
         for name, item in fleet.endpoints.items():
             if name.startswith(service):
-                item.ending = {POISON}
+                item.ending = {CRASHING_TEXT}
         return fleet
 
-    def ends(self, fleet: FakeFleet) -> int:
+    def crashes(self, fleet: FakeFleet) -> int:
         """Return how often endpoints have ended."""
         return sum(len(item.ends) for item in fleet.endpoints.values())
 
-    def check_stopped(
+    def check_blocked(
         self, service: str, pipeline: str = 'answer', *, quietly: bool = False
     ) -> None:
         """Check that a request is not sent on once three endpoints have ended under it."""
@@ -46,31 +46,31 @@
                 item.ends_quietly = quietly
             box = FakeBox(fleet=fleet, state=StoreState()).configure(fleet)
             for _ in range(12):
-                await box.send(pipeline, POISON)
+                await box.send(pipeline, CRASHING_TEXT)
                 await asyncio.sleep(GAP_S)
-            self.assertLessEqual(self.ends(fleet), 4)
+            self.assertLessEqual(self.crashes(fleet), 4)
             self.assertIsInstance(await box.send(pipeline, 'another'), Answered)
 
         self.run_virtual(scenario())
 
-    def test_what_ends_engines_is_stopped(self) -> None:
-        self.check_stopped('drafting')
+    def test_a_request_that_crashes_engines_is_blocked(self) -> None:
+        self.check_blocked('drafting')
 
-    def test_what_ends_engines_is_stopped_where_their_streams_just_stop(self) -> None:
+    def test_a_request_that_crashes_engines_is_blocked_when_streams_end_without_an_error(self) -> None:
         # An answer without a length ends with its connection, so that an engine which ends under
         # a request looks like one that has nothing more to say: 23 ends under twelve repeats.
-        self.check_stopped('drafting', quietly=True)
+        self.check_blocked('drafting', quietly=True)
 
-    def test_what_ends_stage_pools_is_stopped(self) -> None:
-        self.check_stopped('rerankers')
+    def test_a_request_that_crashes_stage_pools_is_blocked(self) -> None:
+        self.check_blocked('rerankers')
 
-    def test_it_is_refused_at_once_as_not_run_with_when_to_come_back(self) -> None:
+    def test_a_blocked_request_is_refused_as_not_run_with_a_retry_delay(self) -> None:
         async def scenario() -> None:
             fleet = self.fleet('drafting')
             box = FakeBox(fleet=fleet, state=StoreState()).configure(fleet)
             outcomes = []
             for _ in range(6):
-                outcomes.append(await box.send('answer', POISON))
+                outcomes.append(await box.send('answer', CRASHING_TEXT))
                 await asyncio.sleep(GAP_S)
             self.assertIsInstance(outcomes[0], Failed)
             last = outcomes[-1]
--- a/packages/core/calicopath_core/execution/tests/once_tests.py
+++ b/packages/core/calicopath_core/execution/tests/once_tests.py
@@ -180,7 +180,7 @@
         self.run_virtual(scenario())
 
 
-class Deaths(VirtualCase):
+class StoppedBoxes(VirtualCase):
     def test_a_box_killed_at_any_moment_leaves_a_key_that_nobody_runs_again(self) -> None:
         async def scenario(killed_at: float) -> None:
             fleet, state = new_fleet(), StoreState()
--- a/packages/core/calicopath_core/store/base.py
+++ b/packages/core/calicopath_core/store/base.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-ABSENT = 0
+ABSENT_VERSION = 0
 """The version of an object that does not exist."""
 
 
--- a/packages/core/calicopath_core/store/changes.py
+++ b/packages/core/calicopath_core/store/changes.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Result, Success
 
 from calicopath_core.store.base import (
-    ABSENT,
+    ABSENT_VERSION,
     StoredObject,
     StoreError,
     StoreUnavailable,
@@ -44,7 +44,7 @@
     found_change: ChangeRecord | None
 
 
-class Unsettled(NamedTuple):
+class Unconfirmed(NamedTuple):
     """Say that a change may or may not have been accepted; the audit trail will tell."""
 
     change_id: str
@@ -59,7 +59,7 @@
     detail: str
 
 
-ChangeError = Conflict | Unsettled | NotAccepted
+ChangeError = Conflict | Unconfirmed | NotAccepted
 
 
 class ChangeWriter:
@@ -70,10 +70,10 @@
     record either in the object or in the archive, and a crash between two calls loses none.
     """
 
-    def __init__(self, *, store: ObjectStore, clock: Clock, patience_s: float = 5.0) -> None:
+    def __init__(self, *, store: ObjectStore, clock: Clock, retry_timeout_s: float = 5.0) -> None:
         self.store = store
         self.clock = clock
-        self.patience_s = patience_s
+        self.retry_timeout_s = retry_timeout_s
 
     async def make(
         self, change: Change, expected_version: int | None = None
@@ -83,9 +83,9 @@
             current = await self.store.get(change.key)
         except StoreError as error:
             return Failure(NotAccepted(change.key, str(error)))
-        version = current.version if current else ABSENT
+        version = current.version if current else ABSENT_VERSION
         if expected_version is not None and version != expected_version:
-            return Failure(conflict(change, expected_version, current))
+            return Failure(new_conflict(change, expected_version, current))
         try:
             await self.archive(current)
         except StoreError as error:
@@ -98,10 +98,10 @@
             return
         record = cast('ChangeRecord', current.value['change'])
         key = audit_key(current.key, record['sequence'])
-        deadline = self.clock.monotonic() + self.patience_s
+        deadline = self.clock.monotonic() + self.retry_timeout_s
         while True:
             try:
-                await self.store.put(key, dict(record), ABSENT)
+                await self.store.put(key, dict(record), ABSENT_VERSION)
             except VersionConflict:
                 return
             except WriteUnknown:
@@ -115,32 +115,32 @@
         self, change: Change, current: StoredObject | None
     ) -> Result[Accepted, ChangeError]:
         """Write the change and its record together, settling a lost answer by reading back."""
-        version = current.version if current else ABSENT
-        record = self.record(change, current)
+        version = current.version if current else ABSENT_VERSION
+        record = self.change_record(change, current)
         value = dict(ConfigValue(spec=change.spec, change=record))
-        deadline = self.clock.monotonic() + self.patience_s
-        uncertain = False
+        deadline = self.clock.monotonic() + self.retry_timeout_s
+        may_have_written = False
         while True:
             try:
                 stored = await self.store.put(change.key, value, version)
             except VersionConflict:
-                return await self.settle(change, version, record['sequence'], uncertain)
+                return await self.resolve_conflict(change, version, record['sequence'], may_have_written)
             except WriteUnknown as error:
-                uncertain = True
+                may_have_written = True
                 detail = str(error)
             except StoreUnavailable as error:
                 detail = str(error)
-                if not uncertain:
+                if not may_have_written:
                     return Failure(NotAccepted(change.key, detail))
             else:
                 return Success(Accepted(change.id, change.key, stored.version))
             if self.clock.monotonic() >= deadline:
-                return Failure(Unsettled(change.id, change.key, detail))
+                return Failure(Unconfirmed(change.id, change.key, detail))
             # Repeating the same conditional update is safe: if the first one took effect,
             # this one meets a newer version.
             await asyncio.sleep(RETRY_DELAY_S)
 
-    def record(self, change: Change, current: StoredObject | None) -> ChangeRecord:
+    def change_record(self, change: Change, current: StoredObject | None) -> ChangeRecord:
         """Return the audit record of a change to `current`."""
         sequence = 1
         before = None
@@ -158,8 +158,8 @@
             after=change.spec,
         )
 
-    async def settle(
-        self, change: Change, version: int, sequence: int, uncertain: bool
+    async def resolve_conflict(
+        self, change: Change, version: int, sequence: int, may_have_written: bool
     ) -> Result[Accepted, ChangeError]:
         """Find out whether a conflict is with our own earlier write."""
         try:
@@ -168,21 +168,21 @@
                 return Success(Accepted(change.id, change.key, current.version))
             archived = await self.store.get(audit_key(change.key, sequence))
         except StoreError as error:
-            if uncertain:
-                return Failure(Unsettled(change.id, change.key, str(error)))
+            if may_have_written:
+                return Failure(Unconfirmed(change.id, change.key, str(error)))
             return Failure(NotAccepted(change.key, f'changed by somebody else; {error}'))
         if archived is not None and archived.value['id'] == change.id:
             # Accepted, and already followed by another change.
             return Success(Accepted(change.id, change.key, version + 1))
-        return Failure(conflict(change, version, current))
+        return Failure(new_conflict(change, version, current))
 
 
-def conflict(change: Change, expected: int, current: StoredObject | None) -> Conflict:
+def new_conflict(change: Change, expected: int, current: StoredObject | None) -> Conflict:
     """Describe a conflict between a change and what the store holds."""
     return Conflict(
         key=change.key,
         expected_version=expected,
-        found_version=current.version if current else ABSENT,
+        found_version=current.version if current else ABSENT_VERSION,
         wanted=change.spec,
         found=current.value['spec'] if current else None,
         found_change=current.value['change'] if current else None,
--- a/packages/core/calicopath_core/store/tests/changes_tests.py
+++ b/packages/core/calicopath_core/store/tests/changes_tests.py
@@ -15,7 +15,7 @@
     ChangeWriter,
     Conflict,
     NotAccepted,
-    Unsettled,
+    Unconfirmed,
     read_audit_trail,
 )
 from calicopath_core.store.records import Change, ChangeAction
@@ -34,7 +34,7 @@
 
 def new_writer(state: StoreState) -> ChangeWriter:
     """Return a writer over its own link to the store."""
-    return ChangeWriter(store=FakeStore(state=state), clock=VirtualClock(), patience_s=2.0)
+    return ChangeWriter(store=FakeStore(state=state), clock=VirtualClock(), retry_timeout_s=2.0)
 
 
 def link(writer: ChangeWriter) -> FakeStore:
@@ -105,7 +105,7 @@
                 return WriteFate.LOST_AFTER
 
             link(writer).fate = fate
-            self.assertIsInstance((await writer.make(change(1))).failure(), Unsettled)
+            self.assertIsInstance((await writer.make(change(1))).failure(), Unconfirmed)
 
         self.run_virtual(scenario())
 
--- a/packages/core/calicopath_core/store/tests/feed_tests.py
+++ b/packages/core/calicopath_core/store/tests/feed_tests.py
@@ -33,7 +33,7 @@
 
 
 @contextlib.asynccontextmanager
-async def followed(state: StoreState) -> AsyncIterator[tuple[ConfigView, FakeStore, StoreFeed]]:
+async def running_feed(state: StoreState) -> AsyncIterator[tuple[ConfigView, FakeStore, StoreFeed]]:
     """Run a feed in the background."""
     view, store = ConfigView(), FakeStore(state=state)
     feed = StoreFeed(store=store, view=view, clock=VirtualClock())
@@ -50,7 +50,7 @@
     def test_a_change_after_the_store_went_back_is_in_force_and_none_before_reverts(self) -> None:
         async def scenario(lost: int) -> None:
             state = StoreState()
-            async with followed(state) as (view, _, _):
+            async with running_feed(state) as (view, _, _):
                 put(state, 1)
                 copy = state.copy()
                 for content in range(2, 2 + lost):
@@ -72,7 +72,7 @@
     def test_a_change_is_in_force_as_soon_as_its_event_comes(self) -> None:
         async def scenario() -> None:
             state = StoreState()
-            async with followed(state) as (view, _, _):
+            async with running_feed(state) as (view, _, _):
                 version = put(state, 1)
                 await asyncio.sleep(0.01)
                 self.assertEqual(version, view.version(KEY))
@@ -82,19 +82,19 @@
     def test_a_watch_that_goes_silent_is_healed_by_the_next_read_of_everything(self) -> None:
         async def scenario() -> None:
             state = StoreState()
-            async with followed(state) as (view, store, feed):
+            async with running_feed(state) as (view, store, feed):
                 store.deliver = lambda stored: []
                 version = put(state, 1)
                 await asyncio.sleep(IN_FORCE_S)
                 self.assertEqual(version, view.version(KEY))
-                self.assertEqual(1, feed.healed)
+                self.assertEqual(1, feed.missed_updates)
 
         self.run_virtual(scenario())
 
     def test_a_watch_that_ends_is_started_again(self) -> None:
         async def scenario() -> None:
             state = StoreState()
-            async with followed(state) as (view, _, _):
+            async with running_feed(state) as (view, _, _):
                 state.end_watches()
                 await asyncio.sleep(0.6)
                 version = put(state, 1)
@@ -113,7 +113,7 @@
                 seen.append(stored)
                 return [rng.choice(seen), stored, rng.choice(seen)]
 
-            async with followed(state) as (view, store, _):
+            async with running_feed(state) as (view, store, _):
                 store.deliver = shuffled
                 held = 0
                 for number in range(50):
@@ -137,7 +137,7 @@
     def test_after_a_long_outage_everything_missed_comes_into_force(self) -> None:
         async def scenario() -> None:
             state = StoreState()
-            async with followed(state) as (view, store, _):
+            async with running_feed(state) as (view, store, _):
                 store.cut = True
                 state.end_watches()
                 for number in range(20):
@@ -154,7 +154,7 @@
         async def scenario() -> None:
             state = StoreState()
             state.down = True
-            async with followed(state) as (_, _, feed):
+            async with running_feed(state) as (_, _, feed):
                 self.assertFalse(feed.synced)
                 state.down = False
                 await asyncio.sleep(1)
--- a/packages/core/calicopath_core/store/versions.py
+++ b/packages/core/calicopath_core/store/versions.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-NUMBER_BITS = 40
+STORE_NUMBER_BITS = 40
 """Bits of a store's number: at a thousand writes a second they last for 34 years."""
 
 
@@ -22,9 +22,9 @@
 
 def join(version: StoreVersion) -> int:
     """Return the version by which the product orders objects."""
-    return version.era << NUMBER_BITS | version.number
+    return version.era << STORE_NUMBER_BITS | version.number
 
 
 def split(version: int) -> StoreVersion:
     """Return the era and the store's number of a version."""
-    return StoreVersion(version >> NUMBER_BITS, version & (1 << NUMBER_BITS) - 1)
+    return StoreVersion(version >> STORE_NUMBER_BITS, version & (1 << STORE_NUMBER_BITS) - 1)
--- a/packages/core/calicopath_core/store/view.py
+++ b/packages/core/calicopath_core/store/view.py
@@ -44,7 +44,7 @@
     spec: dict[str, Any] | None
 
 
-class PlanKey(NamedTuple):
+class PlanVersions(NamedTuple):
     """Identify a resolved plan by the versions it was made from."""
 
     pipeline_version: int
@@ -71,7 +71,7 @@
         self.templates: dict[str, Template] = {}
         self.pipelines: dict[str, PipelineSpec] = {}
         self.problems: dict[str, list[Problem]] = {}
-        self.plans: dict[str, tuple[PlanKey, Result[Plan, list[Problem]]]] = {}
+        self.plans: dict[str, tuple[PlanVersions, Result[Plan, list[Problem]]]] = {}
         self.listeners: list[Callable[[list[ViewUpdate]], None]] = []
 
     def version(self, key: str) -> int:
@@ -85,36 +85,36 @@
 
     def apply_all(self, updates: Iterable[ViewUpdate]) -> int:
         """Take newer objects in, tell the listeners once, and return how many were newer."""
-        newer = [update for update in updates if self.take(update)]
+        newer = [update for update in updates if self.apply_one(update)]
         if newer:
             for listener in self.listeners:
                 listener(newer)
         return len(newer)
 
-    def take(self, update: ViewUpdate) -> bool:
+    def apply_one(self, update: ViewUpdate) -> bool:
         """Put one object in place if it is newer than the one held."""
-        held = self.version(update.key)
-        if update.version <= held:
+        held_version = self.version(update.key)
+        if update.version <= held_version:
             return False
-        if held:
-            self.digest ^= entry_hash(update.key, held)
+        if held_version:
+            self.digest ^= entry_hash(update.key, held_version)
         self.digest ^= entry_hash(update.key, update.version)
         self.entries[update.key] = ViewEntry(update.version, update.spec)
-        self.parse(update.key, update.spec)
+        self.update_parsed(update.key, update.spec)
         return True
 
-    def parse(self, key: str, spec: dict[str, Any] | None) -> None:
+    def update_parsed(self, key: str, spec: dict[str, Any] | None) -> None:
         """Keep the typed form of an object; one that does not parse counts as absent."""
         self.problems.pop(key, None)
         if key.startswith(ENDPOINT_PREFIX):
-            self.keep(self.endpoints, key, spec, parse_endpoint)
+            self.store_parsed(self.endpoints, key, spec, parse_endpoint)
         elif key.startswith(TEMPLATE_PREFIX):
-            self.keep(self.templates, key, spec, parse_template)
+            self.store_parsed(self.templates, key, spec, parse_template)
         elif key.startswith(PIPELINE_PREFIX):
             self.plans.pop(key, None)
-            self.keep(self.pipelines, key, spec, parse_pipeline)
+            self.store_parsed(self.pipelines, key, spec, parse_pipeline)
 
-    def keep(
+    def store_parsed(
         self,
         table: dict[str, T],
         key: str,
@@ -137,7 +137,7 @@
         spec = self.pipelines.get(key)
         if spec is None:
             return None
-        versions = PlanKey(self.version(key), self.version(template_key(spec.template)))
+        versions = PlanVersions(self.version(key), self.version(template_key(spec.template)))
         cached = self.plans.get(key)
         if cached and cached[0] == versions:
             return cached[1]
--- a/packages/daemon/calicopathd/box/box.py
+++ b/packages/daemon/calicopathd/box/box.py
@@ -20,7 +20,7 @@
 from calicopath_core.crashes.ledger import CrashLedger
 from calicopath_core.crashes.sharing import CrashSharing
 from calicopath_core.execution.attempts import StageContext
-from calicopath_core.execution.door import Door
+from calicopath_core.execution.admission import PipelineAdmission
 from calicopath_core.execution.executor import PipelineExecutor
 from calicopath_core.execution.policy import Objective, policy_for
 from calicopath_core.limits.concurrency import GradientLimit
@@ -148,16 +148,16 @@
             backends=self.backends,
             clock=self.clock,
             policy=policy,
-            budget=RetryBudget(),
+            retry_budget=RetryBudget(),
             observer=self.metrics,
             lag=self.lag,
             crashes=self.crashes,
         )
-        door = Door(pools=self.pools, margin=policy.door_margin, lag=self.lag)
+        admission = PipelineAdmission(pools=self.pools, margin=policy.admission_margin, lag=self.lag)
         claims = ClaimRegistry(
             local=self.local_claims, executor=self.forwarding, new_nonce=self.new_id
         )
-        return PipelineExecutor(context=context, door=door, claims=claims)
+        return PipelineExecutor(context=context, admission=admission, claims=claims)
 
     def new_local_claims(self) -> LocalExecutor:
         """Return what this box writes of claims, for itself and for others."""
--- a/packages/daemon/calicopathd/box/runner.py
+++ b/packages/daemon/calicopathd/box/runner.py
@@ -76,8 +76,8 @@
         lifecycle.refuse()
         events.emit(log, events.REFUSING, in_progress=lifecycle.in_progress)
         await lifecycle.idle.wait()
-        while self.box.executor.late:
-            await asyncio.wait(set(self.box.executor.late))
+        while self.box.executor.background_tasks:
+            await asyncio.wait(set(self.box.executor.background_tasks))
         # Answers and releases that still wait for the platform, of this box and of others.
         await self.box.local_claims.flush(FLUSH_TIMEOUT_S)
 
--- a/packages/daemon/calicopathd/http/parsing.py
+++ b/packages/daemon/calicopathd/http/parsing.py
@@ -95,12 +95,12 @@
     return PipelineRequest(
         id=arrival.request_id,
         text=body.input,
-        arrived=arrival.at,
+        arrived_at=arrival.at,
         deadline=arrival.at + deadline_s,
         priority=priority,
         repeatable=body.repeatable,
         key=arrival.key,
-        body=body_digest(msgspec.json.encode(same)),
+        body_digest=body_digest(msgspec.json.encode(same)),
     )
 
 
--- a/packages/daemon/calicopathd/http/tests/callers_tests.py
+++ b/packages/daemon/calicopathd/http/tests/callers_tests.py
@@ -81,7 +81,7 @@
 
     def test_a_stream_that_cannot_be_resumed_ends_marked_as_broken(self) -> None:
         async def work(runner: BoxRunner, around: Surroundings) -> None:
-            runner.box.executor.context.budget.tokens = 0
+            runner.box.executor.context.retry_budget.tokens = 0
             around.engine.cut_after = 3
             body = {'input': 'Where may we moor?', 'stream': True}
             answer = await ask(around, PATH + 'answer/requests', body)
@@ -96,7 +96,7 @@
         async def work(runner: BoxRunner, around: Surroundings) -> None:
             key = new_key()
             first = await ask(around, PATH + 'act/requests', {'input': 'charge'}, key)
-            await asyncio.gather(*runner.box.executor.late)
+            await asyncio.gather(*runner.box.executor.background_tasks)
             again = await ask(around, PATH + 'act/requests', {'input': 'charge'}, key)
             other = await ask(around, PATH + 'act/requests', {'input': 'charge more'}, key)
             self.assertEqual([200, 200, 422], [first.status, again.status, other.status])
--- a/testkit/fake_store.py
+++ b/testkit/fake_store.py
@@ -9,7 +9,7 @@
 
 from calicopath_core.store import versions
 from calicopath_core.store.base import (
-    ABSENT,
+    ABSENT_VERSION,
     ObjectStore,
     StoredObject,
     StoreUnavailable,
@@ -69,7 +69,7 @@
     def write(self, key: str, value: dict[str, Any], expected: int) -> StoredObject:
         """Carry out a conditional update."""
         held = self.objects.get(key)
-        if (held.version if held else ABSENT) != expected:
+        if (held.version if held else ABSENT_VERSION) != expected:
             raise VersionConflict(f'{key} is not at version {expected}')
         self.sequence += 1
         version = versions.join(versions.StoreVersion(self.era, self.sequence))
--- a/testkit/world.py
+++ b/testkit/world.py
@@ -11,7 +11,7 @@
 from calicopath_core.claims.keys import body_digest
 from calicopath_core.claims.registry import ClaimRegistry
 from calicopath_core.execution.attempts import StageContext
-from calicopath_core.execution.door import Door
+from calicopath_core.execution.admission import PipelineAdmission
 from calicopath_core.execution.executor import PipelineExecutor
 from calicopath_core.execution.policy import ExecutionPolicy
 from calicopath_core.execution.requests import DiscardSink, NullObserver, PipelineRequest, TokenSink
@@ -168,13 +168,13 @@
             backends=fleet.backends(self.gate),
             clock=self.clock,
             policy=policy,
-            budget=RetryBudget(),
+            retry_budget=RetryBudget(),
             observer=NullObserver(),
             lag=self.lag,
             crashes=new_guard(),
         )
-        door = Door(pools=self.pools, margin=policy.door_margin, lag=self.lag)
-        self.executor = PipelineExecutor(context=context, door=door, claims=self.claims)
+        admission = PipelineAdmission(pools=self.pools, margin=policy.admission_margin, lag=self.lag)
+        self.executor = PipelineExecutor(context=context, admission=admission, claims=self.claims)
 
     def new_pool(self, service: str) -> ServicePool:
         """Return a pool with fixed limits."""
@@ -212,12 +212,12 @@
         request = PipelineRequest(
             id=self.new_id(),
             text=text,
-            arrived=now,
+            arrived_at=now,
             deadline=now + (plan.deadline_s if deadline_s is None else deadline_s),
             priority=plan.priority,
             repeatable=repeatable,
             key=key,
-            body=body_digest(text.encode()),
+            body_digest=body_digest(text.encode()),
         )
         return await self.executor.run(request, plan, sink or DiscardSink())
 
@@ -225,15 +225,15 @@
         """End everything that the box does, as a crash would."""
         self.gate.pause()
         writers = self.local_claims.writers.values()
-        tasks = [*self.executor.late, *(writer.task for writer in writers)]
+        tasks = [*self.executor.background_tasks, *(writer.task for writer in writers)]
         for task in tasks:
             if task is not None:
                 task.cancel()
 
     async def settled(self) -> None:
         """Wait until nothing goes on in the background."""
-        while self.executor.late:
-            await asyncio.wait(set(self.executor.late))
+        while self.executor.background_tasks:
+            await asyncio.wait(set(self.executor.background_tasks))
 
     def drain(self, name: str, version: int) -> None:
         """Drain an endpoint on this box only."""
--- a/tools/mutants/catalogue.py
+++ b/tools/mutants/catalogue.py
@@ -18,7 +18,7 @@
     Mutant(
         'own answers',
         f'{CORE}/execution/generation.py',
-        'if item.call != identity:',
+        'if item.call != call_id:',
         'if False:',
         f'{CORE}/execution/tests/answers_tests.py::OwnAnswers',
     ),
@@ -46,8 +46,8 @@
     Mutant(
         'true refusals',
         f'{CORE}/execution/executor.py',
-        'if run.unproved_calls == 0 and error.reason in REASONS:',
-        'if error.reason in REASONS:',
+        'if run.possibly_run_calls == 0 and error.reason in REFUSAL_REASONS:',
+        'if error.reason in REFUSAL_REASONS:',
         f'{CORE}/execution/tests/answers_tests.py::TrueRefusals',
     ),
     Mutant(
@@ -74,7 +74,7 @@
     Mutant(
         'at most once',
         f'{CORE}/execution/executor.py',
-        'elif run.unproved_effects == 0:',
+        'elif run.possible_side_effects == 0:',
         'else:',
         f'{CORE}/execution/tests/once_tests.py::OnceHistories',
     ),
@@ -88,14 +88,14 @@
     Mutant(
         'configuration never reverts',
         f'{CORE}/store/view.py',
-        'if update.version <= held:',
-        'if update.version == held:',
+        'if update.version <= held_version:',
+        'if update.version == held_version:',
         f'{CORE}/store/tests/view_tests.py::Versions',
     ),
     Mutant(
         'configuration in force',
         f'{CORE}/store/feed.py',
-        'group.create_task(self.relist_often())',
+        'group.create_task(self.relist_periodically())',
         'pass',
         f'{CORE}/store/tests/feed_tests.py::Following',
     ),
@@ -130,7 +130,7 @@
     Mutant(
         'slow callers',
         f'{CORE}/execution/generation.py',
-        'watch.waiting_since = clock.monotonic()',
+        'timing.waiting_since = clock.monotonic()',
         'pass',
         f'{CORE}/execution/tests/answers_tests.py::SlowCallers',
     ),
