--- a/tools/mutants/restored.py
+++ b/tools/mutants/restored.py
@@ -134,7 +134,7 @@
     Mutant(
         'versions without eras',
         f'{CORE}/store/versions.py',
-        'return version.era << NUMBER_BITS | version.number',
+        'return version.era << STORE_NUMBER_BITS | version.number',
         'return version.number',
         VIEW,
     ),
