--- a/packages/core/calicopath_core/config/__init__.py
+++ b/packages/core/calicopath_core/config/__init__.py
@@ -1,1 +1,1 @@
-"""Read and check templates, pipelines and endpoints."""
+"""Read and validate templates, pipelines and endpoints."""
--- a/packages/core/calicopath_core/config/documents.py
+++ b/packages/core/calicopath_core/config/documents.py
@@ -1,4 +1,4 @@
-"""Read configuration files and check all their documents together."""
+"""Read configuration files and validate all their documents together."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Document(NamedTuple):
-    """Hold one configuration document and the store key it belongs under."""
+    """Hold one valid configuration document and its store key."""
 
     key: str
     spec: dict[str, Any]
@@ -31,14 +31,14 @@
 
 
 class RawDocument(NamedTuple):
-    """Hold one document as read, before it is checked."""
+    """Hold one document as read, before validation; `source` names its file and index."""
 
     source: str
     data: Any
 
 
 class DocumentSet:
-    """Check documents, alone and against each other, and against what is already in force."""
+    """Validate documents individually, against each other and against objects in force."""
 
     def __init__(self, *, in_force: Mapping[str, dict[str, Any]] | None = None) -> None:
         self.problems: list[Problem] = []
@@ -51,7 +51,7 @@
             self.add_in_force(key, spec)
 
     def add_in_force(self, key: str, spec: dict[str, Any]) -> None:
-        """Take note of an object in force, which new documents may refer to."""
+        """Add an object in force, which new documents may refer to."""
         if spec.get('kind') == 'template':
             parse_template(spec, key).map(self.store_template)
         elif spec.get('kind') == 'endpoint':
@@ -60,17 +60,17 @@
             parse_pipeline(spec, key).map(lambda found: self.pipelines.append((found, key)))
 
     def store_template(self, template: Template) -> str:
-        """Hold a template and return its key."""
+        """Store a template and return its key."""
         self.templates[template.name] = template
         return template_key(template.name)
 
     def store_endpoint(self, endpoint: Endpoint) -> str:
-        """Hold an endpoint and return its key."""
+        """Store an endpoint and return its key."""
         self.endpoints[endpoint.name] = endpoint
         return endpoint_key(endpoint.name)
 
     def store_pipeline(self, spec: PipelineSpec, source: str) -> str:
-        """Hold a pipeline in place of the one in force and return its key."""
+        """Store a pipeline in place of the one with the same name, and return its key."""
         key = pipeline_key(spec.workspace, spec.name)
         self.pipelines = [
             (known, origin)
@@ -81,7 +81,7 @@
         return key
 
     def add(self, raw: RawDocument) -> None:
-        """Check one document by itself."""
+        """Validate one document by itself."""
         kind = raw.data.get('kind') if isinstance(raw.data, dict) else None
         if kind not in DOCUMENT_KINDS:
             message = f'must be one of {", ".join(DOCUMENT_KINDS)}'
@@ -105,7 +105,7 @@
         self.documents.append(Document(key, raw.data, raw.source))
 
     def check_references(self) -> None:
-        """Check pipelines against templates, and stages against endpoints."""
+        """Validate pipelines against templates, and stages against endpoints."""
         services = {(item.service, item.kind) for item in self.endpoints.values()}
         for spec, source in self.pipelines:
             template = self.templates.get(spec.template)
@@ -125,7 +125,7 @@
                     self.problems.append(Problem(source, 'template', message))
 
     def finish(self) -> Result[list[Document], list[Problem]]:
-        """Return the documents in an order in which each may be applied, or all problems."""
+        """Return the documents in the order in which to apply them, or all problems."""
         self.check_references()
         if self.problems:
             return Failure(self.problems)
@@ -134,7 +134,7 @@
 
 
 def read_files(paths: Iterable[Path]) -> Result[list[RawDocument], list[Problem]]:
-    """Read every YAML document of the given files; folders are read whole."""
+    """Read every YAML document in the given files and folders, or return all problems."""
     documents: list[RawDocument] = []
     problems: list[Problem] = []
     for path in expand_folders(paths):
@@ -150,7 +150,7 @@
 
 
 def expand_folders(paths: Iterable[Path]) -> list[Path]:
-    """Replace each folder by the YAML files in it, in order of name."""
+    """Replace each folder by its YAML files, sorted by name."""
     files: list[Path] = []
     for path in paths:
         files.extend(sorted(path.glob('*.yaml')) if path.is_dir() else [path])
@@ -160,7 +160,7 @@
 def check_documents(
     documents: Iterable[RawDocument], in_force: Mapping[str, dict[str, Any]] | None = None
 ) -> Result[list[Document], list[Problem]]:
-    """Check documents together with what is in force."""
+    """Validate documents together with the objects in force, given by store key."""
     checked = DocumentSet(in_force=in_force)
     for raw in documents:
         checked.add(raw)
--- a/packages/core/calicopath_core/config/fields.py
+++ b/packages/core/calicopath_core/config/fields.py
@@ -1,4 +1,4 @@
-"""Take typed fields out of a parsed document, noting each problem."""
+"""Read typed fields of a parsed document and collect each problem."""
 
 from __future__ import annotations
 
@@ -11,7 +11,11 @@
 
 
 class FieldReader:
-    """Read the fields of one mapping; fields that nobody asked for are problems too."""
+    """Read the fields of one mapping.
+
+    A field with a problem is reported and returns a valid replacement, so that validation goes on.
+    Fields that were never read are reported by `finish`.
+    """
 
     def __init__(self, *, data: Any, path: str, problems: ProblemList) -> None:
         self.path = path
@@ -28,7 +32,7 @@
         return f'{self.path}.{name}' if self.path else name
 
     def raw(self, name: str, default: Any = None, *, required: bool = False) -> Any:
-        """Return a raw field and mark it as known."""
+        """Return the unchecked value of a field and mark its name as known."""
         self.known_names.add(name)
         if name not in self.data:
             if required:
@@ -47,7 +51,7 @@
         return value
 
     def text(self, name: str, default: str | None = None) -> str:
-        """Return a string field; it is required when there is no default."""
+        """Return a string field, which is required if there is no default."""
         value = self.raw(name, default, required=default is None)
         if value is None:
             return ''
@@ -57,7 +61,7 @@
         return value
 
     def integer(self, name: str, *, low: int, high: int, default: int | None = None) -> int:
-        """Return a whole number between `low` and `high`."""
+        """Return an integer field between `low` and `high`, required if there is no default."""
         value = self.raw(name, default, required=default is None)
         if value is None:
             return low
@@ -78,7 +82,7 @@
         return value
 
     def choice(self, name: str, choices: list[str], default: str | None = None) -> str:
-        """Return a field that holds one of `choices`."""
+        """Return a field that holds one of `choices`, required if there is no default."""
         value = self.raw(name, default, required=default is None)
         if value is None:
             return choices[0]
@@ -88,7 +92,7 @@
         return str(value)
 
     def mapping(self, name: str) -> dict[str, Any]:
-        """Return a mapping field, empty when absent."""
+        """Return a mapping field, empty if absent."""
         value = self.raw(name, {})
         if not isinstance(value, dict):
             self.problems.add(self.path_to(name), 'must be a mapping')
@@ -106,7 +110,7 @@
         return value
 
     def finish(self) -> None:
-        """Note every field that is not known."""
+        """Report every field whose name is not known."""
         for name in self.data:
             if name not in self.known_names:
                 self.problems.add(self.path_to(name), 'is not a known key')
--- a/packages/core/calicopath_core/config/parsers.py
+++ b/packages/core/calicopath_core/config/parsers.py
@@ -1,4 +1,4 @@
-"""Turn parsed documents into templates, pipelines and endpoints."""
+"""Parse documents into templates, pipelines and endpoints."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 
 
 def has_type(value: Any, kind: ParameterType) -> bool:
-    """Tell whether `value` fits a parameter's type; a boolean is not a number."""
+    """Return whether `value` has a parameter's type; a boolean is not a number."""
     if isinstance(value, bool):
         return kind is ParameterType.BOOLEAN
     return isinstance(value, PYTHON_TYPES[kind])
 
 
 def parameter_references(value: Any) -> Iterator[str]:
-    """Yield the names of the parameters that `value` refers to, at any depth."""
+    """Yield the names of the parameters that `value` refers to, in nested values too."""
     if isinstance(value, str):
         yield from PARAMETER_REFERENCE.findall(value)
     elif isinstance(value, dict):
@@ -59,7 +59,7 @@
 
 
 def parse_template(data: Any, source: str) -> Result[Template, list[Problem]]:
-    """Check a template document and return it, or all its problems."""
+    """Parse a template document, or return all its problems."""
     problems = ProblemList(source=source)
     fields = FieldReader(data=data, path='', problems=problems)
     fields.raw('kind')
@@ -80,7 +80,7 @@
 
 
 def parse_parameter(name: str, data: Any, path: str, problems: ProblemList) -> Parameter:
-    """Read the declaration of one parameter."""
+    """Parse the declaration of one parameter."""
     fields = FieldReader(data=data, path=path, problems=problems)
     kind = ParameterType(fields.choice('type', [item.value for item in ParameterType]))
     required = 'default' not in fields.data
@@ -93,7 +93,7 @@
 
 
 def parse_stage(data: Any, path: str, problems: ProblemList) -> StageTemplate:
-    """Read the declaration of one stage."""
+    """Parse the declaration of one stage."""
     fields = FieldReader(data=data, path=path, problems=problems)
     stage = StageTemplate(
         name=fields.name('name'),
@@ -112,9 +112,12 @@
 def check_stages(
     stages: tuple[StageTemplate, ...], parameters: tuple[Parameter, ...], problems: ProblemList
 ) -> None:
-    """Check what holds between the stages and parameters of a template."""
+    """Check that stage names are unique and that stages refer to declared parameters only.
+
+    Also check the number of stages, and that at most one is marked not repeatable.
+    """
     if len(stages) > MAX_STAGES:
-        problems.add('stages', f'at most {MAX_STAGES} stages')
+        problems.add('stages', f'must have at most {MAX_STAGES} stages')
     known = {parameter.name for parameter in parameters}
     names: set[str] = set()
     for index, stage in enumerate(stages):
@@ -129,7 +132,7 @@
 
 
 def parse_pipeline(data: Any, source: str) -> Result[PipelineSpec, list[Problem]]:
-    """Check a pipeline document by itself; the template is checked by `resolve_plan`."""
+    """Parse a pipeline document; `resolve_plan` checks it against its template."""
     problems = ProblemList(source=source)
     fields = FieldReader(data=data, path='', problems=problems)
     fields.raw('kind')
@@ -146,7 +149,7 @@
 
 
 def parse_parameter_values(fields: FieldReader, problems: ProblemList) -> dict[str, ParameterValue]:
-    """Read the parameters of a pipeline, which must be plain values."""
+    """Read the parameters of a pipeline, which must be scalar values."""
     values = fields.mapping('parameters')
     for name, value in values.items():
         if not isinstance(value, str | int | float | bool):
@@ -155,7 +158,7 @@
 
 
 def parse_endpoint(data: Any, source: str) -> Result[Endpoint, list[Problem]]:
-    """Check an endpoint document and return it, or all its problems."""
+    """Parse an endpoint document, or return all its problems."""
     problems = ProblemList(source=source)
     fields = FieldReader(data=data, path='', problems=problems)
     fields.raw('kind')
@@ -177,7 +180,7 @@
 
 
 def is_http_address(address: str) -> bool:
-    """Tell whether `address` is an HTTP URL with a host and a port, and no path."""
+    """Return whether `address` is an HTTP URL with a host and a port, and no path."""
     try:
         parts = urlsplit(address)
         port = parts.port
--- a/packages/core/calicopath_core/config/plans.py
+++ b/packages/core/calicopath_core/config/plans.py
@@ -1,4 +1,4 @@
-"""Fill a template with a pipeline's parameters."""
+"""Resolve a template with the parameters of a pipeline into a plan."""
 
 from __future__ import annotations
 
@@ -21,18 +21,20 @@
     )
 
 PLAN_DIGEST_DIGITS = 16
-"""Hexadecimal digits of a plan's digest."""
+"""Length of a plan digest in hexadecimal digits."""
 
 
 def resolve_plan(
     spec: PipelineSpec, template: Template, source: str
 ) -> Result[Plan, list[Problem]]:
-    """Return the plan of a pipeline, or every reason why there is none."""
+    """Return the plan of a pipeline, or all problems that prevent one."""
     problems = ProblemList(source=source)
     values = resolve_parameters(spec, template, problems)
     needed_ms = sum(stage.expected_ms for stage in template.stages)
     if spec.deadline_ms < needed_ms:
-        problems.add('deadline_ms', f"{spec.deadline_ms} is below the stages' {needed_ms}")
+        problems.add(
+            'deadline_ms', f'{spec.deadline_ms} is below the {needed_ms} that the stages need'
+        )
     if problems.problems:
         return Failure(problems.problems)
     stages = tuple(resolve_stage(stage, values) for stage in template.stages)
@@ -51,7 +53,7 @@
 def resolve_parameters(
     spec: PipelineSpec, template: Template, problems: ProblemList
 ) -> dict[str, ParameterValue]:
-    """Return a value for each parameter of the template, noting what is wrong."""
+    """Return a value for each parameter of the template, and report problems."""
     values: dict[str, ParameterValue] = {}
     known = {parameter.name: parameter for parameter in template.parameters}
     for name in spec.parameters:
@@ -70,7 +72,7 @@
 
 
 def resolve_stage(stage: StageTemplate, values: dict[str, ParameterValue]) -> StagePlan:
-    """Return a stage with its parameters filled in."""
+    """Return a stage with its parameters resolved."""
     return StagePlan(
         name=stage.name,
         kind=stage.kind,
@@ -82,7 +84,10 @@
 
 
 def substitute(value: Any, values: dict[str, ParameterValue]) -> Any:
-    """Replace `${name}` at any depth; a string that is one reference keeps the value's type."""
+    """Replace `${name}` references in nested values.
+
+    A string that is exactly one reference becomes the value itself, with its type.
+    """
     if isinstance(value, dict):
         return {key: substitute(item, values) for key, item in value.items()}
     if isinstance(value, list):
@@ -96,7 +101,7 @@
 
 
 def plan_digest(spec: PipelineSpec, stages: tuple[StagePlan, ...]) -> str:
-    """Return a digest of everything that decides how a request of the pipeline runs."""
+    """Return a digest of everything that determines how requests of the pipeline run."""
     data = {
         'workspace': spec.workspace,
         'pipeline': spec.name,
--- a/packages/core/calicopath_core/config/problems.py
+++ b/packages/core/calicopath_core/config/problems.py
@@ -1,4 +1,4 @@
-"""Collect everything that is wrong with configuration, so that it is reported at once."""
+"""Collect all problems of a configuration, so that they are reported together."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 
 class Problem(NamedTuple):
-    """Say what is wrong and where: `source` is a file or store key, `path` a place in it."""
+    """Describe a problem; `source` is a file or store key, `path` the field in it."""
 
     source: str
     path: str
     message: str
 
     def __str__(self) -> str:
-        """Return the line shown to a user."""
+        """Return the line that is shown to users."""
         return f'{self.source}: {self.path}: {self.message}'
 
 
 class ProblemList:
-    """Gather problems while the whole of a document is checked."""
+    """Collect the problems of one document during its validation."""
 
     def __init__(self, *, source: str) -> None:
         self.source = source
         self.problems: list[Problem] = []
 
     def add(self, path: str, message: str) -> None:
-        """Note one problem at `path`."""
+        """Add a problem with the field at `path`."""
         self.problems.append(Problem(self.source, path, message))
--- a/packages/core/calicopath_core/config/tests/documents_tests.py
+++ b/packages/core/calicopath_core/config/tests/documents_tests.py
@@ -1,4 +1,4 @@
-"""Test that configuration files are checked as a whole."""
+"""Test that the documents of configuration files are validated together."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def problems_of(*documents: Any) -> list[str]:
-    """Return the problems of documents, added to a valid configuration."""
+    """Return the problems of documents that are added to a valid configuration."""
     in_force = {update.key: update.spec for update in config_updates(new_fleet()) if update.spec}
     raw = [RawDocument('file.yaml', item) for item in documents]
     result = check_documents(raw, in_force)
@@ -51,7 +51,9 @@
 
     def test_a_deadline_below_what_the_stages_need_is_an_error(self) -> None:
         found = problems_of({**pipeline_spec('answer'), 'deadline_ms': 20})
-        self.assertEqual(["file.yaml: deadline_ms: 20 is below the stages' 330"], found)
+        self.assertEqual(
+            ['file.yaml: deadline_ms: 20 is below the 330 that the stages need'], found
+        )
 
     def test_unknown_and_missing_and_wrongly_typed_parameters_are_errors(self) -> None:
         stage = {'name': 's', 'kind': 'encoder', 'service': 'encoders', 'expected_ms': 5}
--- a/packages/core/calicopath_core/execution/admission.py
+++ b/packages/core/calicopath_core/execution/admission.py
@@ -1,4 +1,4 @@
-"""Refuse a request at the door when it cannot be answered in time."""
+"""Refuse requests that cannot be answered before their deadline."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 MIN_RETRY_AFTER_S = 0.1
 LAGGING_BOX_RETRY_S = 0.5
-"""When to come back to a box that has more to do than its processor can."""
+"""Retry delay given out by a box whose event loop lags."""
 
 NO_ENDPOINT_RETRY_S = 5.0
-"""When to come back while a service has no active endpoint; operators work in seconds."""
+"""Retry delay while a service has no active endpoint; operators change that within seconds."""
 
 
 class PipelineAdmission:
-    """Estimate what a request needs, stage by stage, and compare it with what it has.
+    """Decide whether to admit a request, by comparing its estimated time with its deadline.
 
-    A refused request has cost no endpoint anything.
+    The decision makes no call, so that a refused request costs the endpoints nothing.
     """
 
     def __init__(self, *, pools: PoolRegistry, margin: float, lag: LoopLag) -> None:
@@ -31,14 +31,17 @@
         self.lag = lag
 
     def check(self, plan: Plan, priority: int, now: float, deadline: float) -> Refused | None:
-        """Return the refusal of a hopeless request, or nothing."""
+        """Return the refusal of a request that cannot meet its deadline, or `None` to admit it.
+
+        `now` and `deadline` are on the monotonic clock, in seconds.
+        """
         if now >= deadline:
             return Refused(RefusalReason.DEADLINE_PASSED, 'the deadline has passed', None)
         unloaded_s = sum(stage.expected_s for stage in plan.stages)
         if now + unloaded_s > deadline:
             return Refused(
                 RefusalReason.DEADLINE_TOO_SHORT,
-                f'the stages need {unloaded_s:.3f} s when idle',
+                f'the stages need {unloaded_s:.3f} s when unloaded',
                 None,
             )
         for stage in plan.stages:
@@ -51,9 +54,9 @@
         return self.check_load(plan, priority, now, deadline)
 
     def check_load(self, plan: Plan, priority: int, now: float, deadline: float) -> Refused | None:
-        """Refuse what the queues would make late; say when they should have drained."""
+        """Refuse a request that the current load would make late; suggest when to retry."""
         if self.lag.is_too_high:
-            detail = f'this box is {self.lag.value_s:.3f} s behind'
+            detail = f'the event loop of this box lags by {self.lag.value_s:.3f} s'
             return Refused(RefusalReason.OVERLOADED, detail, LAGGING_BOX_RETRY_S)
         needed_s = self.estimated_response_s(plan, priority)
         excess_s = now + needed_s * self.margin - deadline
@@ -61,14 +64,14 @@
             return None
         return Refused(
             RefusalReason.OVERLOADED,
-            f'{needed_s:.3f} s would be needed',
+            f'the estimated response time is {needed_s:.3f} s under the current load',
             max(MIN_RETRY_AFTER_S, excess_s),
         )
 
     def estimated_response_s(self, plan: Plan, priority: int) -> float:
-        """Estimate the seconds until a request that comes now is answered.
+        """Return the estimated response time of a request that arrives now, in seconds.
 
-        A queue in front of a later stage drains while the earlier stages run.
+        The queue of a later stage drains while the earlier stages run, so waits overlap with them.
         """
         elapsed_s = 0.0
         for stage in plan.stages:
--- a/packages/core/calicopath_core/execution/attempts.py
+++ b/packages/core/calicopath_core/execution/attempts.py
@@ -1,4 +1,4 @@
-"""Follow a stage's calls: the time they have, the slot they hold, and how they end."""
+"""Track the calls of a stage: their time budget, their slot and their result."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
     from calicopath_core.structure.stages import StagePlan
 
 LATE_CALL_FACTOR = 2.0
-"""A call that took this many times longer than it should tells that its endpoint is failing."""
+"""A timed-out call counts as an endpoint failure from this multiple of the expected time on."""
 
 FAILED_STAGE_RETRY_S = 1.0
 
 
 class TimedOut(MayHaveRun):
-    """Report a call that was given up on."""
+    """Report a call that was cancelled at its timeout and may have run."""
 
 
 class StageContext(NamedTuple):
-    """Hold what every stage needs in order to be called."""
+    """Hold the collaborators that every stage call needs."""
 
     pools: PoolRegistry
     backends: Backends
@@ -55,7 +55,7 @@
 
 
 class StageBudget(NamedTuple):
-    """Hold a stage's share of the time left; times are on the monotonic clock, in seconds."""
+    """Hold the time budget of a stage; `deadline` is on the monotonic clock, in seconds."""
 
     stage: StagePlan
     deadline: float
@@ -63,12 +63,12 @@
 
     @property
     def latest_start(self) -> float:
-        """Return the time after which the stage cannot be answered in time."""
+        """Return the latest time at which a call can start and still meet the stage's deadline."""
         return self.deadline - self.expected_s
 
 
 def stage_budget(run: PipelineRun, index: int, slowness: float) -> StageBudget:
-    """Leave later stages what they need when unloaded, and give the rest to this one."""
+    """Give a stage the remaining time, less what the later stages need when unloaded."""
     stage = run.plan.stages[index]
     later_s = sum(later.expected_s for later in run.plan.stages[index + 1 :])
     return StageBudget(
@@ -81,7 +81,10 @@
 async def acquire_slot(
     context: StageContext, run: PipelineRun, budget: StageBudget, tried: set[str]
 ) -> Slot:
-    """Get a slot for a stage, turning a refusal into the stage's failure."""
+    """Acquire a slot for a stage; raise `StageFailed` if the request is blocked or gets none.
+
+    Endpoints in `tried` are excluded.
+    """
     check_not_blocked(context, run, budget)
     pool = context.pools.pool(budget.stage.service)
     request = SlotRequest(
@@ -108,17 +111,20 @@
 
 
 def affinity_key(context: StageContext, run: PipelineRun, budget: StageBudget) -> str | None:
-    """Return the prompt prefix that an engine may have cached, if calls are to follow it."""
+    """Return the key that routes calls with the same prompt prefix to one engine.
+
+    `None` means that affinity is off or the stage is not an engine.
+    """
     if not context.policy.affinity or budget.stage.kind is not StageKind.ENGINE:
         return None
     return run.plan.digest
 
 
 def check_not_blocked(context: StageContext, run: PipelineRun, budget: StageBudget) -> None:
-    """Fail a stage whose endpoints have ended too often under what the request asks."""
+    """Raise `StageFailed` if the request is blocked for crashing the stage's endpoints."""
     wait_s = context.crashes.blocked_s(run.content, [budget.stage.service])
     if wait_s is not None:
-        detail = f'endpoints of stage {budget.stage.name!r} end under this request'
+        detail = f'this request is blocked: it crashes endpoints of stage {budget.stage.name!r}'
         raise StageFailed(FailureReason.CRASHES_ENDPOINTS, detail, retry_after_s=wait_s)
 
 
@@ -131,7 +137,10 @@
     *,
     answered: bool,
 ) -> None:
-    """Find out whether an endpoint has ended, before the request is sent once more."""
+    """Check whether a broken connection means a crash, before the request is retried.
+
+    `answered` tells whether part of the response had arrived.
+    """
     if isinstance(error, ConnectionBroken):
         probe = EndpointCrashProbe(reach=context.backends.prober, endpoint=slot.endpoint)
         await context.crashes.on_failed(
@@ -140,7 +149,7 @@
 
 
 def check_time_left(context: StageContext, budget: StageBudget) -> None:
-    """Fail a stage whose time is over."""
+    """Raise `StageFailed` if the stage's deadline has passed."""
     if context.clock.monotonic() >= budget.deadline:
         detail = f'stage {budget.stage.name!r} was not answered in time'
         raise StageFailed(FailureReason.DEADLINE_PASSED, detail)
@@ -151,21 +160,24 @@
     last: Exception | None,
     reason: FailureReason = FailureReason.ENDPOINT_FAILED,
 ) -> StageFailed:
-    """Return the end of a stage whose last call failed, with one sentence for the caller."""
+    """Return the error of a stage whose last call failed; its detail is meant for the caller."""
     if isinstance(last, NotStarted):
         detail = f'no endpoint of stage {budget.stage.name!r} could be reached'
     else:
-        detail = f'an endpoint of stage {budget.stage.name!r} gave no whole answer'
+        detail = f'an endpoint of stage {budget.stage.name!r} gave no complete answer'
     return StageFailed(reason, detail, retry_after_s=FAILED_STAGE_RETRY_S, cause=str(last))
 
 
 class CallAttempt:
-    """Follow one call from when it leaves; tell run, pool and observer how it ended.
+    """Track one call and report its result to the run, the pool and the observer.
 
-    `first_response_s` is set by streams; other calls give their first response with their last.
+    Streams set `first_response_s`. A call that is not streamed leaves it `None`, because its whole
+    response arrives at once.
     """
 
-    def __init__(self, *, context: StageContext, run: PipelineRun, budget: StageBudget, slot: Slot) -> None:
+    def __init__(
+        self, *, context: StageContext, run: PipelineRun, budget: StageBudget, slot: Slot
+    ) -> None:
         self.context = context
         self.run = run
         self.budget = budget
@@ -193,8 +205,10 @@
         name = self.slot.endpoint.name
         self.context.observer.on_call(self.budget.stage, name, served_s, result)
 
-    def release_slot(self, result: CallResult, error: BaseException | None, served_s: float) -> None:
-        """Give the slot back with what the call told about its endpoint."""
+    def release_slot(
+        self, result: CallResult, error: BaseException | None, served_s: float
+    ) -> None:
+        """Release the slot and update the endpoint's statistics with the result of the call."""
         if result is CallResult.ANSWERED:
             first_s = served_s if self.first_response_s is None else self.first_response_s
             self.slot.answered(first_response_s=first_s, served_s=served_s)
@@ -206,7 +220,7 @@
             self.slot.declined(requested_backoff_s(error))
 
     def is_endpoint_failure(self, error: BaseException | None, served_s: float) -> bool:
-        """Tell whether the endpoint failed, rather than having too much to do."""
+        """Return whether the call counts as a failure of the endpoint, not as overload."""
         if isinstance(error, NotStarted):
             return not isinstance(error, Declined)
         if isinstance(error, TimedOut):
@@ -214,22 +228,22 @@
         return True
 
     def indicates_endpoint_failure(self, served_s: float) -> bool:
-        """Tell whether a call given up on says something about its endpoint.
+        """Return whether a timed-out call counts as a failure of its endpoint.
 
-        It does if it was given up for being slow, or took far too long; it does not if it had
-        hardly begun when the time of the whole request was over.
+        It does if the attempt's own timeout expired, or if the call took far longer than expected.
+        A call that had only just started when the stage's deadline passed does not count.
         """
         in_time = self.context.clock.monotonic() < self.budget.deadline
         return in_time or served_s >= self.budget.expected_s * LATE_CALL_FACTOR
 
 
 def requested_backoff_s(error: BaseException | None) -> float:
-    """Return for how many seconds a declining endpoint wants nothing, 0 if it does not say."""
+    """Return the backoff that a declining endpoint asked for, in seconds, or 0 if it gave none."""
     return (error.retry_after_s or 0.0) if isinstance(error, NotStarted) else 0.0
 
 
 def call_result(error: BaseException | None) -> CallResult:
-    """Return how a call ended by what it raised."""
+    """Return the result of a call that raised `error`, or `ANSWERED` for `None`."""
     if error is None:
         return CallResult.ANSWERED
     if isinstance(error, NotStarted):
--- a/packages/core/calicopath_core/execution/executor.py
+++ b/packages/core/calicopath_core/execution/executor.py
@@ -1,4 +1,4 @@
-"""Run requests from the door to their one final outcome."""
+"""Run pipeline requests from admission to their final outcome."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 T = TypeVar('T')
 
 STORE_RETRY_S = 2.0
-"""When to come back while the object store cannot be asked for a claim."""
+"""Retry delay while the object store is unavailable for claims."""
 
 CLAIM_RETRY_S = 1.0
-"""When to ask again for the answer of a request that somebody else runs."""
+"""Retry delay for the answer of a request that is already running."""
 
 REFUSAL_REASONS = {
     FailureReason.OVERLOADED: RefusalReason.OVERLOADED,
@@ -48,13 +48,15 @@
     FailureReason.CRASHES_ENDPOINTS: RefusalReason.CRASHES_ENDPOINTS,
     FailureReason.DEADLINE_PASSED: RefusalReason.DEADLINE_PASSED,
 }
-"""How a stage's failure is called when nothing of the request ran."""
+"""Refusal reason for each stage failure if no call of the request can have run."""
 
 
 class PipelineExecutor:
-    """Run a plan's stages in order under one deadline."""
+    """Admit requests and run the stages of their plans in order, under one deadline."""
 
-    def __init__(self, *, context: StageContext, admission: PipelineAdmission, claims: ClaimRegistry) -> None:
+    def __init__(
+        self, *, context: StageContext, admission: PipelineAdmission, claims: ClaimRegistry
+    ) -> None:
         self.context = context
         self.admission = admission
         self.claims = claims
@@ -63,7 +65,7 @@
         self.background_tasks: set[asyncio.Task[Any]] = set()
 
     async def run(self, request: PipelineRequest, plan: Plan, sink: TokenSink) -> Outcome:
-        """Return the request's one outcome; tokens go to `sink` as they come."""
+        """Return the outcome of the request; write generated text to `sink` as it arrives."""
         run = PipelineRun(request=request, plan=plan, sink=sink)
         outcome = await self.admit_and_run(run)
         took_s = self.context.clock.monotonic() - request.arrived_at
@@ -71,7 +73,7 @@
         return outcome
 
     async def admit_and_run(self, run: PipelineRun) -> Outcome:
-        """Refuse at the door, or run with or without a claim."""
+        """Refuse the request, or run it; a request that is not repeatable needs a claim to run."""
         now = self.context.clock.monotonic()
         refused = self.admission.check(run.plan, run.request.priority, now, run.request.deadline)
         refused = refused or self.refuse_blocked(run)
@@ -82,33 +84,35 @@
         return await self.run_claimed(run)
 
     def refuse_blocked(self, run: PipelineRun) -> Refused | None:
-        """Return the refusal of a request under which endpoints end, or nothing."""
+        """Return the refusal of a request that is blocked for crashing endpoints, or `None`."""
         services = [stage.service for stage in run.plan.stages]
         wait_s = self.context.crashes.blocked_s(run.content, services)
         if wait_s is None:
             return None
-        detail = 'endpoints end under this request; it is not sent on for now'
+        detail = 'this request crashes endpoints and is blocked for now'
         return Refused(RefusalReason.CRASHES_ENDPOINTS, detail, wait_s)
 
     async def run_claimed(self, run: PipelineRun) -> Outcome:
-        """Claim the request's key, run it, and keep its answer or give the key back."""
+        """Claim the idempotency key, run the request, and record its answer or release the key."""
         claimed = await self.claim(run)
         if not isinstance(claimed, Granted):
             return claimed
-        # Once claimed, the run goes on even if the caller hangs up: its answer is kept.
+        # The run continues if the caller disconnects, so that its answer can be recorded.
         task = self.spawn(self.run_stages(run))
-        task.add_done_callback(lambda done: self.spawn(self.settle_claim(run, claimed, done.result())))
+        task.add_done_callback(
+            lambda done: self.spawn(self.settle_claim(run, claimed, done.result()))
+        )
         return await asyncio.shield(task)
 
     def spawn(self, coroutine: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
-        """Run something to its end, whoever waits for it."""
+        """Start a background task that runs to its end even if its waiters are cancelled."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self.background_tasks.add(task)
         task.add_done_callback(self.background_tasks.discard)
         return task
 
     async def claim(self, run: PipelineRun) -> Granted | Outcome:
-        """Claim the key, or return the outcome of not getting it."""
+        """Claim the idempotency key, or return the outcome of a request that cannot claim it."""
         request = run.request
         if request.key is None:
             return Refused(
@@ -133,7 +137,10 @@
         return result
 
     async def settle_claim(self, run: PipelineRun, granted: Granted, outcome: Outcome) -> None:
-        """Make the claim say what is known: the answer, that nothing happened, or neither."""
+        """Record the answer in the claim, or release the claim if no side effect can have happened.
+
+        In any other case the claim stays as started, so that no retry runs the request again.
+        """
         timeout_s = self.context.policy.claim_timeout_s
         if not isinstance(outcome, Answered):
             late_answer = await self.late_answer(run)
@@ -145,7 +152,7 @@
                 await self.claims.release(granted, timeout_s)
 
     async def late_answer(self, run: PipelineRun) -> Answered | None:
-        """Wait for a last call that outlived the deadline, so that its answer can be kept."""
+        """Return the answer of a call that outlived the deadline, or `None` if it gives none."""
         if run.late_call is None:
             return None
         try:
@@ -165,7 +172,7 @@
         return complete_answer(run)
 
     async def run_stages(self, run: PipelineRun) -> Outcome:
-        """Run the stages in order and turn what happens into an outcome."""
+        """Run the stages in order and return the outcome."""
         pools = {stage.name: self.context.pools.pool(stage.service) for stage in run.plan.stages}
         run.add_pending(dict(pools))
         try:
@@ -182,7 +189,7 @@
         return complete_answer(run)
 
     async def run_stage(self, run: PipelineRun, index: int, slowness: float) -> None:
-        """Run one stage within its share of the time left."""
+        """Run one stage within its time budget."""
         budget = stage_budget(run, index, slowness)
         if budget.stage.kind is StageKind.ENGINE:
             await self.generation_runner.run(run, budget)
@@ -190,31 +197,42 @@
             await self.call_runner.run(run, budget)
 
     def failed_outcome(self, run: PipelineRun, error: StageFailed) -> Outcome:
-        """Refuse as not run only if every call that left is proved unstarted."""
+        """Return a refusal if every call provably did not start, and a failure otherwise."""
         if run.possibly_run_calls == 0 and error.reason in REFUSAL_REASONS:
-            return Refused(REFUSAL_REASONS[error.reason], error.detail, error.retry_after_s, error.cause)
+            return Refused(
+                REFUSAL_REASONS[error.reason], error.detail, error.retry_after_s, error.cause
+            )
         timings = tuple(run.timings)
         return Failed(error.reason, error.detail, error.retry_after_s, timings, error.cause)
 
 
 def existing_claim_outcome(claim: StoredClaim | None, run: PipelineRun) -> Outcome:
-    """Return what a second caller with the same key gets."""
+    """Return the outcome of a request whose key is already claimed.
+
+    `claim` is `None` if claims of the key's age have been pruned.
+    """
     if claim is None:
         return Failed(
-            FailureReason.ALREADY_CLAIMED, 'the key is too old to tell whether it ran', None
+            FailureReason.ALREADY_CLAIMED,
+            'the key is too old to tell whether its request ran',
+            None,
         )
     if claim['body'] != run.request.body_digest:
         return Refused(
-            RefusalReason.KEY_REUSED, 'the key was used before with another request', None
+            RefusalReason.KEY_REUSED, 'the key was used before for a different request', None
         )
     if claim['state'] == ClaimState.STARTED:
         return Failed(
-            FailureReason.ALREADY_CLAIMED, 'the request was started before', CLAIM_RETRY_S
+            FailureReason.ALREADY_CLAIMED,
+            'a request with this key was already started and has no answer yet',
+            CLAIM_RETRY_S,
         )
     answer = claim.get('answer')
     if answer is None:
         return Failed(
-            FailureReason.ANSWER_NOT_KEPT, 'the request ran; its answer was too large to keep', None
+            FailureReason.ANSWER_NOT_KEPT,
+            'the request ran, but its answer was too large to keep',
+            None,
         )
     return Answered(
         output=answer['output'],
@@ -226,7 +244,7 @@
 
 
 def complete_answer(run: PipelineRun) -> Answered:
-    """Return the answer of a run whose stages have all been answered."""
+    """Return the answer of a run after its last stage was answered."""
     return Answered(
         output=run.input.get('output', ''),
         results=run.input.get('results', {}),
@@ -236,5 +254,5 @@
 
 
 def answer_record(answer: Answered) -> dict[str, Any]:
-    """Return the part of an answer that is kept with its claim."""
+    """Return the part of an answer that is recorded in its claim."""
     return {'output': answer.output, 'results': answer.results, 'digest': answer.digest}
--- a/packages/core/calicopath_core/execution/generation.py
+++ b/packages/core/calicopath_core/execution/generation.py
@@ -1,4 +1,4 @@
-"""Stream a generation, resuming it on another replica when it breaks."""
+"""Stream a generation and resume it on another replica when the stream breaks."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     TimedOut,
     acquire_slot,
     check_time_left,
-    stage_failure,
     note_crash,
+    stage_failure,
 )
 from calicopath_core.structure.calls import GenerationCall, GenerationEnd, StageOutput, Token
 from calicopath_core.structure.outcomes import FailureReason, StageTiming
@@ -34,9 +34,9 @@
 
 
 class GenerationProgress:
-    """Collect tokens in order, whichever replicas they come from.
+    """Collect the tokens of a generation in order, across the replicas that produce them.
 
-    Characters are passed on only when all their bytes are there.
+    A character is returned only once all its UTF-8 bytes have arrived.
     """
 
     def __init__(self) -> None:
@@ -51,25 +51,29 @@
         return len(self.tokens)
 
     def add(self, token: Token) -> str:
-        """Take a token and return the characters that it completes."""
+        """Add a token and return the characters that it completes.
+
+        A repeated token adds nothing. Raise `WrongAnswer` if a token is missing, differs from its
+        earlier copy or is not UTF-8.
+        """
         if token.offset > self.offset:
-            raise WrongAnswer(f'token {token.offset} came instead of {self.offset}')
+            raise WrongAnswer(f'received token {token.offset}, expected token {self.offset}')
         if token.offset < self.offset:
             if self.tokens[token.offset] != token.data:
-                raise WrongAnswer(f'token {token.offset} came again with other content')
+                raise WrongAnswer(f'token {token.offset} was repeated with different content')
             return ''
         try:
             text = self.decoder.decode(token.data)
         except UnicodeDecodeError:
-            raise WrongAnswer(f'token {token.offset} is not UTF-8') from None
+            raise WrongAnswer(f'token {token.offset} is not valid UTF-8') from None
         self.tokens.append(token.data)
         self.text.append(text)
         return text
 
     def finish(self, end: GenerationEnd) -> None:
-        """Check that the end comes after the last token and the last character."""
+        """Raise `WrongAnswer` if tokens, or bytes of the last character, are missing."""
         if end.total != self.offset:
-            raise WrongAnswer(f'{self.offset} tokens came of {end.total}')
+            raise WrongAnswer(f'received {self.offset} of {end.total} tokens')
         try:
             self.decoder.decode(b'', final=True)
         except UnicodeDecodeError:
@@ -78,14 +82,14 @@
 
 
 class GenerationRunner:
-    """Run a stage that streams its answer."""
+    """Run engine stages, whose answers are streamed token by token."""
 
     def __init__(self, *, context: StageContext) -> None:
         self.context = context
         self.cancel_tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, run: PipelineRun, budget: StageBudget) -> StageOutput:
-        """Return the whole text; raise `StageFailed`."""
+        """Return the complete text; raise `StageFailed` once the attempts are used up."""
         progress = GenerationProgress()
         tried: set[str] = set()
         last: NotStarted | MayHaveRun | None = None
@@ -93,7 +97,7 @@
         started = self.context.clock.monotonic()
         for number in range(1, self.context.policy.max_attempts + 1):
             if progress.offset:
-                # What is left of a broken generation takes less than a whole one.
+                # The rest of a broken generation takes less than a complete one.
                 budget = budget._replace(expected_s=0.0)
             slot = await acquire_slot(self.context, run, budget, tried)
             queued_s += slot.queued_s
@@ -121,17 +125,21 @@
         reason = FailureReason.STREAM_BROKEN if progress.offset else FailureReason.ENDPOINT_FAILED
         raise stage_failure(budget, last, reason)
 
-    def may_continue(self, run: PipelineRun, budget: StageBudget, progress: GenerationProgress) -> bool:
-        """Tell whether a broken generation may go on elsewhere.
+    def may_continue(
+        self, run: PipelineRun, budget: StageBudget, progress: GenerationProgress
+    ) -> bool:
+        """Return whether a broken generation may continue on another replica.
 
-        Resuming after the tokens received runs nothing twice; starting over might.
+        Resuming after the received tokens does not run the request twice; a restart may.
         """
         if run.runs_at_most_once(budget.stage) and progress.offset == 0:
             return False
         return self.context.retry_budget.try_spend()
 
-    async def attempt(self, run: PipelineRun, budget: StageBudget, slot: Slot, progress: GenerationProgress) -> None:
-        """Stream from one replica until the end."""
+    async def attempt(
+        self, run: PipelineRun, budget: StageBudget, slot: Slot, progress: GenerationProgress
+    ) -> None:
+        """Stream from one replica; raise `NotStarted`, `MayHaveRun` or one of their subclasses."""
         stage = budget.stage
         with CallAttempt(context=self.context, run=run, budget=budget, slot=slot) as attempt:
             call = GenerationCall(
@@ -148,7 +156,7 @@
                 await self.stream(run, budget, slot, call, progress, timing)
             except TimeoutError:
                 self.cancel(slot, call)
-                raise TimedOut(f'{slot.endpoint.name} stopped sending tokens') from None
+                raise TimedOut(f'endpoint {slot.endpoint.name} stopped sending tokens') from None
             except NotStarted:
                 raise
             except BaseException:
@@ -167,7 +175,7 @@
         progress: GenerationProgress,
         timing: StreamTiming,
     ) -> None:
-        """Take tokens until the end; raise `TimeoutError` when none comes for too long."""
+        """Write text to the caller until the stream ends; raise `TimeoutError` if it stalls."""
         call_id = str(call.id)
         clock = self.context.clock
         items = self.context.backends.engine.generate(slot.endpoint, call)
@@ -176,7 +184,7 @@
                 async with asyncio.timeout_at(self.next_token_deadline(budget, timing)):
                     item = await next_item(items)
                 if item.call != call_id:
-                    raise WrongAnswer(f'an answer to {item.call} came to {call_id}')
+                    raise WrongAnswer(f'call {call_id} received an answer to call {item.call}')
                 if isinstance(item, GenerationEnd):
                     progress.finish(item)
                     return
@@ -185,13 +193,13 @@
                 text = progress.add(item)
                 if text:
                     await run.sink.write(text)
-                # The time that a slow caller takes is not the replica's.
+                # Writing to a slow caller must not count as a stall of the replica.
                 timing.waiting_since = clock.monotonic()
 
     def next_token_deadline(self, budget: StageBudget, timing: StreamTiming) -> float:
-        """Return when to give up waiting for the next token.
+        """Return the monotonic time at which waiting for the next token times out.
 
-        The first one may take as long as the whole stage should, since calls queue.
+        The first token may take as long as the expected time of the stage, because calls queue.
         """
         policy = self.context.policy
         lag_s = self.context.lag.value_s
@@ -206,13 +214,15 @@
         return min(budget.deadline, timing.waiting_since + stall_s)
 
     def note_first_token(self, run: PipelineRun, timing: StreamTiming) -> None:
-        """Report a request's first token once."""
+        """Report the first token of a request, once over all its attempts."""
         if run.first_token_at is None:
             run.first_token_at = timing.last_token_at
-            self.context.observer.on_first_token(run.plan, timing.last_token_at - run.request.arrived_at)
+            self.context.observer.on_first_token(
+                run.plan, timing.last_token_at - run.request.arrived_at
+            )
 
     def cancel(self, slot: Slot, call: GenerationCall) -> None:
-        """Ask the replica to stop, without waiting for it."""
+        """Ask the replica to cancel the generation, without waiting for its reply."""
         engine = self.context.backends.engine
         task = asyncio.get_running_loop().create_task(engine.cancel(slot.endpoint, call))
         self.cancel_tasks.add(task)
@@ -220,7 +230,10 @@
 
 
 class StreamTiming:
-    """Hold when a stream started and gave tokens, on the monotonic clock, in seconds."""
+    """Hold the start and token times of a stream, on the monotonic clock, in seconds.
+
+    `waiting_since` is when waiting for the next token began.
+    """
 
     def __init__(self, *, started_at: float) -> None:
         self.started_at = started_at
@@ -231,18 +244,18 @@
 
     @property
     def first_response_s(self) -> float:
-        """Return the time to the first token, 0 if there was none."""
+        """Return the time to the first token, or 0 if there was none."""
         return 0.0 if self.first_token_at is None else self.first_token_at - self.started_at
 
     @property
     def mean_token_gap_s(self) -> float | None:
-        """Return the mean time between tokens, if there were two."""
+        """Return the mean time between tokens, or `None` for fewer than two tokens."""
         if self.first_token_at is None or self.token_count < 2:
             return None
         return (self.last_token_at - self.first_token_at) / (self.token_count - 1)
 
     def on_token(self, now: float) -> None:
-        """Note a token."""
+        """Record the arrival of a token."""
         if self.first_token_at is None:
             self.first_token_at = now
         self.last_token_at = now
@@ -250,9 +263,9 @@
 
 
 async def next_item(items: AsyncIterator[Token | GenerationEnd]) -> Token | GenerationEnd:
-    """Return the next item; a stream that just stops has no whole answer."""
+    """Return the next item; raise `ConnectionBroken` if the stream stops without an end item."""
     try:
         return await anext(items)
     except StopAsyncIteration:
-        # The end of an engine's connection looks like the end of an answer that has no length.
-        raise ConnectionBroken('the stream ended before the end of the answer') from None
+        # If the response has no length, a lost connection looks like the end of the response.
+        raise ConnectionBroken('the stream stopped before the end of the answer') from None
--- a/packages/core/calicopath_core/execution/policy.py
+++ b/packages/core/calicopath_core/execution/policy.py
@@ -1,4 +1,4 @@
-"""Gather the settings of execution that a deployment may weigh."""
+"""Define the execution settings that depend on the objective of a deployment."""
 
 from __future__ import annotations
 
@@ -7,20 +7,22 @@
 
 
 class Objective(enum.StrEnum):
-    """Say what a deployment weighs more."""
+    """Name what a deployment optimizes for."""
 
     ATTAINMENT = 'attainment'
     COST = 'cost'
 
 
 class ExecutionPolicy(NamedTuple):
-    """Hold the figures by which stages are called; times are in seconds.
-
-    `door_margin` multiplies the estimate of the time a request needs before it is compared
-    with the time it has. A try at a repeatable stage is given up after `try_factor` times what
-    it should take. A stream is given up when no token comes for `stall_factor` times what is
-    usual for the service, between `min_stall_s` and `max_stall_s`. `affinity` sends calls with one
-    prompt prefix to one replica.
+    """Hold the limits that apply to stage calls; times are in seconds.
+
+    Admission multiplies a request's estimated response time by `admission_margin` before it
+    compares it with the deadline. An attempt at a repeatable stage times out after
+    `attempt_timeout_factor` times its expected time, at least `min_attempt_timeout_s`. A stream
+    times out when no token arrives for `stall_factor` times the usual gap of the service, between
+    `min_stall_s` and `max_stall_s`. `affinity` sends calls with the same prompt prefix to one
+    replica. A call that must not be repeated may answer until `late_answer_timeout_s` after the
+    request has ended, so that its answer can be recorded.
     """
 
     admission_margin: float = 1.35
@@ -36,11 +38,11 @@
 
 
 COST_ADMISSION_MARGIN = 2.0
-"""Refusing earlier throws away less and answers fewer requests of the highest priority."""
+"""A larger margin wastes less work but answers fewer requests of the highest priority."""
 
 
 def policy_for(objective: Objective, *, affinity: bool = False) -> ExecutionPolicy:
-    """Return the policy of an objective, with or without prefix affinity."""
+    """Return the execution policy of an objective."""
     if objective is Objective.COST:
         return ExecutionPolicy(admission_margin=COST_ADMISSION_MARGIN, affinity=affinity)
     return ExecutionPolicy(affinity=affinity)
--- a/packages/core/calicopath_core/execution/requests.py
+++ b/packages/core/calicopath_core/execution/requests.py
@@ -1,4 +1,4 @@
-"""Describe one request while it runs."""
+"""Define pipeline requests and the interfaces that receive their text and metrics."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class PipelineRequest(NamedTuple):
-    """Carry a caller's request; times are on the monotonic clock, in seconds.
+    """Hold a caller's request; times are on the monotonic clock, in seconds.
 
-    `body` is a digest of everything that the caller asked for, `key` its idempotency key.
+    `body_digest` covers everything that the caller asked for; `key` is the idempotency key.
     """
 
     id: str
@@ -28,22 +28,22 @@
 
 
 class TokenSink(ABC):
-    """Take text as it is generated; the text given so far is always right."""
+    """Receive text as it is generated; what was written is never retracted."""
 
     @abstractmethod
     async def write(self, text: str) -> None:
-        """Pass on the next piece of text."""
+        """Write the next piece of text."""
 
 
 class DiscardSink(TokenSink):
-    """Take text that nobody wants before the whole answer is there."""
+    """Discard text, for callers that only want the complete answer."""
 
     async def write(self, text: str) -> None:
         """Do nothing."""
 
 
 class CallResult(enum.StrEnum):
-    """Say how one call to an endpoint ended."""
+    """Name the result of one call to an endpoint."""
 
     ANSWERED = 'answered'
     NOT_STARTED = 'not-started'
@@ -54,25 +54,25 @@
 
 
 class Observer(ABC):
-    """Count what happens to requests and stages."""
+    """Receive the results of calls and requests, for metrics."""
 
     @abstractmethod
     def on_call(self, stage: StagePlan, endpoint: str, served_s: float, result: CallResult) -> None:
-        """Note one call to an endpoint."""
+        """Record one call to an endpoint and how long it took."""
 
     @abstractmethod
     def on_first_token(self, plan: Plan, after_s: float) -> None:
-        """Note the time from arrival to the first token."""
+        """Record the time from the arrival of a request to its first token, in seconds."""
 
     @abstractmethod
     def on_outcome(
         self, plan: Plan, outcome: Outcome, took_s: float, timings: tuple[StageTiming, ...]
     ) -> None:
-        """Note how a request ended and what its finished stages took."""
+        """Record the outcome of a request and the timings of its finished stages."""
 
 
 class NullObserver(Observer):
-    """Count nothing."""
+    """Ignore all results."""
 
     def on_call(self, stage: StagePlan, endpoint: str, served_s: float, result: CallResult) -> None:
         """Do nothing."""
--- a/packages/core/calicopath_core/execution/run.py
+++ b/packages/core/calicopath_core/execution/run.py
@@ -1,4 +1,4 @@
-"""Hold the state of one request while its stages run."""
+"""Track the state of one request while its stages run."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 class StageFailed(CalicopathError):
-    """Report that a stage gave no answer and will not be tried again.
+    """Report that a stage gave no answer and will not be retried.
 
-    `detail` is for callers, `cause` for the log.
+    `detail` is meant for callers, `cause` for the log.
     """
 
     def __init__(
@@ -45,11 +45,11 @@
 
 
 class PipelineRun:
-    """Follow a request through its stages.
+    """Hold the state of a request between and during its stages.
 
-    `unproved_calls` counts the calls that left the box and are not proved unstarted: only
-    while it is zero may the request be refused as not run. `unproved_effects` counts those of
-    them that must not happen twice. `late_call` is such a call that outlives the deadline.
+    `possibly_run_calls` counts the calls that were sent and are not proved unstarted: a request may
+    be refused as not run only while it is 0. `possible_side_effects` counts those of them that must
+    not run twice. `late_call` is such a call that is still running when its caller stops waiting.
     """
 
     def __init__(self, *, request: PipelineRequest, plan: Plan, sink: TokenSink) -> None:
@@ -68,21 +68,21 @@
 
     @property
     def content(self) -> str:
-        """Return what names what is asked: pipeline and workspace, then the body."""
+        """Return the request fingerprint: digests of workspace and pipeline, and of the body."""
         asked = f'{self.plan.workspace}/{self.plan.pipeline}'.encode()
         pipeline = hashlib.blake2b(asked, digest_size=PIPELINE_DIGEST_BYTES).hexdigest()
         return request_fingerprint(pipeline, self.request.body_digest)
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether the whole request may be run again."""
+        """Return whether the complete request may run again."""
         return self.request.repeatable and self.plan.repeatable
 
     def runs_at_most_once(self, stage: StagePlan) -> bool:
-        """Tell whether a stage must not be called again once a call may have run.
+        """Return whether a stage must not be called again after a call that may have run.
 
-        In a request marked not repeatable these are the calls of plain services, which have
-        effects outside; where the plan has none, they are all its calls.
+        In a request marked not repeatable these are the calls to plain services, which have side
+        effects. If its plan calls no plain service, they are all its calls.
         """
         if not stage.repeatable:
             return True
@@ -92,49 +92,49 @@
 
     @property
     def calls_services(self) -> bool:
-        """Tell whether any stage calls a plain service."""
+        """Return whether any stage calls a plain service."""
         return any(stage.kind is StageKind.SERVICE for stage in self.plan.stages)
 
     def next_call_id(self, stage: StagePlan) -> CallId:
-        """Return a fresh identity for a call."""
+        """Return a new ID for a call."""
         self.call_count += 1
         return CallId(self.request.id, stage.name, self.call_count)
 
     def on_sent(self, stage: StagePlan, now: float) -> None:
-        """Note that a call is about to leave the box."""
+        """Record that a call is about to be sent, at the monotonic time `now`."""
         self.last_sent_at = now
         self.possibly_run_calls += 1
         self.possible_side_effects += self.runs_at_most_once(stage)
 
     def on_not_started(self, stage: StagePlan) -> None:
-        """Note that a call is proved not to have started."""
+        """Record that a call provably did not start."""
         self.possibly_run_calls -= 1
         self.possible_side_effects -= self.runs_at_most_once(stage)
 
     def add_pending(self, pools: dict[str, ServicePool]) -> None:
-        """Count this request, by stage name, among those that will ask the pools for slots."""
+        """Register this request with the pools, given by stage name, as a future slot request."""
         self.pending_pools = pools
         for pool in pools.values():
             pool.add_pending(self.request.priority)
 
     def remove_pending(self, stage: StagePlan) -> None:
-        """Count this request out of those that a stage's pool still expects."""
+        """Remove this request from the future slot requests of a stage's pool."""
         pool = self.pending_pools.pop(stage.name, None)
         if pool is not None:
             pool.remove_pending(self.request.priority)
 
     def remove_all_pending(self) -> None:
-        """Count this request out of every pool that still expects it."""
+        """Remove this request from the future slot requests of every pool."""
         for stage in self.plan.stages:
             self.remove_pending(stage)
 
     def finish_stage(self, stage: StagePlan, output: StageOutput, timing: StageTiming) -> None:
-        """Hand a stage's output on to the next stages."""
+        """Record the timing of a stage and pass its output to the next stages."""
         self.timings.append(timing)
         self.merge_output(stage, output)
 
     def merge_output(self, stage: StagePlan, output: StageOutput) -> None:
-        """Merge a stage's output into the input of the next ones."""
+        """Merge the output of a stage into the input of the next stages."""
         if 'vector' in output:
             self.input['vector'] = output['vector']
         if 'documents' in output:
--- a/packages/core/calicopath_core/execution/stages.py
+++ b/packages/core/calicopath_core/execution/stages.py
@@ -1,4 +1,4 @@
-"""Call one stage at one endpoint after another until it answers or must be given up."""
+"""Call a stage at one endpoint after another until it answers or its attempts are used up."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     TimedOut,
     acquire_slot,
     check_time_left,
-    stage_failure,
     note_crash,
+    stage_failure,
 )
 from calicopath_core.structure.calls import StageCall, StageOutput
 from calicopath_core.structure.outcomes import StageTiming
@@ -28,13 +28,13 @@
 
 
 class CallRunner:
-    """Run a stage that gives its answer in one piece."""
+    """Run stages whose answer is not streamed."""
 
     def __init__(self, *, context: StageContext) -> None:
         self.context = context
 
     async def run(self, run: PipelineRun, budget: StageBudget) -> StageOutput:
-        """Return the stage's output; raise `StageFailed`."""
+        """Return the output of the stage; raise `StageFailed` once its attempts are used up."""
         tried: set[str] = set()
         last: NotStarted | MayHaveRun | None = None
         queued_s = 0.0
@@ -65,7 +65,7 @@
         raise stage_failure(budget, last)
 
     async def attempt(self, run: PipelineRun, budget: StageBudget, slot: Slot) -> StageOutput:
-        """Make one call."""
+        """Make one call; raise `TimedOut` if it takes too long."""
         stage = budget.stage
         with CallAttempt(context=self.context, run=run, budget=budget, slot=slot) as attempt:
             deadline = self.attempt_deadline(run, budget, attempt.started_at)
@@ -81,10 +81,12 @@
                 async with asyncio.timeout_at(deadline):
                     return await self.send(run, stage, slot, call)
             except TimeoutError:
-                raise TimedOut(f'{slot.endpoint.name} did not answer in time') from None
+                raise TimedOut(f'endpoint {slot.endpoint.name} did not answer in time') from None
 
-    async def send(self, run: PipelineRun, stage: StagePlan, slot: Slot, call: StageCall) -> StageOutput:
-        """Make the call; one that must not happen twice goes on when its waiter gives up."""
+    async def send(
+        self, run: PipelineRun, stage: StagePlan, slot: Slot, call: StageCall
+    ) -> StageOutput:
+        """Send the call; one that must not run twice continues when its waiter is cancelled."""
         answer = self.adapter(stage).call(slot.endpoint, call)
         if not run.runs_at_most_once(stage):
             return await answer
@@ -98,23 +100,25 @@
                 run.late_call = None
 
     def adapter(self, stage: StagePlan) -> StagePool | PlainService:
-        """Return the adapter for a stage's kind."""
+        """Return the client for stages of this kind."""
         if stage.kind is StageKind.SERVICE:
             return self.context.backends.service
         return self.context.backends.pool
 
     def attempt_deadline(self, run: PipelineRun, budget: StageBudget, now: float) -> float:
-        """Return when a try ends: in time for another one if the stage may be repeated."""
+        """Return when an attempt times out; a repeatable stage keeps time for another attempt."""
         if run.runs_at_most_once(budget.stage):
             return budget.deadline
         policy = self.context.policy
         now += self.context.lag.value_s
         return min(
-            budget.deadline, now + max(policy.min_attempt_timeout_s, budget.expected_s * policy.attempt_timeout_factor)
+            budget.deadline,
+            now
+            + max(policy.min_attempt_timeout_s, budget.expected_s * policy.attempt_timeout_factor),
         )
 
 
 def mark_exception_retrieved(task: asyncio.Task[StageOutput]) -> None:
-    """Keep the event loop from reporting an error that nobody waits for any more."""
+    """Mark the exception as retrieved, so that the event loop does not log it."""
     if not task.cancelled():
         task.exception()
--- a/packages/core/calicopath_core/execution/tests/answers_tests.py
+++ b/packages/core/calicopath_core/execution/tests/answers_tests.py
@@ -1,4 +1,7 @@
-"""Test that callers get the whole answer to their own request, or a true refusal."""
+"""Test that callers get the complete answer to their own request, or a correct refusal.
+
+A refusal is correct if no call of the request can have run.
+"""
 
 from __future__ import annotations
 
@@ -34,20 +37,20 @@
 
 
 def fault_once(*faults: Fault) -> Callable[[str], Fault | None]:
-    """Return a source that gives each fault to one call and then none."""
+    """Return a fault source that gives each fault to one call, and none afterwards."""
     remaining = list(faults)
     return lambda call: remaining.pop(0) if remaining else None
 
 
 def set_faults(fleet: FakeFleet, service: str, source: Callable[[str], Fault | None]) -> None:
-    """Give all replicas of a service one source of faults."""
+    """Set one fault source for all replicas of a service."""
     for name, item in fleet.endpoints.items():
         if name.startswith(service):
             item.fault = source
 
 
 async def undisturbed(pipeline: str, text: str) -> str:
-    """Return the answer without faults."""
+    """Return the answer that a fleet without faults gives."""
     fleet = new_fleet()
     box = FakeBox(fleet=fleet, state=StoreState()).configure(fleet)
     outcome = await box.send(pipeline, text, key=uuid7())
@@ -58,7 +61,7 @@
 async def send_naive(
     fleet: FakeFleet, box: FakeBox, pipeline: str, text: str, sink: TextSink, key: str | None = None
 ) -> Outcome:
-    """Send a request the naive way."""
+    """Send a request with the naive executor, the baseline without this project's checks."""
     result = box.view.plan('towpath', pipeline)
     assert result is not None
     plan = result.unwrap()
@@ -184,10 +187,10 @@
 
 
 class SlowSink(TextSink):
-    """Take half a second for each piece."""
+    """Delay each piece by half a second."""
 
     async def write(self, text: str) -> None:
-        """Keep a piece, slowly."""
+        """Keep a piece after a delay."""
         await asyncio.sleep(0.5)
         await super().write(text)
 
--- a/packages/core/calicopath_core/execution/tests/crashing_tests.py
+++ b/packages/core/calicopath_core/execution/tests/crashing_tests.py
@@ -1,8 +1,8 @@
-"""Test requests that end the endpoints which run them, sent again and again at any box.
+"""Test that a request which crashes endpoints is blocked when callers repeat it.
 
-The same missing memory stood here: a request was called at two endpoints at most, and the same body
-sent once more began at nothing. Without the memory twelve of twelve repeats reached endpoints: 23
-ends of engines and 22 of rerankers, each with whatever else the endpoint was at work on.
+A request was sent to at most two endpoints, but its crashes were forgotten when the same body was
+sent again, at any box. All of twelve repeats reached endpoints and caused 23 crashes of engines or
+22 of rerankers, and each crash aborted the other calls of its endpoint.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 class Crashing(VirtualCase):
     def fleet(self, service: str) -> FakeFleet:
-        """Return endpoints of which those of one service end under a request."""
+        """Return a fleet in which the endpoints of one service crash during a request."""
         fleet = new_fleet(replicas=4)
         for name, item in fleet.endpoints.items():
             if name.startswith(service):
@@ -32,13 +32,16 @@
         return fleet
 
     def crashes(self, fleet: FakeFleet) -> int:
-        """Return how often endpoints have ended."""
+        """Return the number of endpoint crashes."""
         return sum(len(item.ends) for item in fleet.endpoints.values())
 
     def check_blocked(
         self, service: str, pipeline: str = 'answer', *, quietly: bool = False
     ) -> None:
-        """Check that a request is not sent on once three endpoints have ended under it."""
+        """Check that a repeated request causes at most four crashes and blocks no other request.
+
+        With `quietly`, streams end without an error when their endpoint crashes.
+        """
 
         async def scenario() -> None:
             fleet = self.fleet(service)
@@ -56,9 +59,11 @@
     def test_a_request_that_crashes_engines_is_blocked(self) -> None:
         self.check_blocked('drafting')
 
-    def test_a_request_that_crashes_engines_is_blocked_when_streams_end_without_an_error(self) -> None:
-        # An answer without a length ends with its connection, so that an engine which ends under
-        # a request looks like one that has nothing more to say: 23 ends under twelve repeats.
+    def test_a_request_that_crashes_engines_is_blocked_when_streams_end_without_an_error(
+        self,
+    ) -> None:
+        # If a response has no length, a crash of the engine looks like the end of its answer:
+        # twelve repeats caused 23 crashes.
         self.check_blocked('drafting', quietly=True)
 
     def test_a_request_that_crashes_stage_pools_is_blocked(self) -> None:
--- a/packages/core/calicopath_core/execution/tests/once_tests.py
+++ b/packages/core/calicopath_core/execution/tests/once_tests.py
@@ -1,4 +1,4 @@
-"""Test that a request marked not repeatable runs at most once, whatever dies or pauses."""
+"""Test that a request marked not repeatable runs at most once, whatever crashes or pauses."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def new_boxes(fleet: FakeFleet, state: StoreState, count: int) -> list[FakeBox]:
-    """Return boxes that share fleet and store."""
+    """Return boxes that share a fleet and a store."""
     return [
         FakeBox(fleet=fleet, state=state, seed=seed + 1).configure(fleet) for seed in range(count)
     ]
@@ -217,7 +217,7 @@
 
 
 class Step(NamedTuple):
-    """Describe one request of a generated history, and what happens to its box."""
+    """Describe one request of a generated history, with its faults and those of its box."""
 
     box: int
     key: int
@@ -249,7 +249,7 @@
         run_virtual(self.play(steps, down_at, down_for))
 
     async def play(self, steps: list[Step], down_at: float, down_for: float) -> None:
-        """Play one history and judge it by the services' own count."""
+        """Run one history and check how often the services ran each key."""
         fleet, state = new_fleet(), StoreState()
         boxes = new_boxes(fleet, state, 3)
         loop = asyncio.get_running_loop()
@@ -276,7 +276,7 @@
     async def ask(
         self, box: FakeBox, step: Step, fleet: FakeFleet, outcomes: list[tuple[int, Outcome]]
     ) -> None:
-        """Send one request with its faults."""
+        """Send one request with the faults of its step."""
         fates = itertools.chain([step.store_fate], itertools.repeat(WriteFate.DONE))
         box.store.fate = lambda key: next(fates)
         faults = fault_once(*([step.service_fault] if step.service_fault else []))
@@ -284,7 +284,7 @@
         outcomes.append((step.key, await box.send('act', key=uuid7(number=step.key))))
 
     def disturb(self, box: FakeBox, step: Step) -> None:
-        """Kill or freeze a box some time after its request."""
+        """Schedule the crash or pause of a box after its request, if the step has one."""
         loop = asyncio.get_running_loop()
         if step.killed_after_s is not None:
             loop.call_later(step.killed_after_s, box.kill)
--- a/packages/core/calicopath_core/execution/tests/sides_tests.py
+++ b/packages/core/calicopath_core/execution/tests/sides_tests.py
@@ -1,4 +1,4 @@
-"""Test that the same request is served the same way, whoever serves it."""
+"""Test that the same request gets the same outcome from any executor and any box."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 def comparable(outcome: Outcome) -> tuple[object, ...]:
-    """Return the part of an outcome that must not depend on the side."""
+    """Return the part of an outcome that must be the same on both sides."""
     if isinstance(outcome, Answered):
         return (outcome.output, outcome.results, outcome.digest)
     return (type(outcome), outcome.reason)
--- a/packages/core/calicopath_core/store/__init__.py
+++ b/packages/core/calicopath_core/store/__init__.py
@@ -1,1 +1,1 @@
-"""Keep what lasts in the platform's object store, and follow it."""
+"""Read, write and watch persistent objects in the platform's object store."""
--- a/packages/core/calicopath_core/store/base.py
+++ b/packages/core/calicopath_core/store/base.py
@@ -1,4 +1,4 @@
-"""Define the object store that the platform gives."""
+"""Define the interface of the platform's object store and its errors."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 class StoredObject(NamedTuple):
     """Hold an object as the store returns it.
 
-    Versions of a key only grow and are never given out again, as `store.versions` makes them. A
-    store that comes back from a copy may hold an earlier one.
+    The versions of a key, which `store.versions` builds, only increase and are never reused. After
+    a restore from a backup the store may return an earlier version.
     """
 
     key: str
@@ -27,7 +27,7 @@
 
 
 class BoxRecord(NamedTuple):
-    """Describe a box of the platform's lagging list; addresses are `host:port`."""
+    """Describe a box in the platform's list of boxes; addresses are `host:port`."""
 
     name: str
     failure_domain: str
@@ -37,27 +37,27 @@
 
 
 class StoreError(CalicopathError):
-    """Report that the object store did not do what was asked."""
+    """Report that the object store did not perform an operation."""
 
 
 class StoreUnavailable(StoreError):
-    """Report that the store could not be read, or that a write certainly did not happen."""
+    """Report that a read failed, or that a write provably did not happen."""
 
 
 class WriteUnknown(StoreError):
-    """Report that a write may or may not have taken effect."""
+    """Report that a write failed with an unknown outcome: it may have taken effect."""
 
 
 class VersionConflict(StoreError):
-    """Report that a conditional update met another version than expected."""
+    """Report that a conditional write found a version other than the expected one."""
 
 
 class ObjectStore(ABC):
-    """Read, conditionally update and watch objects."""
+    """Read, conditionally write and watch objects."""
 
     @abstractmethod
     async def get(self, key: str) -> StoredObject | None:
-        """Return an object, or nothing; raise `StoreUnavailable`."""
+        """Return an object, or `None` if it does not exist; raise `StoreUnavailable`."""
 
     @abstractmethod
     async def list(self, prefix: str) -> list[StoredObject]:
@@ -65,22 +65,22 @@
 
     @abstractmethod
     async def put(self, key: str, value: dict[str, Any], expected_version: int) -> StoredObject:
-        """Write if the version is still `expected_version` (`ABSENT` to create).
+        """Write if the version is still `expected_version` (`ABSENT_VERSION` to create).
 
         Raise `VersionConflict`, `WriteUnknown` or `StoreUnavailable`.
         """
 
     @abstractmethod
     def watch(self, prefix: str) -> AsyncIterator[StoredObject]:
-        """Yield objects below `prefix` as they change, from now on.
+        """Yield objects below `prefix` that change from now on; raise `StoreUnavailable`.
 
-        Events may come twice, out of order or stop without notice; raise `StoreUnavailable`.
+        Events may be duplicated or out of order, and may stop without an error.
         """
 
 
 class BoxList(ABC):
-    """Read the platform's lagging list of boxes."""
+    """Read the platform's list of boxes, which lags behind the real state."""
 
     @abstractmethod
     async def boxes(self) -> list[BoxRecord]:
-        """Return the boxes that the platform believes to exist; raise `StoreUnavailable`."""
+        """Return the boxes in the platform's list; raise `StoreUnavailable`."""
--- a/packages/core/calicopath_core/store/changes.py
+++ b/packages/core/calicopath_core/store/changes.py
@@ -1,4 +1,4 @@
-"""Write operators' changes: conditionally, with their audit records, and never blind."""
+"""Write operators' changes as conditional updates, each with its audit record."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Accepted(NamedTuple):
-    """Say under which version a change was accepted."""
+    """Report an accepted change and the version it created."""
 
     change_id: str
     key: str
@@ -34,7 +34,7 @@
 
 
 class Conflict(NamedTuple):
-    """Show both sides of a change that met another one."""
+    """Report a change that conflicts with another one, with the content of both."""
 
     key: str
     expected_version: int
@@ -45,7 +45,7 @@
 
 
 class Unconfirmed(NamedTuple):
-    """Say that a change may or may not have been accepted; the audit trail will tell."""
+    """Report that a change may have been accepted; the audit trail shows whether it was."""
 
     change_id: str
     key: str
@@ -53,7 +53,7 @@
 
 
 class NotAccepted(NamedTuple):
-    """Say that a change was certainly not accepted."""
+    """Report that a change was provably not accepted."""
 
     key: str
     detail: str
@@ -63,11 +63,13 @@
 
 
 class ChangeWriter:
-    """Make changes by conditional update.
+    """Write changes by conditional update.
 
-    Before an object is overwritten its current record goes to the audit archive, under a
-    name made from key and sequence number. So at any moment each accepted change has its
-    record either in the object or in the archive, and a crash between two calls loses none.
+    Before an object is overwritten, its current change record is copied to the audit archive, under
+    a name made of key and sequence number. Each accepted change therefore always has its record in
+    the object or in the archive, and a crash between two calls loses none.
+
+    `retry_timeout_s` limits how long a write with an unknown outcome is retried.
     """
 
     def __init__(self, *, store: ObjectStore, clock: Clock, retry_timeout_s: float = 5.0) -> None:
@@ -78,7 +80,7 @@
     async def make(
         self, change: Change, expected_version: int | None = None
     ) -> Result[Accepted, ChangeError]:
-        """Make one change, conditional on the version read or given."""
+        """Write one change if the version is `expected_version` or, for `None`, unchanged."""
         try:
             current = await self.store.get(change.key)
         except StoreError as error:
@@ -93,7 +95,7 @@
         return await self.write(change, current)
 
     async def archive(self, current: StoredObject | None) -> None:
-        """Copy an object's change record to the archive; doing so twice changes nothing."""
+        """Copy an object's change record to the archive; the operation is idempotent."""
         if current is None:
             return
         record = cast('ChangeRecord', current.value['change'])
@@ -114,7 +116,7 @@
     async def write(
         self, change: Change, current: StoredObject | None
     ) -> Result[Accepted, ChangeError]:
-        """Write the change and its record together, settling a lost answer by reading back."""
+        """Write the change together with its record; a lost answer is resolved by a read."""
         version = current.version if current else ABSENT_VERSION
         record = self.change_record(change, current)
         value = dict(ConfigValue(spec=change.spec, change=record))
@@ -124,7 +126,9 @@
             try:
                 stored = await self.store.put(change.key, value, version)
             except VersionConflict:
-                return await self.resolve_conflict(change, version, record['sequence'], may_have_written)
+                return await self.resolve_conflict(
+                    change, version, record['sequence'], may_have_written
+                )
             except WriteUnknown as error:
                 may_have_written = True
                 detail = str(error)
@@ -136,12 +140,12 @@
                 return Success(Accepted(change.id, change.key, stored.version))
             if self.clock.monotonic() >= deadline:
                 return Failure(Unconfirmed(change.id, change.key, detail))
-            # Repeating the same conditional update is safe: if the first one took effect,
-            # this one meets a newer version.
+            # Retrying the same conditional update is safe: if an earlier attempt took effect,
+            # this one finds a newer version.
             await asyncio.sleep(RETRY_DELAY_S)
 
     def change_record(self, change: Change, current: StoredObject | None) -> ChangeRecord:
-        """Return the audit record of a change to `current`."""
+        """Return the change record of a change to `current`."""
         sequence = 1
         before = None
         if current is not None:
@@ -161,7 +165,10 @@
     async def resolve_conflict(
         self, change: Change, version: int, sequence: int, may_have_written: bool
     ) -> Result[Accepted, ChangeError]:
-        """Find out whether a conflict is with our own earlier write."""
+        """Return success if the newer version is our own earlier write, and an error otherwise.
+
+        `may_have_written` tells whether an earlier attempt had an unknown outcome.
+        """
         try:
             current = await self.store.get(change.key)
             if current is not None and current.value['change']['id'] == change.id:
@@ -170,15 +177,15 @@
         except StoreError as error:
             if may_have_written:
                 return Failure(Unconfirmed(change.id, change.key, str(error)))
-            return Failure(NotAccepted(change.key, f'changed by somebody else; {error}'))
+            return Failure(NotAccepted(change.key, f'the object was changed meanwhile; {error}'))
         if archived is not None and archived.value['id'] == change.id:
-            # Accepted, and already followed by another change.
+            # The change was accepted, and another change has already replaced it.
             return Success(Accepted(change.id, change.key, version + 1))
         return Failure(new_conflict(change, version, current))
 
 
 def new_conflict(change: Change, expected: int, current: StoredObject | None) -> Conflict:
-    """Describe a conflict between a change and what the store holds."""
+    """Return the conflict between a change and the object in the store."""
     return Conflict(
         key=change.key,
         expected_version=expected,
@@ -192,7 +199,7 @@
 async def read_audit_trail(store: ObjectStore, prefix: str) -> list[ChangeRecord]:
     """Return each accepted change below `prefix` exactly once, oldest first."""
     records: dict[str, ChangeRecord] = {}
-    # The archive is read last: a record that moves there meanwhile is seen in one place or both.
+    # The archive is read last, so that a record which is archived meanwhile is not missed.
     objects = await store.list(prefix)
     archived = await store.list(AUDIT_PREFIX + prefix)
     for stored in archived:
--- a/packages/core/calicopath_core/store/feed.py
+++ b/packages/core/calicopath_core/store/feed.py
@@ -1,4 +1,4 @@
-"""Keep a box's view up with the platform, whatever its watch does."""
+"""Keep a box's view in sync with the platform, by a watch and by periodic full reads."""
 
 from __future__ import annotations
 
@@ -18,27 +18,29 @@
     from calicopath_core.store.view import ConfigView
 
 RELIST_INTERVAL_S = 2.0
-"""How often the whole configuration is read again, which heals a watch that ended silently."""
+"""A full read of the configuration recovers what a watch that stopped silently has missed."""
 
 TYPICAL_OBJECT_BYTES = 500
 MAX_RELIST_BYTES_PER_S = 16_000
-"""What reading everything again may cost; many boxes that do so share what they find."""
+"""Limit on the load of full reads; many boxes do them and share the results."""
 
 PROBE_INTERVAL_S = 1.0
 PROBE_KEY = 'probe'
-"""A key that need not exist: the answer that it does not is an answer."""
+"""The key need not exist: a reply that it is absent also proves contact."""
 
 RELIST_BATCH_OBJECTS = 500
-"""Objects applied at a time."""
+"""Objects applied to the view before other tasks get to run."""
 
 RETRY_DELAY_S = 0.5
-"""How long to wait after the store failed."""
+"""Delay before a retry after a store error."""
 
 
 class StoreFeed:
-    """Watch the configuration and read it whole from time to time.
+    """Watch the configuration and read all of it periodically.
 
-    The view takes only newer versions, so duplicates and crossed events do no harm.
+    The view applies only newer versions, so duplicate and reordered events are harmless.
+    `missed_updates` counts updates that a full read found before the watch delivered them.
+    `on_contact` is called with the monotonic time at which an answered read was sent.
     """
 
     def __init__(
@@ -62,7 +64,7 @@
 
     @property
     def synced(self) -> bool:
-        """Tell whether the view was read whole at least once."""
+        """Return whether the configuration was read completely at least once."""
         return self.last_relist_at is not None
 
     async def run(self) -> None:
@@ -73,7 +75,7 @@
             group.create_task(self.probe_periodically())
 
     async def follow_watch(self) -> None:
-        """Apply watch events, starting a new watch whenever one ends."""
+        """Apply watch events, and start a new watch whenever one ends."""
         while True:
             with contextlib.suppress(StoreError):
                 async for stored in self.store.watch(CONFIG_PREFIX):
@@ -81,7 +83,7 @@
             await asyncio.sleep(self.retry_s)
 
     async def relist_periodically(self) -> None:
-        """Read the whole configuration again and again."""
+        """Read the whole configuration periodically."""
         while True:
             try:
                 await self.relist()
@@ -92,9 +94,9 @@
             await asyncio.sleep(self.relist_interval_s())
 
     async def probe_periodically(self) -> None:
-        """Make sure every second that the platform answers, by a read that costs next to nothing.
+        """Check by a cheap read every second that the platform answers.
 
-        The contact is told to the other boxes, which would read everything by themselves without.
+        Each contact is reported to the other boxes, which would otherwise do full reads themselves.
         """
         while True:
             await asyncio.sleep(PROBE_INTERVAL_S)
@@ -106,18 +108,18 @@
                 self.on_contact(asked_at)
 
     def relist_interval_s(self) -> float:
-        """Return the seconds to the next read of everything, longer for a large configuration."""
+        """Return the seconds until the next full read, longer for a large configuration."""
         size = len(self.view.entries) * TYPICAL_OBJECT_BYTES
         return max(self.relist_s, size / MAX_RELIST_BYTES_PER_S)
 
     async def relist(self) -> None:
-        """Read the whole configuration once and count what the watch had missed."""
+        """Read the whole configuration once and count the updates that the watch had missed."""
         asked_at = self.clock.monotonic()
         objects = await self.store.list(CONFIG_PREFIX)
         for start in range(0, len(objects), RELIST_BATCH_OBJECTS):
             batch = objects[start : start + RELIST_BATCH_OBJECTS]
             self.missed_updates += self.view.apply_all(view_update(stored) for stored in batch)
-            # A large configuration must not hold up the streams that this box serves.
+            # A large configuration must not delay the streams that this box serves.
             await asyncio.sleep(0)
         self.last_relist_at = asked_at
         self.on_contact(asked_at)
--- a/packages/core/calicopath_core/store/records.py
+++ b/packages/core/calicopath_core/store/records.py
@@ -1,4 +1,4 @@
-"""Define how configuration and its change records are kept in the store."""
+"""Define how configuration and its change records are stored."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ChangeAction(enum.StrEnum):
-    """Name what an operator did."""
+    """Name the operator action behind a change."""
 
     APPLY = 'apply'
     DELETE = 'delete'
@@ -22,7 +22,7 @@
 
 
 class ChangeRecord(TypedDict):
-    """Record one accepted change; it is written by the same update as the change itself."""
+    """Record one accepted change; written in the same update as the change itself."""
 
     id: str
     sequence: int
@@ -35,14 +35,14 @@
 
 
 class ConfigValue(TypedDict):
-    """Hold an object's content and the record of the change that made it so."""
+    """Hold the content of an object and the record of its last change."""
 
     spec: dict[str, Any] | None
     change: ChangeRecord
 
 
 class Change(NamedTuple):
-    """Ask for a change: `spec` is empty to delete."""
+    """Request a change of one object; `spec` is `None` to delete it."""
 
     id: str
     key: str
@@ -52,5 +52,5 @@
 
 
 def view_update(stored: StoredObject) -> ViewUpdate:
-    """Return the part of a stored object that boxes follow."""
+    """Return the part of a stored object that boxes exchange."""
     return ViewUpdate(stored.key, stored.version, stored.value.get('spec'))
--- a/packages/core/calicopath_core/store/tests/changes_tests.py
+++ b/packages/core/calicopath_core/store/tests/changes_tests.py
@@ -1,4 +1,4 @@
-"""Test that changes are conditional, settled after lost answers and recorded exactly once."""
+"""Test that changes are conditional, survive lost answers and are recorded exactly once."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 
 
 def change(number: int, who: str = 'asma') -> Change:
-    """Return a change with its number as content."""
+    """Return a change whose content is its number."""
     return Change(f'change-{who}-{number}', KEY, {'n': number}, who, ChangeAction.APPLY)
 
 
 def new_writer(state: StoreState) -> ChangeWriter:
-    """Return a writer over its own link to the store."""
+    """Return a writer with its own client of the store."""
     return ChangeWriter(store=FakeStore(state=state), clock=VirtualClock(), retry_timeout_s=2.0)
 
 
 def link(writer: ChangeWriter) -> FakeStore:
-    """Return a writer's link to the store."""
+    """Return the store client of a writer, to set its faults."""
     assert isinstance(writer.store, FakeStore)
     return writer.store
 
@@ -178,7 +178,7 @@
 
 
 def watch_accepted(state: StoreState, versions: dict[int, str]) -> None:
-    """Note every change that the store itself took, by version."""
+    """Record the ID of every change that the store accepts, by version."""
     write = state.write
 
     def noted(key: str, value: dict[str, Any], expected: int) -> Any:
--- a/packages/core/calicopath_core/store/tests/feed_tests.py
+++ b/packages/core/calicopath_core/store/tests/feed_tests.py
@@ -1,4 +1,4 @@
-"""Test that a view follows the store whatever the watch does."""
+"""Test that a view stays in sync with the store whatever faults the watch has."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 KEY = 'config/endpoints/a'
 IN_FORCE_S = 3.0
-"""What the docs promise for a box that reaches the platform: relist period plus latency."""
+"""Documented limit for a box in contact with the platform: relist interval plus latency."""
 
 
 def put(state: StoreState, content: int) -> int:
-    """Write the next version of the object and return it."""
+    """Write the next version of the object and return the version."""
     held = state.objects.get(KEY)
     spec = {'spec': {'n': content}, 'change': {}}
     return state.write(KEY, spec, held.version if held else 0).version
@@ -34,7 +34,7 @@
 
 @contextlib.asynccontextmanager
 async def running_feed(state: StoreState) -> AsyncIterator[tuple[ConfigView, FakeStore, StoreFeed]]:
-    """Run a feed in the background."""
+    """Run a feed in the background and yield it with its view and store."""
     view, store = ConfigView(), FakeStore(state=state)
     feed = StoreFeed(store=store, view=view, clock=VirtualClock())
     task = asyncio.create_task(feed.run())
--- a/packages/core/calicopath_core/store/tests/view_tests.py
+++ b/packages/core/calicopath_core/store/tests/view_tests.py
@@ -1,4 +1,4 @@
-"""Test that a box's view never goes back."""
+"""Test that a box's view never reverts to an older version."""
 
 from __future__ import annotations
 
--- a/packages/core/calicopath_core/store/view.py
+++ b/packages/core/calicopath_core/store/view.py
@@ -1,4 +1,4 @@
-"""Hold the configuration in force on one box."""
+"""Hold the configuration that is in force on one box."""
 
 from __future__ import annotations
 
@@ -30,14 +30,17 @@
 
 
 class ViewEntry(NamedTuple):
-    """Hold one object's version and content; `spec` is empty for a tombstone."""
+    """Hold the version and content of one object; `spec` is `None` for a tombstone."""
 
     version: int
     spec: dict[str, Any] | None
 
 
 class ViewUpdate(NamedTuple):
-    """Carry one object between boxes, or from the store to a box."""
+    """Hold one object on its way between boxes or from the store to a box.
+
+    `spec` is `None` for a tombstone.
+    """
 
     key: str
     version: int
@@ -45,23 +48,23 @@
 
 
 class PlanVersions(NamedTuple):
-    """Identify a resolved plan by the versions it was made from."""
+    """Hold the versions that a resolved plan was made from, as its cache key."""
 
     pipeline_version: int
     template_version: int
 
 
 def entry_hash(key: str, version: int) -> int:
-    """Return the number that an entry adds to the view's digest."""
+    """Return the contribution of an entry to the digest of a view."""
     digest = hashlib.blake2b(f'{key}@{version}'.encode(), digest_size=DIGEST_BYTES)
     return int.from_bytes(digest.digest(), 'big')
 
 
 class ConfigView:
-    """Apply each object only if it is newer than the one held, so that nothing reverts.
+    """Hold the newest known version of each object; older updates are ignored.
 
-    Tombstones stay, so that an old copy cannot bring a deleted object back. Two views with
-    equal digests hold the same versions of the same keys.
+    Tombstones are kept, so that an old copy cannot restore a deleted object. Two views with equal
+    digests hold the same versions of the same keys.
     """
 
     def __init__(self) -> None:
@@ -75,16 +78,16 @@
         self.listeners: list[Callable[[list[ViewUpdate]], None]] = []
 
     def version(self, key: str) -> int:
-        """Return the version held of `key`, 0 if none."""
+        """Return the version held of `key`, or 0 if there is none."""
         entry = self.entries.get(key)
         return entry.version if entry else 0
 
     def apply(self, update: ViewUpdate) -> bool:
-        """Take a newer object in; return whether it was newer."""
+        """Apply an update if it is newer than the held version; return whether it was."""
         return self.apply_all([update]) == 1
 
     def apply_all(self, updates: Iterable[ViewUpdate]) -> int:
-        """Take newer objects in, tell the listeners once, and return how many were newer."""
+        """Apply the newer updates, notify the listeners once, and return how many were newer."""
         newer = [update for update in updates if self.apply_one(update)]
         if newer:
             for listener in self.listeners:
@@ -92,7 +95,7 @@
         return len(newer)
 
     def apply_one(self, update: ViewUpdate) -> bool:
-        """Put one object in place if it is newer than the one held."""
+        """Store one object if it is newer, without notifying listeners; return whether it was."""
         held_version = self.version(update.key)
         if update.version <= held_version:
             return False
@@ -104,7 +107,7 @@
         return True
 
     def update_parsed(self, key: str, spec: dict[str, Any] | None) -> None:
-        """Keep the typed form of an object; one that does not parse counts as absent."""
+        """Update the parsed form of an object; an object that does not parse counts as absent."""
         self.problems.pop(key, None)
         if key.startswith(ENDPOINT_PREFIX):
             self.store_parsed(self.endpoints, key, spec, parse_endpoint)
@@ -121,7 +124,7 @@
         spec: dict[str, Any] | None,
         parser: Callable[[Any, str], Result[T, list[Problem]]],
     ) -> None:
-        """Put a parsed object into its table, or take it out."""
+        """Store a parsed object in its table; remove it if it is deleted or does not parse."""
         table.pop(key, None)
         if spec is None:
             return
@@ -132,7 +135,7 @@
             self.problems[key] = result.failure()
 
     def plan(self, workspace: str, name: str) -> Result[Plan, list[Problem]] | None:
-        """Return the plan of a pipeline, why it has none, or nothing if it is unknown."""
+        """Return the plan of a pipeline, its problems, or `None` if the pipeline is unknown."""
         key = pipeline_key(workspace, name)
         spec = self.pipelines.get(key)
         if spec is None:
@@ -146,12 +149,12 @@
         return result
 
     def make_plan(self, key: str, spec: PipelineSpec) -> Result[Plan, list[Problem]]:
-        """Fill the template that a pipeline names."""
+        """Resolve the template that a pipeline refers to."""
         template = self.templates.get(template_key(spec.template))
         if template is None:
             return Failure([Problem(key, 'template', f'unknown template {spec.template!r}')])
         return resolve_plan(spec, template, key)
 
     def knows_workspace(self, workspace: str) -> bool:
-        """Tell whether any pipeline belongs to `workspace`."""
+        """Return whether any pipeline belongs to `workspace`."""
         return any(spec.workspace == workspace for spec in self.pipelines.values())
