--- a/packages/core/calicopath_core/config/fields.py
+++ b/packages/core/calicopath_core/config/fields.py
@@ -13,7 +13,8 @@
 class FieldReader:
     """Read the fields of one mapping.
 
-    A field with a problem is reported and returns a valid replacement, so that validation goes on.
+    For an invalid field a method reports the problem and returns a valid placeholder, so that the
+    other fields are checked too.
     Fields that were never read are reported by `finish`.
     """
 
--- a/packages/core/calicopath_core/execution/executor.py
+++ b/packages/core/calicopath_core/execution/executor.py
@@ -182,8 +182,8 @@
         except StageFailed as error:
             return self.failed_outcome(run, error)
         except TimeoutError:
-            passed = StageFailed(FailureReason.DEADLINE_PASSED, 'the deadline passed')
-            return self.failed_outcome(run, passed)
+            timeout_failure = StageFailed(FailureReason.DEADLINE_PASSED, 'the deadline passed')
+            return self.failed_outcome(run, timeout_failure)
         finally:
             run.remove_all_pending()
         return complete_answer(run)
--- a/packages/core/calicopath_core/execution/generation.py
+++ b/packages/core/calicopath_core/execution/generation.py
@@ -130,7 +130,8 @@
     ) -> bool:
         """Return whether a broken generation may continue on another replica.
 
-        Resuming after the received tokens does not run the request twice; a restart may.
+        Resuming after the received tokens does not run the request twice; a restart may. Spends one
+        retry of the retry budget.
         """
         if run.runs_at_most_once(budget.stage) and progress.offset == 0:
             return False
--- a/packages/core/calicopath_core/execution/tests/crashing_tests.py
+++ b/packages/core/calicopath_core/execution/tests/crashing_tests.py
@@ -1,7 +1,7 @@
 """Test that a request which crashes endpoints is blocked when callers repeat it.
 
 A request was sent to at most two endpoints, but its crashes were forgotten when the same body was
-sent again, at any box. All of twelve repeats reached endpoints and caused 23 crashes of engines or
+sent again, at any box. All of twelve repeats reached endpoints and caused 23 crashes of engines and
 22 of rerankers, and each crash aborted the other calls of its endpoint.
 """
 
@@ -38,7 +38,7 @@
     def check_blocked(
         self, service: str, pipeline: str = 'answer', *, quietly: bool = False
     ) -> None:
-        """Check that a repeated request causes at most four crashes and blocks no other request.
+        """Check that a request is blocked once it has crashed three endpoints, and no other is.
 
         With `quietly`, streams end without an error when their endpoint crashes.
         """
@@ -59,9 +59,7 @@
     def test_a_request_that_crashes_engines_is_blocked(self) -> None:
         self.check_blocked('drafting')
 
-    def test_a_request_that_crashes_engines_is_blocked_when_streams_end_without_an_error(
-        self,
-    ) -> None:
+    def test_a_request_that_crashes_engines_is_blocked_if_streams_end_without_error(self) -> None:
         # If a response has no length, a crash of the engine looks like the end of its answer:
         # twelve repeats caused 23 crashes.
         self.check_blocked('drafting', quietly=True)
--- a/packages/core/calicopath_core/store/changes.py
+++ b/packages/core/calicopath_core/store/changes.py
@@ -199,7 +199,7 @@
 async def read_audit_trail(store: ObjectStore, prefix: str) -> list[ChangeRecord]:
     """Return each accepted change below `prefix` exactly once, oldest first."""
     records: dict[str, ChangeRecord] = {}
-    # The archive is read last, so that a record which is archived meanwhile is not missed.
+    # The archive is read last: a record that is archived meanwhile is found in one place or both.
     objects = await store.list(prefix)
     archived = await store.list(AUDIT_PREFIX + prefix)
     for stored in archived:
