--- a/packages/core/calicopath_core/config/parsers.py
+++ b/packages/core/calicopath_core/config/parsers.py
@@ -1,4 +1,4 @@
-"""Turn parsed documents into templates, pipelines and endpoints."""
+"""Parse documents into templates, pipelines and endpoints."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from returns.result import Failure, Result, Success
 
-from calicopath_core.config.fields import Fields
+from calicopath_core.config.fields import FieldReader
 from calicopath_core.config.problems import Problem, ProblemList
 from calicopath_core.structure.endpoints import Endpoint, EndpointState
 from calicopath_core.structure.stages import (
@@ -29,7 +29,7 @@
 DEFAULT_PRIORITY = 5
 MAX_CONCURRENCY = 4096
 MAX_STAGES = 8
-REFERENCE = re.compile(r'\$\{([^}]*)\}')
+PARAMETER_REFERENCE = re.compile(r'\$\{([^}]*)\}')
 
 PYTHON_TYPES: dict[ParameterType, tuple[type, ...]] = {
     ParameterType.STRING: (str,),
@@ -40,29 +40,29 @@
 
 
 def has_type(value: Any, kind: ParameterType) -> bool:
-    """Tell whether `value` fits a parameter's type; a boolean is not a number."""
+    """Return whether `value` has a parameter's type; a boolean is not a number."""
     if isinstance(value, bool):
         return kind is ParameterType.BOOLEAN
     return isinstance(value, PYTHON_TYPES[kind])
 
 
-def references(value: Any) -> Iterator[str]:
-    """Yield the names of the parameters that `value` refers to, at any depth."""
+def parameter_references(value: Any) -> Iterator[str]:
+    """Yield the names of the parameters that `value` refers to, in nested values too."""
     if isinstance(value, str):
-        yield from REFERENCE.findall(value)
+        yield from PARAMETER_REFERENCE.findall(value)
     elif isinstance(value, dict):
         for item in value.values():
-            yield from references(item)
+            yield from parameter_references(item)
     elif isinstance(value, list):
         for item in value:
-            yield from references(item)
+            yield from parameter_references(item)
 
 
 def parse_template(data: Any, source: str) -> Result[Template, list[Problem]]:
-    """Check a template document and return it, or all its problems."""
+    """Parse a template document, or return all its problems."""
     problems = ProblemList(source=source)
-    fields = Fields(data=data, path='', problems=problems)
-    fields.take('kind')
+    fields = FieldReader(data=data, path='', problems=problems)
+    fields.raw('kind')
     name = fields.name('name')
     parameters = tuple(
         parse_parameter(key, item, f'parameters.{key}', problems)
@@ -80,11 +80,11 @@
 
 
 def parse_parameter(name: str, data: Any, path: str, problems: ProblemList) -> Parameter:
-    """Read the declaration of one parameter."""
-    fields = Fields(data=data, path=path, problems=problems)
+    """Parse the declaration of one parameter."""
+    fields = FieldReader(data=data, path=path, problems=problems)
     kind = ParameterType(fields.choice('type', [item.value for item in ParameterType]))
     required = 'default' not in fields.data
-    default = fields.take('default')
+    default = fields.raw('default')
     doc = fields.text('doc', '')
     fields.finish()
     if not required and not has_type(default, kind):
@@ -93,8 +93,8 @@
 
 
 def parse_stage(data: Any, path: str, problems: ProblemList) -> StageTemplate:
-    """Read the declaration of one stage."""
-    fields = Fields(data=data, path=path, problems=problems)
+    """Parse the declaration of one stage."""
+    fields = FieldReader(data=data, path=path, problems=problems)
     stage = StageTemplate(
         name=fields.name('name'),
         kind=StageKind(fields.choice('kind', [item.value for item in StageKind])),
@@ -112,16 +112,19 @@
 def check_stages(
     stages: tuple[StageTemplate, ...], parameters: tuple[Parameter, ...], problems: ProblemList
 ) -> None:
-    """Check what holds between the stages and parameters of a template."""
+    """Check that stage names are unique and that stages refer to declared parameters only.
+
+    Also check the number of stages, and that at most one is marked not repeatable.
+    """
     if len(stages) > MAX_STAGES:
-        problems.add('stages', f'at most {MAX_STAGES} stages')
+        problems.add('stages', f'must have at most {MAX_STAGES} stages')
     known = {parameter.name for parameter in parameters}
     names: set[str] = set()
     for index, stage in enumerate(stages):
         if stage.name and stage.name in names:
             problems.add(f'stages[{index}].name', f'{stage.name!r} is used twice')
         names.add(stage.name)
-        for reference in references(stage.params):
+        for reference in parameter_references(stage.params):
             if reference not in known:
                 problems.add(f'stages[{index}].params', f'unknown parameter {reference!r}')
     if sum(not stage.repeatable for stage in stages) > 1:
@@ -129,15 +132,15 @@
 
 
 def parse_pipeline(data: Any, source: str) -> Result[PipelineSpec, list[Problem]]:
-    """Check a pipeline document by itself; the template is checked by `resolve_plan`."""
+    """Parse a pipeline document; `resolve_plan` checks it against its template."""
     problems = ProblemList(source=source)
-    fields = Fields(data=data, path='', problems=problems)
-    fields.take('kind')
+    fields = FieldReader(data=data, path='', problems=problems)
+    fields.raw('kind')
     spec = PipelineSpec(
         workspace=fields.name('workspace'),
         name=fields.name('name'),
         template=fields.name('template'),
-        parameters=read_parameters(fields, problems),
+        parameters=parse_parameter_values(fields, problems),
         deadline_ms=fields.integer('deadline_ms', low=1, high=MAX_DEADLINE_MS),
         priority=fields.integer('priority', low=0, high=MAX_PRIORITY, default=DEFAULT_PRIORITY),
     )
@@ -145,8 +148,8 @@
     return Failure(problems.problems) if problems.problems else Success(spec)
 
 
-def read_parameters(fields: Fields, problems: ProblemList) -> dict[str, ParameterValue]:
-    """Read the parameters of a pipeline, which must be plain values."""
+def parse_parameter_values(fields: FieldReader, problems: ProblemList) -> dict[str, ParameterValue]:
+    """Read the parameters of a pipeline, which must be scalar values."""
     values = fields.mapping('parameters')
     for name, value in values.items():
         if not isinstance(value, str | int | float | bool):
@@ -155,10 +158,10 @@
 
 
 def parse_endpoint(data: Any, source: str) -> Result[Endpoint, list[Problem]]:
-    """Check an endpoint document and return it, or all its problems."""
+    """Parse an endpoint document, or return all its problems."""
     problems = ProblemList(source=source)
-    fields = Fields(data=data, path='', problems=problems)
-    fields.take('kind')
+    fields = FieldReader(data=data, path='', problems=problems)
+    fields.raw('kind')
     endpoint = Endpoint(
         name=fields.name('name'),
         service=fields.name('service'),
@@ -177,7 +180,7 @@
 
 
 def is_http_address(address: str) -> bool:
-    """Tell whether `address` is an HTTP URL with a host and a port, and no path."""
+    """Return whether `address` is an HTTP URL with a host and a port, and no path."""
     try:
         parts = urlsplit(address)
         port = parts.port
--- a/packages/core/calicopath_core/config/plans.py
+++ b/packages/core/calicopath_core/config/plans.py
@@ -1,4 +1,4 @@
-"""Fill a template with a pipeline's parameters."""
+"""Resolve a template with the parameters of a pipeline into a plan."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from calicopath_core.config.parsers import REFERENCE, has_type
+from calicopath_core.config.parsers import PARAMETER_REFERENCE, has_type
 from calicopath_core.config.problems import Problem, ProblemList
 from calicopath_core.structure.stages import Plan, StagePlan
 
@@ -20,22 +20,24 @@
         Template,
     )
 
-DIGEST_LENGTH = 16
-"""Hexadecimal digits of a plan's digest."""
+PLAN_DIGEST_DIGITS = 16
+"""Length of a plan digest in hexadecimal digits."""
 
 
 def resolve_plan(
     spec: PipelineSpec, template: Template, source: str
 ) -> Result[Plan, list[Problem]]:
-    """Return the plan of a pipeline, or every reason why there is none."""
+    """Return the plan of a pipeline, or all problems that prevent one."""
     problems = ProblemList(source=source)
-    values = fill_parameters(spec, template, problems)
+    values = resolve_parameters(spec, template, problems)
     needed_ms = sum(stage.expected_ms for stage in template.stages)
     if spec.deadline_ms < needed_ms:
-        problems.add('deadline_ms', f"{spec.deadline_ms} is below the stages' {needed_ms}")
+        problems.add(
+            'deadline_ms', f'{spec.deadline_ms} is below the {needed_ms} that the stages need'
+        )
     if problems.problems:
         return Failure(problems.problems)
-    stages = tuple(fill_stage(stage, values) for stage in template.stages)
+    stages = tuple(resolve_stage(stage, values) for stage in template.stages)
     return Success(
         Plan(
             workspace=spec.workspace,
@@ -48,10 +50,10 @@
     )
 
 
-def fill_parameters(
+def resolve_parameters(
     spec: PipelineSpec, template: Template, problems: ProblemList
 ) -> dict[str, ParameterValue]:
-    """Return a value for each parameter of the template, noting what is wrong."""
+    """Return a value for each parameter of the template, and report problems."""
     values: dict[str, ParameterValue] = {}
     known = {parameter.name: parameter for parameter in template.parameters}
     for name in spec.parameters:
@@ -69,8 +71,8 @@
     return values
 
 
-def fill_stage(stage: StageTemplate, values: dict[str, ParameterValue]) -> StagePlan:
-    """Return a stage with its parameters filled in."""
+def resolve_stage(stage: StageTemplate, values: dict[str, ParameterValue]) -> StagePlan:
+    """Return a stage with its parameters resolved."""
     return StagePlan(
         name=stage.name,
         kind=stage.kind,
@@ -82,21 +84,24 @@
 
 
 def substitute(value: Any, values: dict[str, ParameterValue]) -> Any:
-    """Replace `${name}` at any depth; a string that is one reference keeps the value's type."""
+    """Replace `${name}` references in nested values.
+
+    A string that is exactly one reference becomes the value itself, with its type.
+    """
     if isinstance(value, dict):
         return {key: substitute(item, values) for key, item in value.items()}
     if isinstance(value, list):
         return [substitute(item, values) for item in value]
     if not isinstance(value, str):
         return value
-    whole = REFERENCE.fullmatch(value)
+    whole = PARAMETER_REFERENCE.fullmatch(value)
     if whole:
         return values[whole.group(1)]
-    return REFERENCE.sub(lambda match: str(values[match.group(1)]), value)
+    return PARAMETER_REFERENCE.sub(lambda match: str(values[match.group(1)]), value)
 
 
 def plan_digest(spec: PipelineSpec, stages: tuple[StagePlan, ...]) -> str:
-    """Return a digest of everything that decides how a request of the pipeline runs."""
+    """Return a digest of everything that determines how requests of the pipeline run."""
     data = {
         'workspace': spec.workspace,
         'pipeline': spec.name,
@@ -105,4 +110,4 @@
         'stages': [stage._asdict() for stage in stages],
     }
     encoded = msgspec.json.encode(data, order='sorted')
-    return hashlib.sha256(encoded).hexdigest()[:DIGEST_LENGTH]
+    return hashlib.sha256(encoded).hexdigest()[:PLAN_DIGEST_DIGITS]
--- a/packages/core/calicopath_core/execution/tests/crashing_tests.py
+++ b/packages/core/calicopath_core/execution/tests/crashing_tests.py
@@ -1,8 +1,8 @@
-"""Test requests that end the endpoints which run them, sent again and again at any box.
+"""Test that a request which crashes endpoints is blocked when callers repeat it.
 
-The same missing memory stood here: a request was called at two endpoints at most, and the same body
-sent once more began at nothing. Without the memory twelve of twelve repeats reached endpoints: 23
-ends of engines and 22 of rerankers, each with whatever else the endpoint was at work on.
+A request was sent to at most two endpoints, but its crashes were forgotten when the same body was
+sent again, at any box. All of twelve repeats reached endpoints and caused 23 crashes of engines and
+22 of rerankers, and each crash aborted the other calls of its endpoint.
 """
 
 from __future__ import annotations
@@ -18,27 +18,30 @@
 if TYPE_CHECKING:
     from testkit.fake_endpoints import FakeFleet
 
-POISON = 'poison'
+CRASHING_TEXT = 'poison'
 GAP_S = 2.0
 
 
 class Crashing(VirtualCase):
     def fleet(self, service: str) -> FakeFleet:
-        """Return endpoints of which those of one service end under a request."""
+        """Return a fleet in which the endpoints of one service crash during a request."""
         fleet = new_fleet(replicas=4)
         for name, item in fleet.endpoints.items():
             if name.startswith(service):
-                item.ending = {POISON}
+                item.ending = {CRASHING_TEXT}
         return fleet
 
-    def ends(self, fleet: FakeFleet) -> int:
-        """Return how often endpoints have ended."""
+    def crashes(self, fleet: FakeFleet) -> int:
+        """Return the number of endpoint crashes."""
         return sum(len(item.ends) for item in fleet.endpoints.values())
 
-    def check_stopped(
+    def check_blocked(
         self, service: str, pipeline: str = 'answer', *, quietly: bool = False
     ) -> None:
-        """Check that a request is not sent on once three endpoints have ended under it."""
+        """Check that a request is blocked once it has crashed three endpoints, and no other is.
+
+        With `quietly`, streams end without an error when their endpoint crashes.
+        """
 
         async def scenario() -> None:
             fleet = self.fleet(service)
@@ -46,31 +49,31 @@
                 item.ends_quietly = quietly
             box = FakeBox(fleet=fleet, state=StoreState()).configure(fleet)
             for _ in range(12):
-                await box.send(pipeline, POISON)
+                await box.send(pipeline, CRASHING_TEXT)
                 await asyncio.sleep(GAP_S)
-            self.assertLessEqual(self.ends(fleet), 4)
+            self.assertLessEqual(self.crashes(fleet), 4)
             self.assertIsInstance(await box.send(pipeline, 'another'), Answered)
 
         self.run_virtual(scenario())
 
-    def test_what_ends_engines_is_stopped(self) -> None:
-        self.check_stopped('drafting')
+    def test_a_request_that_crashes_engines_is_blocked(self) -> None:
+        self.check_blocked('drafting')
 
-    def test_what_ends_engines_is_stopped_where_their_streams_just_stop(self) -> None:
-        # An answer without a length ends with its connection, so that an engine which ends under
-        # a request looks like one that has nothing more to say: 23 ends under twelve repeats.
-        self.check_stopped('drafting', quietly=True)
+    def test_a_request_that_crashes_engines_is_blocked_if_streams_end_without_error(self) -> None:
+        # If a response has no length, a crash of the engine looks like the end of its answer:
+        # twelve repeats caused 23 crashes.
+        self.check_blocked('drafting', quietly=True)
 
-    def test_what_ends_stage_pools_is_stopped(self) -> None:
-        self.check_stopped('rerankers')
+    def test_a_request_that_crashes_stage_pools_is_blocked(self) -> None:
+        self.check_blocked('rerankers')
 
-    def test_it_is_refused_at_once_as_not_run_with_when_to_come_back(self) -> None:
+    def test_a_blocked_request_is_refused_as_not_run_with_a_retry_delay(self) -> None:
         async def scenario() -> None:
             fleet = self.fleet('drafting')
             box = FakeBox(fleet=fleet, state=StoreState()).configure(fleet)
             outcomes = []
             for _ in range(6):
-                outcomes.append(await box.send('answer', POISON))
+                outcomes.append(await box.send('answer', CRASHING_TEXT))
                 await asyncio.sleep(GAP_S)
             self.assertIsInstance(outcomes[0], Failed)
             last = outcomes[-1]
