--- a/bench/restored.py
+++ b/bench/restored.py
@@ -16,7 +16,7 @@
 from calicopath_core.fleet.positions import Position
 from calicopath_core.fleet.replicas import Replica
 from calicopath_core.fleet.store import Changes, Listing, RecordKind
-from calicopathd.gateway.run import TICK_S
+from calicopathd.gateway.run import TICK_INTERVAL_S
 from testkit.gateway_store import FakeStoreClient
 from testkit.gateway_world import deployment
 from testkit.notice_fleet import NoticeFleet
@@ -189,7 +189,7 @@
                     if now - item.at > STEP_S and not self.is_in_force(box, item)
                 ]
                 self.note(late, now)
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def note(self, late: list[Acknowledged], now: float) -> None:
         """Note changes that a box does not go by; what is down excuses the time that it is."""
@@ -199,9 +199,9 @@
             since = max(item.at, self.returned_at) if now >= self.returned_at else item.at
             self.figures.force_s = max(self.figures.force_s, now - since)
             if item.leaves and now - since > DRAIN_S:
-                self.figures.left_s += TICK_S
+                self.figures.left_s += TICK_INTERVAL_S
             elif item.replica and not item.leaves:
-                self.figures.unknown_s += TICK_S
+                self.figures.unknown_s += TICK_INTERVAL_S
 
     async def play(self) -> Figures:
         """Play it."""
--- a/packages/core/calicopath_core/exchanges/context.py
+++ b/packages/core/calicopath_core/exchanges/context.py
@@ -144,7 +144,7 @@
         """Note an attempt that gave no whole answer, and the time that was left."""
 
     @abstractmethod
-    def on_replica_skipped(self, state: ExchangeState, replica: str, bar: Exclusion) -> None:
+    def on_replica_skipped(self, state: ExchangeState, replica: str, exclusion: Exclusion) -> None:
         """Note a replica that was chosen for a request and must not get it."""
 
     @abstractmethod
--- a/packages/daemon/calicopathd/gateway/box.py
+++ b/packages/daemon/calicopathd/gateway/box.py
@@ -29,7 +29,7 @@
 from calicopath_core.scheduling.messages import BackoffNotice, Pong
 from calicopath_core.scheduling.scheduler import Scheduler
 from calicopathd import events
-from calicopathd.gateway.following import StoreFollowing
+from calicopathd.gateway.following import StoreFollower
 from calicopathd.gateway.notices import BoxNotices
 from calicopathd.gateway.peers import PeerLink
 
@@ -47,18 +47,18 @@
     from calicopathd.gateway.observer import GatewayObserver
     from calicopathd.gateway.settings import GatewaySettings
 
-CONNECTIONS_USED = 0.8
+USABLE_CONNECTIONS_SHARE = 0.8
 """The part of a replica's connections that boxes use together: a restarted box opens new ones while
 the replica still holds the old."""
 
-KNOWN_WAIT_S = 0.5
+BLOCKED_NEWS_WAIT_S = 0.5
 """How long a box that could serve waits to hear which requests are blocked. That takes one call to
 the store by one box, and a ping; where it fails, callers are served all the same."""
 
-UNMEASURED_S = 1.0
+SCHEDULING_CHECK_INTERVAL_S = 1.0
 """How often a box that does not schedule looks whether it does."""
 
-LEAST_CONNECTIONS = 4
+MIN_CONNECTIONS = 4
 """What a box may open in any case: a stage's call, one that gives results up, and reports."""
 
 log = structlog.get_logger(__name__)
@@ -73,18 +73,18 @@
         settings: GatewaySettings,
         store: FleetStore,
         transport: PeerTransport,
-        exchanges: ReplicaClient,
-        stages: StageCaller,
+        replica_client: ReplicaClient,
+        stage_caller: StageCaller,
         observer: GatewayObserver,
         seed: int | None = None,
-        alone: bool = False,
+        standalone: bool = False,
     ) -> None:
         self.settings = settings
         self.store = store
         self.observer = observer
         self.clock = SuspensionClock()
         self.rng = random.Random(seed)
-        self.life = f'{settings.box}-{os.urandom(4).hex()}'
+        self.incarnation = f'{settings.box}-{os.urandom(4).hex()}'
         self.job_numbers = itertools.count(1)
         self.leaving = False
         self.view = DeploymentView()
@@ -95,31 +95,31 @@
             own_address=str(settings.peer_listen),
             hubs=self.hubs,
             send=self.send,
-            lender=lambda: self.client.scheduler_address,
-            share=lambda: 1 / max(1, self.election.groups),
+            issuer_address=lambda: self.client.scheduler_address,
+            limit_share=lambda: 1 / max(1, self.election.groups),
             on_backoff=self.on_replica_backoff,
         )
         self.replicas, self.gate = self.notices.replicas, self.notices.gate
-        exchanges.interceptor = stages.interceptor = self.gate
+        replica_client.interceptor = stage_caller.interceptor = self.gate
         self.own = BoxAddress(
             settings.box,
             str(settings.peer_listen),
             settings.failure_domain,
-            self.life,
-            small=settings.small,
+            self.incarnation,
+            small=settings.is_small,
         )
-        self.election = StandaloneElection(own=self.own) if alone else Election(own=self.own)
+        self.election = StandaloneElection(own=self.own) if standalone else Election(own=self.own)
         self.config_since = 0.0
         self.synced_at: float | None = None
         self.group = (0, 1)
-        self.group_rule = GroupPolicy(clock=self.clock)
+        self.group_policy = GroupPolicy(clock=self.clock)
         self.link = PeerLink(
             transport=transport,
             election=self.election,
             clock=self.clock,
             config_version=self.config_version,
             contact=self.contact,
-            on_bad=observer.on_bad_message,
+            on_bad_message=observer.on_bad_message,
         )
         self.ledger = CrashLedger(clock=self.clock, observer=observer)
         self.sharing = CrashSharing(
@@ -130,21 +130,21 @@
             send=self.link.send,
             complete=False,
         )
-        self.keeper = BlockedRequestPersister(
+        self.blocked_persister = BlockedRequestPersister(
             clock=self.clock,
             ledger=self.ledger,
             sharing=self.sharing,
-            is_due=self.keeps_blocked,
+            is_due=self.persists_blocked_requests,
             read=store.read_blocked,
             write=store.write_blocked,
             era=lambda: self.subscription.era(),
-            on_failed=observer.on_blocked_unkept,
+            on_failed=observer.on_blocked_access_failed,
         )
         self.crashes = CrashGuard(ledger=self.ledger, sharing=self.sharing)
         self.scheduler = Scheduler(
             clock=self.clock,
             replicas=self.replicas,
-            caller=stages,
+            caller=stage_caller,
             send=self.link.send,
             observer=observer,
             own_address=self.own.address,
@@ -152,19 +152,19 @@
             crashes=self.crashes,
             backoff_left_s=self.gate.backoffs.remaining_s,
             support_backoff_left_s=self.gate.control_call_available_in_s,
-            permits=self.notices.holder,
+            permits=self.notices.limit_issuer,
             warmup=settings.warmup,
-            new_board=self.random_board if alone else None,
+            new_board=self.random_engine_pool if standalone else None,
         )
         self.client = SchedulerClient(
             clock=self.clock,
             election=self.election,
             send=self.link.send,
-            on_scheduler=self.on_scheduler,
+            on_scheduler=self.on_scheduler_changed,
             contact=self.contact,
             has_configuration=lambda: self.view.current is not None,
         )
-        self.following = StoreFollowing(
+        self.store_follower = StoreFollower(
             own=self.own,
             settings=settings,
             store=store,
@@ -174,20 +174,20 @@
             view=self.view,
             replicas=self.replicas,
             send=self.link.send,
-            on_boxes=self.on_boxes,
-            on_applied=self.on_applied,
+            on_boxes_changed=self.on_boxes_changed,
+            on_deployment_applied=self.on_deployment_applied,
             is_leaving=lambda: self.leaving,
         )
-        self.evacuations, self.publisher = self.following.evacuations, self.following.publisher
-        self.records, self.feeds = self.following.records, self.following.feeds
-        self.subscription = self.following.subscription
+        self.evacuations, self.publisher = self.store_follower.evacuations, self.store_follower.publisher
+        self.records, self.feeds = self.store_follower.records, self.store_follower.feeds
+        self.subscription = self.store_follower.subscription
         self.link.scheduler, self.link.client = self.scheduler, self.client
-        self.link.subscription, self.link.crashes = self.subscription, self.sharing
+        self.link.subscription, self.link.crash_sharing = self.subscription, self.sharing
         self.link.notices = self.notices
         self.sharing.waiting_boxes = self.unaware_boxes
-        self.executor = ExchangeExecutor(context=self.new_context(exchanges))
+        self.executor = ExchangeExecutor(context=self.new_context(replica_client))
 
-    def new_context(self, exchanges: ReplicaClient) -> ExchangeContext:
+    def new_context(self, replica_client: ReplicaClient) -> ExchangeContext:
         """Return what this box's exchanges share."""
         return ExchangeContext(
             clock=self.clock,
@@ -204,27 +204,27 @@
             retry_budgets=RetryBudgets(terms=self.settings.retry_budget),
             election=self.election,
             scheduler=self.client,
-            replica_client=exchanges,
+            replica_client=replica_client,
             observer=self.observer,
             crashes=self.crashes,
-            new_job_id=self.new_job,
-            may_serve=self.serves,
+            new_job_id=self.new_job_id,
+            may_serve=self.may_serve,
             failure_domain=self.settings.failure_domain,
         )
 
-    def random_board(self, spec: EngineSpec) -> EnginePool:
+    def random_engine_pool(self, spec: EngineSpec) -> EnginePool:
         """Return a board of the naive baseline."""
         return RandomEnginePool(slots=spec.slots, kv_tokens=spec.kv_tokens, rng=self.rng)
 
-    def new_job(self) -> str:
+    def new_job_id(self) -> str:
         """Return an identifier that no other job has, of this or another life."""
-        return f'{self.life}-{next(self.job_numbers)}'
+        return f'{self.incarnation}-{next(self.job_numbers)}'
 
     def config_version(self) -> int:
         """Return the version of the configuration in force here, 0 for none."""
         return self.view.current.version if self.view.current is not None else 0
 
-    def held_position(self, kind: RecordKind) -> Position:
+    def known_position(self, kind: RecordKind) -> Position:
         """Return the store's position up to which this box knows a kind."""
         return self.subscription.positions().get(kind, NO_POSITION)
 
@@ -238,9 +238,9 @@
         deployment = self.view.current
         service = deployment.services.get(replica.service) if deployment and replica else None
         if service is None:
-            return LEAST_CONNECTIONS
-        share = service.max_connections * CONNECTIONS_USED / self.election.box_count()
-        return max(LEAST_CONNECTIONS, int(share))
+            return MIN_CONNECTIONS
+        share = service.max_connections * USABLE_CONNECTIONS_SHARE / self.election.box_count()
+        return max(MIN_CONNECTIONS, int(share))
 
     def cold_rate_of(self, service: str) -> float | None:
         """Return how many requests a second this box may send to a service's cold replica."""
@@ -254,24 +254,24 @@
         """Return what callers may send at the moment."""
         return self.view.current.limits if self.view.current is not None else DEFAULT_LIMITS
 
-    def keeps_blocked(self) -> bool:
+    def persists_blocked_requests(self) -> bool:
         """Tell whether this box is the one that keeps blocked requests in the store."""
         return (
-            self.subscription.relay_selection.is_first_relay and self.synced() and not self.leaving
+            self.subscription.relay_selection.is_first_relay and self.is_synced() and not self.leaving
         )
 
-    def synced(self) -> bool:
+    def is_synced(self) -> bool:
         """Tell whether all that says where requests may go was read once."""
         needed = (kind for kind in self.feeds if kind is not RecordKind.BOX)
         return self.view.current is not None and all(self.feeds[kind].synced for kind in needed)
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Tell whether callers should be sent here."""
-        return self.serves() and bool(self.replicas.replicas) and not self.leaving
+        return self.may_serve() and bool(self.replicas.replicas) and not self.leaving
 
-    def serves(self) -> bool:
+    def may_serve(self) -> bool:
         """Tell whether what callers ask is sent on."""
-        return self.synced() and self.knows_blocked()
+        return self.is_synced() and self.knows_blocked_requests()
 
     def unaware_boxes(self) -> set[str]:
         """Return the boxes that hear the store through this one, and the other relays."""
@@ -282,7 +282,7 @@
         )
         return {*self.publisher.subscribers, *relays}
 
-    def knows_blocked(self) -> bool:
+    def knows_blocked_requests(self) -> bool:
         """Tell whether the box has heard which requests are blocked, or has waited long enough.
 
         Callers who waited while all boxes restarted come at once, and with them what ends replicas.
@@ -292,41 +292,41 @@
         now = self.clock.monotonic()
         if self.synced_at is None:
             self.synced_at = now
-        return now - self.synced_at >= KNOWN_WAIT_S
+        return now - self.synced_at >= BLOCKED_NEWS_WAIT_S
 
-    def on_boxes(self, now: float) -> None:
+    def on_boxes_changed(self, now: float) -> None:
         """Take in which boxes there are."""
         self.election.on_listed(self.records.boxes.values(), now)
-        self.follow_group()
+        self.update_group()
         self.subscription.on_listed(self.records.boxes.values())
 
-    def follow_group(self) -> None:
+    def update_group(self) -> None:
         """Schedule for the group that this box is in now, if it schedules."""
-        mine = (self.election.group, self.election.groups)
-        if mine != self.group:
-            self.group = mine
-            self.observer.on_group(*mine)
+        current = (self.election.group, self.election.groups)
+        if current != self.group:
+            self.group = current
+            self.observer.on_group_changed(*current)
             self.scheduler.on_replicas()
 
     async def measure_lag(self) -> None:
         """Measure how late this box's event loop is while it schedules, until cancelled."""
         while True:
             if self.client.scheduler_address == self.own.address:
-                await self.group_rule.lag.measure()
+                await self.group_policy.lag.measure()
             else:
-                await asyncio.sleep(UNMEASURED_S)
+                await asyncio.sleep(SCHEDULING_CHECK_INTERVAL_S)
 
-    def judge_groups(self, now: float) -> None:
+    def adjust_group_count(self, now: float) -> None:
         """Have the fleet split, or joined, if this box schedules and finds that it should be."""
         if self.client.scheduler_address != self.own.address or self.leaving:
-            self.group_rule.reset()
+            self.group_policy.reset()
             return
-        leads = self.election.is_leader(now)
+        is_leader = self.election.is_leader(now)
         self.election.on_group_count(
-            self.group_rule.next_count(self.election.group_count, is_leader=leads, now=now)
+            self.group_policy.next_count(self.election.group_count, is_leader=is_leader, now=now)
         )
 
-    def on_applied(self, deployment: Deployment) -> None:
+    def on_deployment_applied(self, deployment: Deployment) -> None:
         """Note that a newer configuration is in force."""
         self.config_since = self.clock.wall()
         self.scheduler.on_deployment(deployment)
@@ -350,36 +350,36 @@
     def on_replica_backoff(self, replica: Replica) -> None:
         """Tell the box that schedules which engine wants nothing from this one."""
         if replica.service in self.scheduler.boards:
-            lefts = {replica.id: self.gate.backoffs.remaining_s(replica)}
-            self.tell_backoffs(lefts)
+            remaining_by_replica = {replica.id: self.gate.backoffs.remaining_s(replica)}
+            self.send_backoffs(remaining_by_replica)
 
-    def tell_backoffs(self, lefts: dict[str, float]) -> None:
+    def send_backoffs(self, remaining_by_replica: dict[str, float]) -> None:
         """Tell the box that schedules of engines that want nothing from this one."""
-        if lefts:
-            news = BackoffNotice(address=self.own.address, backoffs=lefts)
-            self.link.send(self.client.scheduler_address, news)
+        if remaining_by_replica:
+            notice = BackoffNotice(address=self.own.address, backoffs=remaining_by_replica)
+            self.link.send(self.client.scheduler_address, notice)
 
-    def on_scheduler(self, address: str, asked_again: int) -> None:
+    def on_scheduler_changed(self, address: str, asked_again: int) -> None:
         """Note that another box schedules now."""
         for service in self.scheduler.boards:
-            self.tell_backoffs(self.gate.remaining_backoffs(service))
+            self.send_backoffs(self.gate.remaining_backoffs(service))
         if address == self.own.address:
             self.scheduler.succession.activate()
             self.scheduler.stages.on_take_over(has_work=asked_again > 0)
         else:
             self.scheduler.stages.release.on_hand_over()
             self.scheduler.succession.step_down(address)
-        self.notices.on_lender(own=address == self.own.address)
-        self.observer.on_scheduler(address, asked_again)
+        self.notices.on_issuer_changed(is_own=address == self.own.address)
+        self.observer.on_scheduler_changed(address, asked_again)
 
     def tick(self) -> None:
         """Do what is due by time."""
         now = self.clock.monotonic()
-        self.following.restored.expire()
+        self.store_follower.restore_filter.expire()
         for name in self.replicas.expire(now):
             events.emit(log, events.REPLICA_DROPPED, replica=name, held_s=True)
-        self.judge_groups(now)
-        self.follow_group()
+        self.adjust_group_count(now)
+        self.update_group()
         self.ledger.expire()
         self.notices.expire()
 
--- a/packages/daemon/calicopathd/gateway/connection.py
+++ b/packages/daemon/calicopathd/gateway/connection.py
@@ -8,7 +8,7 @@
 import httptools
 
 from calicopathd.gateway.requests import RawRequest
-from calicopathd.gateway.responder import AnswerChannel, Responder
+from calicopathd.gateway.responder import ResponseChannel, Responder
 
 if TYPE_CHECKING:
     from calicopath_core.clock import Clock
@@ -22,11 +22,11 @@
 MAX_PIPELINED = 16
 """Requests of one connection that may wait for the one in progress."""
 
-MAX_WAITING_BYTES = 256 * 1024
+MAX_UNSENT_BYTES = 256 * 1024
 """Unsent bytes of an answer beyond which the sender waits for the caller to read."""
 
 
-class Incoming:
+class IncomingRequest:
     """Hold a request while it comes in."""
 
     def __init__(self, *, received_at: float) -> None:
@@ -35,7 +35,7 @@
         self.headers: list[tuple[str, str]] = []
         self.body: list[bytes] = []
         self.body_size = 0
-        self.head_done = False
+        self.head_complete = False
 
 
 class ServerState:
@@ -48,14 +48,14 @@
         self.handler = handler
         self.clock = clock
         self.max_connections = max_connections
-        self.turned_away = 0
+        self.rejected_connections = 0
         self.connections: set[ServerConnection] = set()
         self.in_progress = 0
         self.closing = False
         self.closing_idle = False
 
 
-class ServerConnection(asyncio.Protocol, AnswerChannel):
+class ServerConnection(asyncio.Protocol, ResponseChannel):
     """Hold one caller's connection: one request in progress, a few waiting."""
 
     def __init__(self, *, server: ServerState) -> None:
@@ -63,9 +63,9 @@
         self.loop = asyncio.get_running_loop()
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
-        self.incoming: Incoming | None = None
+        self.incoming: IncomingRequest | None = None
         self.head_bytes = 0
-        self.waiting: list[RawRequest] = []
+        self.queued_requests: list[RawRequest] = []
         self.task: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.writable = asyncio.Event()
@@ -82,15 +82,15 @@
         # uvloop's transports are no subclasses of asyncio's.
         self.transport = cast('asyncio.Transport', transport)
         if len(self.server.connections) >= self.server.max_connections:
-            self.server.turned_away += 1
+            self.server.rejected_connections += 1
             self.refused = True
             self.abort()
             return
-        self.transport.set_write_buffer_limits(high=MAX_WAITING_BYTES)
+        self.transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
         self.server.connections.add(self)
-        self.await_request()
+        self.start_idle_timer()
 
-    def await_request(self) -> None:
+    def start_idle_timer(self) -> None:
         """Wait for a request as long as the limits allow a connection to rest."""
         self.set_timer(self.server.handler.limits().idle_s)
 
@@ -116,20 +116,20 @@
         """Parse what comes, within the limits."""
         if self.refused:
             return
-        if self.incoming is None or not self.incoming.head_done:
+        if self.incoming is None or not self.incoming.head_complete:
             self.head_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self.refuse(STATUS_BAD_REQUEST, f'no HTTP request: {error}')
             return
-        waiting_head = self.incoming is not None and not self.incoming.head_done
-        if waiting_head and self.head_bytes > self.server.handler.limits().header_bytes:
+        head_pending = self.incoming is not None and not self.incoming.head_complete
+        if head_pending and self.head_bytes > self.server.handler.limits().header_bytes:
             self.refuse(STATUS_HEADER_TOO_LARGE, 'the headers are too large')
 
     def on_message_begin(self) -> None:
         """Begin a request."""
-        self.incoming = Incoming(received_at=self.server.clock.monotonic())
+        self.incoming = IncomingRequest(received_at=self.server.clock.monotonic())
         if self.task is None:
             self.set_timer(self.server.handler.limits().header_s)
 
@@ -148,7 +148,7 @@
         incoming = self.incoming
         if incoming is None:
             return
-        incoming.head_done = True
+        incoming.head_complete = True
         self.head_bytes = 0
         size = len(incoming.target) + sum(
             len(name) + len(value) for name, value in incoming.headers
@@ -191,8 +191,8 @@
             received_at=incoming.received_at,
             keep_alive=self.parser.should_keep_alive(),
         )
-        self.waiting.append(request)
-        if len(self.waiting) > MAX_PIPELINED:
+        self.queued_requests.append(request)
+        if len(self.queued_requests) > MAX_PIPELINED:
             self.refuse(STATUS_BAD_REQUEST, 'too many requests wait on the connection')
             return
         if self.task is None:
@@ -201,7 +201,7 @@
     def serve_next(self) -> None:
         """Serve the request that waits longest."""
         self.stop_timer()
-        request = self.waiting.pop(0)
+        request = self.queued_requests.pop(0)
         self.task = self.loop.create_task(self.serve(request))
 
     async def serve(self, request: RawRequest) -> None:
@@ -213,7 +213,7 @@
         finally:
             self.server.in_progress -= 1
             self.task = None
-            responder.cut()
+            responder.abort()
             self.after_request()
 
     def after_request(self) -> None:
@@ -222,14 +222,14 @@
             return
         if self.refused:
             self.close()
-        elif self.waiting:
+        elif self.queued_requests:
             self.serve_next()
         elif self.incoming is not None:
             self.set_timer(self.server.handler.limits().header_s)
         elif self.server.closing and self.server.closing_idle:
             self.close()
         else:
-            self.await_request()
+            self.start_idle_timer()
 
     def refuse(self, status: int, reason: str) -> None:
         """Answer what can't be read and close; nothing of it was handed over."""
@@ -271,6 +271,6 @@
         self.stop_timer()
         self.writable.set()
         self.server.connections.discard(self)
-        self.waiting.clear()
+        self.queued_requests.clear()
         if self.task is not None:
             self.task.cancel()
--- a/packages/daemon/calicopathd/gateway/barred.py
+++ b/packages/daemon/calicopathd/gateway/exclusions.py
@@ -17,7 +17,7 @@
 STORE = 'store'
 
 
-class BarredReplica(msgspec.Struct, frozen=True):
+class ExcludedReplica(msgspec.Struct, frozen=True):
     """Say why a box does not call a replica, or what it holds calls of all boxes to.
 
     `since` and `until` are in seconds since 1970, 0 where the box does not know; `source` says who
@@ -35,24 +35,24 @@
     sent: int = 0
 
 
-def barred_replicas(box: GatewayBox) -> list[BarredReplica]:
+def excluded_replicas(box: GatewayBox) -> list[ExcludedReplica]:
     """Return the replicas that a box knows and does not call as it likes, by service and name."""
     found = []
     for replica in box.replicas.replicas.values():
-        bar = box.gate.exclusion_of(replica)
-        if bar is not None:
-            found.append(describe(box, replica, bar))
+        exclusion = box.gate.exclusion_of(replica)
+        if exclusion is not None:
+            found.append(describe_exclusion(box, replica, exclusion))
         limit = box.notices.limits.limit_of(replica)
         if limit is not None:
             found.append(describe_limit(box, replica, limit))
     return sorted(found, key=lambda item: (item.service, item.replica))
 
 
-def describe_limit(box: GatewayBox, replica: Replica, limit: AdvertisedLimit) -> BarredReplica:
+def describe_limit(box: GatewayBox, replica: Replica, limit: AdvertisedLimit) -> ExcludedReplica:
     """Return what a replica that names a limit is held to."""
     now = box.clock.monotonic()
     since_1970 = box.clock.wall() - now
-    return BarredReplica(
+    return ExcludedReplica(
         replica=replica.id,
         service=replica.service,
         bar=Exclusion.LIMIT.value,
@@ -64,16 +64,16 @@
     )
 
 
-def describe(box: GatewayBox, replica: Replica, bar: Exclusion) -> BarredReplica:
+def describe_exclusion(box: GatewayBox, replica: Replica, exclusion: Exclusion) -> ExcludedReplica:
     """Return why a replica is not called, with what is known of that."""
     since_1970 = box.clock.wall() - box.clock.monotonic()
     since = until = 0.0
     source = STORE
-    word = box.notices.leaving.departures.get(replica.id)
-    if word is not None and bar in (Exclusion.LEAVING, Exclusion.GONE):
-        since, source = word.heard_at + since_1970, word.source
-    elif bar is Exclusion.BACKOFF:
+    departure = box.notices.leaving.departures.get(replica.id)
+    if departure is not None and exclusion in (Exclusion.LEAVING, Exclusion.GONE):
+        since, source = departure.heard_at + since_1970, departure.source
+    elif exclusion is Exclusion.BACKOFF:
         backoff = box.gate.backoffs.by_replica[replica.id]
         since, until = backoff.since + since_1970, backoff.until + since_1970
         source = 'own'
-    return BarredReplica(replica.id, replica.service, bar.value, source, since, until)
+    return ExcludedReplica(replica.id, replica.service, exclusion.value, source, since, until)
--- a/packages/daemon/calicopathd/gateway/following.py
+++ b/packages/daemon/calicopathd/gateway/following.py
@@ -11,7 +11,7 @@
 from calicopath_core.fleet.restoring import RestoreFilter
 from calicopath_core.fleet.store import RecordKind
 from calicopath_core.fleet.subscription import Subscription
-from calicopathd.gateway.records import RecordIntake
+from calicopathd.gateway.records import RecordHandler
 
 if TYPE_CHECKING:
     import random
@@ -28,7 +28,7 @@
     from calicopathd.gateway.settings import GatewaySettings
 
 
-class StoreFollowing:
+class StoreFollower:
     """Hold what takes records in, from feeds to tables, and what other boxes hear of them.
 
     `on_boxes` is told when boxes have changed, `on_applied` of a newer configuration in force.
@@ -46,30 +46,30 @@
         view: DeploymentView,
         replicas: ReplicaTable,
         send: Callable[[str, msgspec.Struct], None],
-        on_boxes: Callable[[float], None],
-        on_applied: Callable[[Deployment], None],
+        on_boxes_changed: Callable[[float], None],
+        on_deployment_applied: Callable[[Deployment], None],
         is_leaving: Callable[[], bool],
     ) -> None:
         self.evacuations = Evacuations(
             wall_clock=clock.wall,
-            on_evacuation_started=observer.on_failure_domain_taken_out,
-            on_evacuation_ended=observer.on_failure_domain_given_back,
+            on_evacuation_started=observer.on_evacuation_started,
+            on_evacuation_ended=observer.on_evacuation_ended,
             on_changed=replicas.set_evacuated,
         )
         self.publisher = Publisher(own_address=own.address, clock=clock, send=send)
-        self.records = RecordIntake(
+        self.records = RecordHandler(
             clock=clock,
             view=view,
             replicas=replicas,
             evacuations=self.evacuations,
             publisher=self.publisher,
-            on_boxes=on_boxes,
-            on_applied=on_applied,
+            on_boxes_changed=on_boxes_changed,
+            on_deployment_applied=on_deployment_applied,
         )
-        self.restored = RestoreFilter(
+        self.restore_filter = RestoreFilter(
             inner=self.records,
             clock=clock,
-            entry_ttl_s=settings.replica_lapse_s,
+            entry_ttl_s=settings.replica_entry_ttl_s,
             on_restored=observer.on_restored,
         )
         self.subscription = Subscription(
@@ -79,11 +79,11 @@
             publisher=self.publisher,
             on_disrupted=replicas.on_disrupted,
             on_bad_update=observer.on_bad_message,
-            on_relay_changed=observer.on_source,
+            on_relay_changed=observer.on_relay_changed,
             store=store,
-            on_store_error=observer.on_relays_unread,
+            on_store_error=observer.on_relay_access_failed,
             rng=rng,
-            stale_boxes=self.restored.stale_boxes,
+            stale_boxes=self.restore_filter.stale_boxes,
         )
         self.feeds = {
             kind: RecordFeed(
@@ -91,10 +91,10 @@
                 kind=kind,
                 clock=clock,
                 observer=observer,
-                handler=self.restored,
+                handler=self.restore_filter,
                 policy=self.subscription,
             )
-            for kind in settings.followed
+            for kind in settings.followed_kinds
         }
         self.subscription.feeds.update(self.feeds)
         self.publisher.feeds.update(self.feeds)
@@ -105,7 +105,7 @@
             rng=rng,
             is_leaving=is_leaving,
             on_registered=self.on_registered,
-            on_failed=observer.on_register_failed,
+            on_failed=observer.on_registration_failed,
         )
 
     def on_registered(self) -> None:
--- a/packages/daemon/calicopathd/gateway/metrics.py
+++ b/packages/daemon/calicopathd/gateway/metrics.py
@@ -16,7 +16,7 @@
 
     def __init__(self, *, box: str) -> None:
         self.registry = Registry()
-        self.const = {'box': box}
+        self.const_labels = {'box': box}
         self.exchanges = self.counter('exchanges_total', 'Exchanges by route kind and outcome.')
         self.exchange_seconds = self.histogram('exchange_seconds', 'Time to the whole answer.')
         self.first_byte_seconds = self.histogram('first_event_seconds', 'Time to the first event.')
@@ -32,43 +32,43 @@
         self.blocked_refused = self.counter(
             'blocked_refusals_total', 'Refusals of requests under which replicas end.'
         )
-        self.leaving = self.counter(
+        self.replicas_leaving = self.counter(
             'replicas_leaving_total', 'Replicas whose answers told this box that they leave.'
         )
-        self.over = self.counter(
+        self.replicas_replaced = self.counter(
             'replicas_over_total', 'Replicas at whose addresses others have answered.'
         )
         self.backoffs = self.counter(
             'replica_backoffs_total', 'Times that a replica wanted nothing from this box.'
         )
-        self.limits_named = self.counter(
+        self.limits_advertised = self.counter(
             'replica_limits_named_total',
             'Times that a replica named how much it takes, or another.',
         )
         self.permits = self.counter(
             'permits_total', 'Permits to call limited replicas that this box has lent or refused.'
         )
-        self.notices_bad = self.counter(
+        self.bad_notices = self.counter(
             'notices_bad_total', 'Answers that ask for a pause which can not be read.'
         )
-        self.held_back = self.counter(
+        self.calls_held_back = self.counter(
             'calls_held_back_total', 'Calls not sent as their replica must not get them, by bar.'
         )
-        self.passed_over = self.counter(
+        self.replicas_skipped = self.counter(
             'replicas_passed_over_total', 'Replicas chosen for requests that must not get them.'
         )
         self.stage_calls = self.counter('stage_calls_total', 'Stage calls by service and result.')
         self.stage_pieces = self.counter('stage_pieces_total', 'Pieces in stage calls by service.')
         self.stage_seconds = self.histogram('stage_call_seconds', 'Time of a stage call.')
-        self.placed = self.counter('jobs_placed_total', 'Jobs that this box has placed.')
-        self.rejected = self.counter('jobs_rejected_total', 'Jobs not placed, by reason.')
+        self.jobs_placed = self.counter('jobs_placed_total', 'Jobs that this box has placed.')
+        self.jobs_rejected = self.counter('jobs_rejected_total', 'Jobs not placed, by reason.')
         self.scheduler_changes = self.counter(
             'scheduler_changes_total', 'Times that another box was taken for the scheduler.'
         )
         self.forged_headers = self.counter(
             'forged_headers_total', 'Headers of callers that only the system may set; dropped.'
         )
-        self.objects_bad = self.counter(
+        self.bad_objects = self.counter(
             'objects_bad_total', 'Objects of the store that could not be understood, by kind.'
         )
         self.listings_dropped = self.counter(
@@ -76,31 +76,31 @@
         )
         self.store_calls = self.counter('store_calls_total', 'Calls to the store by cause.')
         self.state = Gauge(
-            'calicopath_gateway_state', 'State of the box.', self.const, self.registry
+            'calicopath_gateway_state', 'State of the box.', self.const_labels, self.registry
         )
 
     def counter(self, name: str, doc: str) -> Counter:
         """Return a new counter."""
-        return Counter(f'calicopath_{name}', doc, self.const, self.registry)
+        return Counter(f'calicopath_{name}', doc, self.const_labels, self.registry)
 
     def histogram(self, name: str, doc: str) -> Histogram:
         """Return a new histogram of seconds."""
         return Histogram(
-            f'calicopath_{name}', doc, self.const, self.registry, buckets=LATENCY_BUCKETS
+            f'calicopath_{name}', doc, self.const_labels, self.registry, buckets=LATENCY_BUCKETS
         )
 
-    def on_exchange(self, kind: str, outcome: str, took_s: float, first_s: float | None) -> None:
+    def on_exchange(self, kind: str, outcome: str, duration_s: float, first_byte_s: float | None) -> None:
         """Note one exchange."""
         self.exchanges.inc({'kind': kind, 'outcome': outcome})
-        self.exchange_seconds.observe({'kind': kind}, took_s)
-        if first_s is not None:
-            self.first_byte_seconds.observe({}, first_s)
+        self.exchange_seconds.observe({'kind': kind}, duration_s)
+        if first_byte_s is not None:
+            self.first_byte_seconds.observe({}, first_byte_s)
 
-    def on_stage_call(self, service: str, pieces: int, took_s: float, ok: bool) -> None:
+    def on_stage_call(self, service: str, pieces: int, duration_s: float, ok: bool) -> None:
         """Note one call of a stage."""
         self.stage_calls.inc({'service': service, 'result': 'ok' if ok else 'failed'})
         self.stage_pieces.add({'service': service}, pieces)
-        self.stage_seconds.observe({'service': service}, took_s)
+        self.stage_seconds.observe({'service': service}, duration_s)
 
     def set_state(self, **values: float) -> None:
         """Set figures of the box's state."""
--- a/packages/daemon/calicopathd/gateway/notices.py
+++ b/packages/daemon/calicopathd/gateway/notices.py
@@ -43,14 +43,14 @@
         own_address: str,
         hubs: Callable[[], Iterable[str]],
         send: Callable[[str, msgspec.Struct], None],
-        lender: Callable[[], str],
-        share: Callable[[], float],
+        issuer_address: Callable[[], str],
+        limit_share: Callable[[], float],
         on_backoff: Callable[[Replica], None],
     ) -> None:
         self.leaving = LeavingReplicas(clock=clock, observer=observer)
         self.replicas = ReplicaTable(leaving=self.leaving, on_draining=observer.on_draining)
         self.permits = PermitClient(
-            clock=clock, own_address=own_address, issuer_address=lender, send=send
+            clock=clock, own_address=own_address, issuer_address=issuer_address, send=send
         )
         self.limits = AdvertisedLimits(clock=clock, observer=observer, on_changed=self.on_limit)
         self.limits.listeners.append(self.permits.on_limits_changed)
@@ -75,11 +75,11 @@
             send=send,
             service_of=self.service_of,
         )
-        self.holder = LimitIssuer(
+        self.limit_issuer = LimitIssuer(
             clock=clock,
             limits=self.limits,
             replicas=self.replicas,
-            share=share,
+            share=limit_share,
             send=send,
             own_client=self.permits,
             observer=observer,
@@ -98,12 +98,12 @@
         found = self.replicas.replicas.get(replica)
         return found.service if found is not None else ''
 
-    def on_digests(self, ping: Presence) -> None:
+    def on_presence(self, ping: Presence) -> None:
         """Send a box that has pinged what it lacks."""
         self.leaving_sharing.on_digest(ping.address, ping.replicas)
         self.limit_sharing.on_digest(ping.address, ping.limits)
 
-    def tell_hubs(self) -> None:
+    def notify_hubs(self) -> None:
         """Tell the hubs what is new here."""
         self.leaving_sharing.notify_hubs()
         self.limit_sharing.notify_hubs()
@@ -116,19 +116,19 @@
             case LimitNews():
                 self.limit_sharing.on_news(message)
             case PermitRequest():
-                self.holder.on_request(message)
+                self.limit_issuer.on_request(message)
             case PermitAnswer():
                 self.permits.on_answer(message)
 
-    def on_lender(self, *, own: bool) -> None:
+    def on_issuer_changed(self, *, is_own: bool) -> None:
         """Note that another box lends permits now, or this one."""
-        if own:
-            self.holder.on_activate()
+        if is_own:
+            self.limit_issuer.on_activate()
         else:
-            self.holder.on_step_down()
+            self.limit_issuer.on_step_down()
         self.permits.on_issuer_changed()
 
     def expire(self) -> None:
         """Forget what is old."""
         self.gate.expire()
-        self.holder.expire()
+        self.limit_issuer.expire()
--- a/packages/daemon/calicopathd/gateway/observer.py
+++ b/packages/daemon/calicopathd/gateway/observer.py
@@ -117,12 +117,12 @@
 
     def on_leaving(self, replica: str, source: str) -> None:
         """Note that a replica says that it leaves."""
-        self.metrics.leaving.inc({'source': 'own' if source == OWN else 'peer'})
+        self.metrics.replicas_leaving.inc({'source': 'own' if source == OWN else 'peer'})
         events.emit(log, events.REPLICA_LEAVING, replica=replica, source=source)
 
     def on_replaced(self, replica: str, source: str) -> None:
         """Note that another replica answers at a replica's address."""
-        self.metrics.over.inc({'source': 'own' if source == OWN else 'peer'})
+        self.metrics.replicas_replaced.inc({'source': 'own' if source == OWN else 'peer'})
         events.emit(log, events.REPLICA_OVER, replica=replica, source=source)
 
     def on_backoff(self, replica: Replica, backoff_s: float) -> None:
@@ -148,11 +148,11 @@
 
     def on_bad_notice(self, service: str) -> None:
         """Count an answer that asks for a pause nobody can read."""
-        self.metrics.notices_bad.inc({'service': service})
+        self.metrics.bad_notices.inc({'service': service})
 
     def on_limit(self, replica: str, service: str, per_s: float, source: str) -> None:
         """Note the requests a second that a replica takes."""
-        self.metrics.limits_named.inc({'service': service})
+        self.metrics.limits_advertised.inc({'service': service})
         events.emit(
             log,
             events.REPLICA_LIMIT,
@@ -175,17 +175,17 @@
 
     def on_held_back(self, replica: Replica, exclusion: Exclusion) -> None:
         """Count a call that was chosen and not sent."""
-        self.metrics.held_back.inc({'service': replica.service, 'bar': exclusion.value})
+        self.metrics.calls_held_back.inc({'service': replica.service, 'bar': exclusion.value})
 
-    def on_replica_skipped(self, state: ExchangeState, replica: str, bar: Exclusion) -> None:
+    def on_replica_skipped(self, state: ExchangeState, replica: str, exclusion: Exclusion) -> None:
         """Note a replica that was chosen for a request and must not get it."""
-        self.metrics.passed_over.inc({'service': state.service, 'bar': bar.value})
+        self.metrics.replicas_skipped.inc({'service': state.service, 'bar': exclusion.value})
         events.emit(
             log,
             events.REPLICA_PASSED_OVER,
             request=state.exchange.call_id,
             replica=replica,
-            bar=bar.value,
+            bar=exclusion.value,
         )
 
     def on_stage_call(
@@ -207,7 +207,7 @@
 
     def on_placed(self, job: Job, replica: Replica, cost_s: float, waited_s: float) -> None:
         """Note the engine chosen for a job."""
-        self.metrics.placed.inc({})
+        self.metrics.jobs_placed.inc({})
         events.emit(
             log,
             events.JOB_PLACED,
@@ -226,7 +226,7 @@
 
     def on_rejected(self, job: Job, reason: str, retry_after_s: float) -> None:
         """Note a job that is not placed."""
-        self.metrics.rejected.inc({'reason': reason})
+        self.metrics.jobs_rejected.inc({'reason': reason})
         events.emit(
             log,
             events.JOB_REJECTED,
@@ -258,46 +258,46 @@
         """Note results that could not be given up."""
         events.emit(log, events.FREE_FAILED, maker=address, results=count, error=str(error))
 
-    def on_scheduler(self, address: str, waiting: int) -> None:
+    def on_scheduler_changed(self, address: str, asked_again: int) -> None:
         """Note that another box schedules now."""
         self.metrics.scheduler_changes.inc({})
-        events.emit(log, events.SCHEDULER_CHANGED, scheduler=address, jobs_asked_again=waiting)
+        events.emit(log, events.SCHEDULER_CHANGED, scheduler=address, jobs_asked_again=asked_again)
 
-    def on_group(self, group: int, groups: int) -> None:
+    def on_group_changed(self, group: int, groups: int) -> None:
         """Note that this box belongs to another group."""
         events.emit(log, events.GROUP_CHANGED, group=group, groups=groups)
 
-    def on_failure_domain_taken_out(self, evacuation: Evacuation) -> None:
+    def on_evacuation_started(self, evacuation: Evacuation) -> None:
         """Note that a failure domain's replicas get no new work from here."""
         revision = evacuation.revision
         events.emit(
             log, events.FAILURE_DOMAIN_TAKEN_OUT, zone=evacuation.failure_domain, revision=revision
         )
 
-    def on_failure_domain_given_back(self, held: ActiveEvacuation) -> None:
+    def on_evacuation_ended(self, active: ActiveEvacuation) -> None:
         """Note that a failure domain's replicas get new work again."""
-        evacuation = held.evacuation
+        evacuation = active.evacuation
         events.emit(
             log,
             events.FAILURE_DOMAIN_GIVEN_BACK,
             zone=evacuation.failure_domain,
             revision=evacuation.revision,
-            taken_out_since=held.since,
+            taken_out_since=active.since,
         )
 
-    def on_source(self, relay: str | None) -> None:
+    def on_relay_changed(self, relay: str | None) -> None:
         """Note that this box hears the store through another relay, or by itself."""
         events.emit(log, events.SOURCE_CHANGED, relay=relay)
 
-    def on_register_failed(self, error: Exception) -> None:
+    def on_registration_failed(self, error: Exception) -> None:
         """Note that the box's own record was not written."""
         events.emit(log, events.REGISTER_FAILED, error=str(error))
 
-    def on_relays_unread(self, error: Exception) -> None:
+    def on_relay_access_failed(self, error: Exception) -> None:
         """Note that it could not be read or written which boxes are relays."""
         events.emit(log, events.RELAYS_UNREAD, error=str(error))
 
-    def on_blocked_unkept(self, error: Exception) -> None:
+    def on_blocked_access_failed(self, error: Exception) -> None:
         """Note that blocked requests were not read from the store or written there."""
         events.emit(log, events.BLOCKED_UNKEPT, error=str(error))
 
@@ -346,7 +346,7 @@
 
     def on_bad_object(self, name: str, error: Exception) -> None:
         """Note an object that can't be understood."""
-        self.metrics.objects_bad.inc({'kind': name.partition('/')[0]})
+        self.metrics.bad_objects.inc({'kind': name.partition('/')[0]})
         events.emit(log, events.OBJECT_BAD, key=name, error=str(error))
 
     def on_bad_message(self, error: str) -> None:
--- a/packages/daemon/calicopathd/gateway/peers.py
+++ b/packages/daemon/calicopathd/gateway/peers.py
@@ -62,14 +62,14 @@
         clock: Clock,
         config_version: Callable[[], int],
         contact: Callable[[], StoreContact],
-        on_bad: Callable[[str], None],
+        on_bad_message: Callable[[str], None],
     ) -> None:
         self.transport = transport
         self.election = election
         self.clock = clock
         self.config_version = config_version
         self.contact = contact
-        self.on_bad = on_bad
+        self.on_bad_message = on_bad_message
         self.decoder = MessageDecoder(
             types=(
                 *MESSAGES,
@@ -83,9 +83,9 @@
         self.scheduler: Scheduler | None = None
         self.client: SchedulerClient | None = None
         self.subscription: Subscription | None = None
-        self.crashes: CrashSharing | None = None
+        self.crash_sharing: CrashSharing | None = None
         self.notices: BoxNotices | None = None
-        self.sent = 0
+        self.messages_sent = 0
         transport.listen(self.on_data)
 
     def send(self, address: str, message: msgspec.Struct) -> None:
@@ -93,7 +93,7 @@
         if address == self.election.own.address:
             asyncio.get_running_loop().call_soon(self.handle, message)
             return
-        self.sent += 1
+        self.messages_sent += 1
         self.transport.send(address, encode(message))
 
     def on_data(self, data: bytes) -> None:
@@ -101,7 +101,7 @@
         try:
             message = self.decoder.decode(data)
         except BadMessage as error:
-            self.on_bad(str(error))
+            self.on_bad_message(str(error))
             return
         self.handle(message)
 
@@ -110,7 +110,7 @@
         assert self.scheduler is not None
         assert self.client is not None
         assert self.subscription is not None
-        assert self.crashes is not None
+        assert self.crash_sharing is not None
         assert self.notices is not None
         match message:
             case Ping():
@@ -118,8 +118,8 @@
                 if message.unanswered:
                     self.transport.drop_connection(message.address)
                 self.send(message.address, self.presence(Pong, message.sequence))
-                self.crashes.on_digest(message.address, message.crashes)
-                self.notices.on_digests(message)
+                self.crash_sharing.on_digest(message.address, message.crashes)
+                self.notices.on_presence(message)
             case Pong():
                 self.election.on_pong(message, self.clock.monotonic())
             case PlaceJob():
@@ -148,13 +148,13 @@
                 self.subscription.on_subscribe(message)
                 if NO_POSITION in message.positions.values():
                     # A box that starts serves as soon as it has heard everything.
-                    self.crashes.send_full_news(message.sender)
+                    self.crash_sharing.send_full_news(message.sender)
             case RelayStatus():
                 self.subscription.on_status(message)
             case RelayUpdate():
                 self.subscription.on_update(message)
             case CrashNews():
-                self.crashes.on_news(message)
+                self.crash_sharing.on_news(message)
             case BackoffNotice():
                 self.scheduler.on_backoffs(message)
             case _:
@@ -162,7 +162,7 @@
 
     def presence(self, kind: type[Ping] | type[Pong], sequence: int) -> Ping | Pong:
         """Return what this box says of itself."""
-        assert self.crashes is not None
+        assert self.crash_sharing is not None
         assert self.notices is not None
         own = self.election.own
         return kind(
@@ -173,7 +173,7 @@
             leaving=self.election.leaving,
             sequence=sequence,
             groups=self.election.group_count,
-            crashes=self.crashes.digest(),
+            crashes=self.crash_sharing.digest(),
             replicas=self.notices.leaving_sharing.digest(),
             limits=self.notices.limit_sharing.digest(),
         )
@@ -193,10 +193,10 @@
 
     async def run(self) -> None:
         """Ping until cancelled."""
-        assert self.crashes is not None
+        assert self.crash_sharing is not None
         assert self.notices is not None
         while True:
             self.ping_all()
-            self.crashes.notify_hubs()
-            self.notices.tell_hubs()
+            self.crash_sharing.notify_hubs()
+            self.notices.notify_hubs()
             await asyncio.sleep(PING_INTERVAL_S)
--- a/packages/daemon/calicopathd/gateway/records.py
+++ b/packages/daemon/calicopathd/gateway/records.py
@@ -23,7 +23,7 @@
     from calicopath_core.fleet.store import Change, Listing
 
 
-class RecordIntake(FeedHandler):
+class RecordHandler(FeedHandler):
     """Hold the boxes listed, and fill the tables of replicas, failure domains and the
     configuration.
 
@@ -38,16 +38,16 @@
         replicas: ReplicaTable,
         evacuations: Evacuations,
         publisher: Publisher,
-        on_boxes: Callable[[float], None],
-        on_applied: Callable[[Deployment], None],
+        on_boxes_changed: Callable[[float], None],
+        on_deployment_applied: Callable[[Deployment], None],
     ) -> None:
         self.clock = clock
         self.view = view
         self.replicas = replicas
         self.evacuations = evacuations
         self.publisher = publisher
-        self.on_boxes = on_boxes
-        self.on_applied = on_applied
+        self.on_boxes_changed = on_boxes_changed
+        self.on_deployment_applied = on_deployment_applied
         self.boxes: dict[str, BoxAddress] = {}
 
     def on_disrupted(self) -> None:
@@ -66,7 +66,7 @@
             self.boxes = {
                 name: item for name, item in records.items() if isinstance(item, BoxAddress)
             }
-            self.on_boxes(now)
+            self.on_boxes_changed(now)
         elif kind is RecordKind.EVACUATION:
             self.evacuations.replace_all(
                 [item for item in records.values() if isinstance(item, Evacuation)]
@@ -83,7 +83,7 @@
             for change in changes:
                 self.on_change(kind, change)
         if kind is RecordKind.BOX:
-            self.on_boxes(self.clock.monotonic())
+            self.on_boxes_changed(self.clock.monotonic())
         self.publisher.on_changed(kind, position, [change.name for change in changes])
 
     def on_change(self, kind: RecordKind, change: Change) -> None:
@@ -108,4 +108,4 @@
     def on_deployment(self, deployment: Deployment) -> None:
         """Apply a configuration if it is newer."""
         if self.view.apply_if_newer(deployment, self.clock.monotonic()):
-            self.on_applied(deployment)
+            self.on_deployment_applied(deployment)
--- a/packages/daemon/calicopathd/gateway/reloading.py
+++ b/packages/daemon/calicopathd/gateway/reloading.py
@@ -17,7 +17,7 @@
     from calicopath_core.clock import Clock
     from calicopathd.gateway.settings import GatewaySettings
 
-LOOK_S = 1.0
+SETTINGS_CHECK_INTERVAL_S = 1.0
 """How often the file is looked at: it may change without a signal, and one that was half written
 when the signal came is whole soon after."""
 
@@ -38,7 +38,7 @@
     problem: str = ''
 
 
-class Stamp(NamedTuple):
+class FileVersion(NamedTuple):
     """Tell versions of a file apart without reading it."""
 
     modified_ns: int
@@ -61,33 +61,33 @@
         self.settings = settings
         self.clock = clock
         self.state = SettingsState(digest_of(settings), clock.wall())
-        self.stamp = self.stamp_now()
-        self.told = ''
+        self.version = self.current_version()
+        self.reported_problem = ''
 
-    def stamp_now(self) -> Stamp | None:
+    def current_version(self) -> FileVersion | None:
         """Return the file's stamp, nothing if it is not there."""
         try:
             found = self.path.stat()
         except OSError:
             return None
-        return Stamp(found.st_mtime_ns, found.st_size)
+        return FileVersion(found.st_mtime_ns, found.st_size)
 
-    def changed(self) -> bool:
+    def has_changed(self) -> bool:
         """Tell whether the file is another than when it was last looked at."""
-        stamp = self.stamp_now()
-        if stamp == self.stamp:
+        version = self.current_version()
+        if version == self.version:
             return False
-        self.stamp = stamp
+        self.version = version
         return True
 
-    def take(self) -> GatewaySettings | None:
+    def reload(self) -> GatewaySettings | None:
         """Read the file; return its settings if they are sound, and say once if they are not."""
         try:
             settings = self.read(self.path)
         except CalicopathError as error:
             self.reject(str(error))
             return None
-        self.told = ''
+        self.reported_problem = ''
         digest = digest_of(settings)
         since = self.state.since if digest == self.state.digest else self.clock.wall()
         self.state = SettingsState(digest, since)
@@ -97,8 +97,8 @@
     def reject(self, problem: str) -> None:
         """Keep what is in force and say why."""
         self.state = self.state._replace(problem=problem)
-        if problem != self.told:
-            self.told = problem
+        if problem != self.reported_problem:
+            self.reported_problem = problem
             events.emit(log, events.RELOAD_FAILED, error=problem, in_force=self.state.digest)
 
 
--- a/packages/daemon/calicopathd/gateway/responder.py
+++ b/packages/daemon/calicopathd/gateway/responder.py
@@ -24,7 +24,7 @@
 """Headers that concern one connection only, or that are set anew here."""
 
 
-class AnswerChannel(ABC):
+class ResponseChannel(ABC):
     """Carry an answer's bytes to a caller; `writable` is set while the caller reads them."""
 
     writable: asyncio.Event
@@ -50,23 +50,23 @@
 class Responder:
     """Write one answer to a connection."""
 
-    def __init__(self, *, connection: AnswerChannel, keep_alive: bool) -> None:
+    def __init__(self, *, connection: ResponseChannel, keep_alive: bool) -> None:
         self.connection = connection
         self.keep_alive = keep_alive
-        self.begun = False
-        self.ended = False
+        self.started = False
+        self.finished = False
 
     def respond(self, status: int, headers: tuple[tuple[str, str], ...], body: bytes) -> None:
         """Send a whole answer."""
-        self.begun = True
+        self.started = True
         length = ('Content-Length', str(len(body)))
         self.write_head(status, headers, length)
         self.connection.write(body)
-        self.end()
+        self.on_finished()
 
-    def begin(self, status: int, headers: tuple[tuple[str, str], ...]) -> None:
+    def start(self, status: int, headers: tuple[tuple[str, str], ...]) -> None:
         """Send the head of an answer in chunks."""
-        self.begun = True
+        self.started = True
         self.write_head(status, headers, ('Transfer-Encoding', 'chunked'))
 
     async def send(self, data: bytes) -> None:
@@ -77,12 +77,12 @@
     def finish(self) -> None:
         """Send the last chunk."""
         self.connection.write(b'0\r\n\r\n')
-        self.end()
+        self.on_finished()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Close the connection so that what was sent can't look whole."""
-        if not self.ended:
-            self.ended = True
+        if not self.finished:
+            self.finished = True
             self.connection.abort()
 
     def write_head(
@@ -101,8 +101,8 @@
             lines.append('Connection: close')
         self.connection.write('\r\n'.join([*lines, '', '']).encode('latin-1'))
 
-    def end(self) -> None:
+    def on_finished(self) -> None:
         """Note that the answer is whole."""
-        self.ended = True
+        self.finished = True
         if not self.keep_alive:
             self.connection.close()
--- a/packages/daemon/calicopathd/gateway/run.py
+++ b/packages/daemon/calicopathd/gateway/run.py
@@ -12,7 +12,7 @@
 from calicopath_core.fleet.store import FleetStoreError
 from calicopathd import events
 from calicopathd.box.tasks import keep_running
-from calicopathd.gateway.reloading import LOOK_S
+from calicopathd.gateway.reloading import SETTINGS_CHECK_INTERVAL_S
 from calicopathd.gateway.server import HttpServer
 
 if TYPE_CHECKING:
@@ -24,8 +24,8 @@
 
 log = structlog.get_logger(__name__)
 
-TICK_S = 0.2
-BALANCER_LAG_S = 3.0
+TICK_INTERVAL_S = 0.2
+LOAD_BALANCER_DELAY_S = 3.0
 """How long the platform's balancer may go on sending callers to a box that is not ready: it asks
 each second and needs two answers in a row."""
 
@@ -36,7 +36,7 @@
 """How long before it ends a box refuses what still waits for stages or an engine: time for the
 answers to reach their callers, and for streams that run to end."""
 
-WITHDRAW_S = 0.4
+WITHDRAW_TIMEOUT_S = 0.4
 """How long a stopping box waits for the store to take its record away: with `EXIT_MARGIN_S` it is
 gone before the kill. What is left over is overwritten when a box of that name starts."""
 
@@ -56,29 +56,29 @@
     ) -> None:
         self.box = box
         self.transport = transport
-        self.exchanges = HttpServer(
+        self.exchange_server = HttpServer(
             handler=exchange_handler,
             clock=box.clock,
-            max_connections=box.settings.max_callers,
+            max_connections=box.settings.max_caller_connections,
         )
-        self.ready = HttpServer(handler=ready_handler, clock=box.clock)
-        self.metrics = HttpServer(handler=state_handler, clock=box.clock)
-        self.figures = state_handler.metrics
+        self.ready_server = HttpServer(handler=ready_handler, clock=box.clock)
+        self.metrics_server = HttpServer(handler=state_handler, clock=box.clock)
+        self.metrics = state_handler.metrics
         self.settings_file = state_handler.settings_file
         self.log_writer = log_writer
-        self.stop = asyncio.Event()
+        self.stop_requested = asyncio.Event()
         self.tasks: list[asyncio.Task[None]] = []
 
     async def run(self) -> None:
         """Serve until a stop signal, then end every request in progress and return."""
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(on_loop_fault)
+        loop.set_exception_handler(on_loop_error)
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self.on_reload)
+            loop.add_signal_handler(number, self.stop_requested.set)
+        loop.add_signal_handler(signal.SIGHUP, self.reload_settings)
         await self.start()
-        await self.stop.wait()
-        await self.leave()
+        await self.stop_requested.wait()
+        await self.shut_down()
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -86,29 +86,29 @@
         # The loop would give the signal its default action back, which ends the process.
         loop.remove_signal_handler(signal.SIGHUP)
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
-        events.emit(log, events.GATEWAY_STOPPED, in_progress=self.exchanges.in_progress)
+        events.emit(log, events.GATEWAY_STOPPED, in_progress=self.exchange_server.in_progress)
 
     async def start(self) -> None:
         """Listen, and follow store and peers."""
         settings = self.box.settings
-        await self.exchanges.start(*settings.exchange_listen)
-        await self.ready.start(*settings.ready_listen)
-        await self.metrics.start(*settings.metrics_listen)
-        work = {
+        await self.exchange_server.start(*settings.exchange_listen)
+        await self.ready_server.start(*settings.ready_listen)
+        await self.metrics_server.start(*settings.metrics_listen)
+        background_tasks = {
             'peers': self.transport.run,
             'pings': self.box.link.run,
             'scheduler': self.box.scheduler.run,
             'client': self.box.client.run,
             'subscription': self.box.subscription.run,
-            'ticks': self.tick_often,
-            'settings': self.follow_settings,
+            'ticks': self.run_ticks,
+            'settings': self.watch_settings,
             'lag': self.box.measure_lag,
-            'blocked requests': self.box.keeper.run,
-            'register': self.box.following.registration.run,
+            'blocked requests': self.box.blocked_persister.run,
+            'register': self.box.store_follower.registration.run,
         }
         for feed in self.box.feeds.values():
-            work[f'feed {feed.kind.value}'] = feed.run
-        self.tasks = [asyncio.create_task(keep_running(*item)) for item in work.items()]
+            background_tasks[f'feed {feed.kind.value}'] = feed.run
+        self.tasks = [asyncio.create_task(keep_running(*item)) for item in background_tasks.items()]
         events.emit(
             log,
             events.GATEWAY_STARTED,
@@ -117,9 +117,9 @@
             peers=str(settings.peer_listen),
         )
 
-    def on_reload(self) -> None:
+    def reload_settings(self) -> None:
         """Take the settings in that may change without a restart; keep the old ones if unsound."""
-        settings = self.settings_file.take()
+        settings = self.settings_file.reload()
         if settings is None:
             return
         self.box.settings = settings
@@ -127,33 +127,33 @@
         state = self.settings_file.state
         events.emit(log, events.GATEWAY_RELOADED, box=settings.box, digest=state.digest)
 
-    async def follow_settings(self) -> None:
+    async def watch_settings(self) -> None:
         """Take the settings file in whenever it changes, signalled or not, until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
-            if self.settings_file.changed():
-                self.on_reload()
+            await asyncio.sleep(SETTINGS_CHECK_INTERVAL_S)
+            if self.settings_file.has_changed():
+                self.reload_settings()
 
-    async def tick_often(self) -> None:
+    async def run_ticks(self) -> None:
         """Do what is due by time, until cancelled."""
         was_ready = False
         while True:
             self.box.tick()
             self.log_writer.flush()
-            self.set_figures()
-            ready = self.box.ready()
+            self.update_gauges()
+            ready = self.box.is_ready()
             if ready != was_ready:
                 event = events.GATEWAY_READY if ready else events.GATEWAY_NOT_READY
                 events.emit(log, event, config=self.box.config_version())
             was_ready = ready
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
-    def set_figures(self) -> None:
+    def update_gauges(self) -> None:
         """Set the gauges."""
         box = self.box
         age_s = box.contact().age_s
-        self.figures.set_state(
-            ready=float(box.ready()),
+        self.metrics.set_state(
+            ready=float(box.is_ready()),
             scheduling=float(box.client.scheduler_address == box.own.address),
             config_version=box.config_version(),
             store_age_seconds=-1.0 if math.isinf(age_s) else age_s,
@@ -161,18 +161,18 @@
             zones_taken_out=len(box.evacuations.active),
             requests_blocked=len(box.ledger.blocked),
             limits_named=len(box.notices.limits.by_replica),
-            permits_waiting=len(box.notices.holder.waiting),
+            permits_waiting=len(box.notices.limit_issuer.waiting),
             permits_unused=box.notices.permits.unused,
             requests_suspected=len(box.ledger.suspects),
             boxes_listed=box.election.box_count(),
             jobs=len(box.scheduler.jobs),
             groups=box.election.groups,
-            loop_lag_seconds=box.group_rule.lag.value_s,
+            loop_lag_seconds=box.group_policy.lag.value_s,
             suspended_seconds=box.clock.suspended_s,
-            exchanges_in_progress=self.exchanges.in_progress,
-            callers_connected=len(self.exchanges.connections),
-            callers_turned_away=self.exchanges.turned_away,
-            peer_messages_sent=box.link.sent,
+            exchanges_in_progress=self.exchange_server.in_progress,
+            callers_connected=len(self.exchange_server.connections),
+            callers_turned_away=self.exchange_server.rejected_connections,
+            peer_messages_sent=box.link.messages_sent,
             peer_messages_dropped=self.transport.dropped,
             hears_store_itself=float(not box.subscription.uses_relay()),
             subscribers=len(box.publisher.subscribers),
@@ -180,33 +180,33 @@
             log_lines_dropped=self.log_writer.dropped,
         )
 
-    async def leave(self) -> None:
+    async def shut_down(self) -> None:
         """Stop without cutting a request: not ready, then no new ones, then idle."""
         grace_s = self.box.settings.stop_grace_s - EXIT_MARGIN_S
-        begun = self.box.clock.monotonic()
+        started_at = self.box.clock.monotonic()
         self.box.leave()
-        self.exchanges.leave()
-        events.emit(log, events.GATEWAY_LEAVING, in_progress=self.exchanges.in_progress)
-        await asyncio.sleep(min(BALANCER_LAG_S, grace_s / 2))
-        self.exchanges.close_idle()
-        left_s = grace_s - (self.box.clock.monotonic() - begun)
-        if not await self.exchanges.wait_idle(max(0.0, left_s - REFUSE_MARGIN_S)):
-            events.emit(log, events.GATEWAY_REFUSING, in_progress=self.exchanges.in_progress)
+        self.exchange_server.start_closing()
+        events.emit(log, events.GATEWAY_LEAVING, in_progress=self.exchange_server.in_progress)
+        await asyncio.sleep(min(LOAD_BALANCER_DELAY_S, grace_s / 2))
+        self.exchange_server.close_idle()
+        remaining_s = grace_s - (self.box.clock.monotonic() - started_at)
+        if not await self.exchange_server.wait_idle(max(0.0, remaining_s - REFUSE_MARGIN_S)):
+            events.emit(log, events.GATEWAY_REFUSING, in_progress=self.exchange_server.in_progress)
             self.box.client.reject_waiting()
             self.box.notices.permits.refuse_pending()
-            await self.exchanges.wait_idle(REFUSE_MARGIN_S)
+            await self.exchange_server.wait_idle(REFUSE_MARGIN_S)
         await self.withdraw()
 
     async def withdraw(self) -> None:
         """Remove the box's own record, unless the store takes longer than there is time."""
         try:
-            async with asyncio.timeout(WITHDRAW_S):
+            async with asyncio.timeout(WITHDRAW_TIMEOUT_S):
                 await self.box.store.withdraw(self.box.own)
         except (FleetStoreError, TimeoutError) as error:
             events.emit(log, events.REGISTER_FAILED, error=repr(error))
 
 
-def note_loaded(box: str) -> None:
+def log_loaded(box: str) -> None:
     """Log that a box has loaded all it needs.
 
     With the line that it listens, it places an end that leaves no word of its own.
@@ -214,7 +214,7 @@
     events.emit(log, events.GATEWAY_LOADED, box=box)
 
 
-def on_loop_fault(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+def on_loop_error(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
     """Log a fault of a callback, or of a task whose result nothing awaited."""
     error = context.get('exception')
     events.emit(log, events.LOOP_FAULT, error=context['message'], exc_info=error)
--- a/packages/daemon/calicopathd/gateway/server.py
+++ b/packages/daemon/calicopathd/gateway/server.py
@@ -42,7 +42,7 @@
         )
         return int(self.listener.sockets[0].getsockname()[1])
 
-    def leave(self) -> None:
+    def start_closing(self) -> None:
         """Answer each request from now on with the wish to close."""
         self.closing = True
 
@@ -55,10 +55,10 @@
             if connection.task is None and connection.incoming is None:
                 connection.close()
 
-    async def wait_idle(self, limit_s: float) -> bool:
+    async def wait_idle(self, timeout_s: float) -> bool:
         """Wait until no request is in progress; say whether that came in time."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 while self.in_progress or any(item.incoming for item in self.connections):
                     await asyncio.sleep(0.02)
         return self.in_progress == 0
--- a/packages/daemon/calicopathd/gateway/settings.py
+++ b/packages/daemon/calicopathd/gateway/settings.py
@@ -11,7 +11,7 @@
     from calicopath_core.exchanges.budget import RetryBudgetTerms
 
 
-CALLERS_SHARE = 0.6
+CALLER_DESCRIPTORS_SHARE = 0.6
 """The part of the descriptors that connections of callers may take; the rest are for replicas,
 peers, the store and files."""
 
@@ -21,8 +21,8 @@
 of a core at 74 boxes, and handing a configuration of 350 routes on to 18 boxes some 2 Mbit."""
 
 
-DEFAULT_BEAT_S = 1.2
-BEATS_TO_LAPSE = 4
+DEFAULT_HEARTBEAT_S = 1.2
+HEARTBEATS_TO_EXPIRY = 4
 """An entry goes after three beats of silence, and something in between."""
 
 
@@ -62,27 +62,27 @@
     link_mbps: float
     max_descriptors: int
     evacuate_s: float | None = None
-    replica_beat_s: float = DEFAULT_BEAT_S
+    replica_heartbeat_s: float = DEFAULT_HEARTBEAT_S
     warmup: WarmupTerms = NO_OVERAGE
 
     @property
-    def followed(self) -> tuple[RecordKind, ...]:
+    def followed_kinds(self) -> tuple[RecordKind, ...]:
         """Return the kinds of records that a box follows: a watch each at every relay."""
         if self.evacuate_s is not None:
             return tuple(RecordKind)
         return tuple(kind for kind in RecordKind if kind is not RecordKind.EVACUATION)
 
     @property
-    def replica_lapse_s(self) -> float:
+    def replica_entry_ttl_s(self) -> float:
         """Return how long the entry of a replica stands that has ended."""
-        return BEATS_TO_LAPSE * self.replica_beat_s
+        return HEARTBEATS_TO_EXPIRY * self.replica_heartbeat_s
 
     @property
-    def max_callers(self) -> int:
+    def max_caller_connections(self) -> int:
         """Return how many connections of callers a box holds at once."""
-        return int(self.max_descriptors * CALLERS_SHARE)
+        return int(self.max_descriptors * CALLER_DESCRIPTORS_SHARE)
 
     @property
-    def small(self) -> bool:
+    def is_small(self) -> bool:
         """Tell whether the box has too little to work for others."""
         return self.cpu_cores < SMALL_CORES or self.link_mbps < SMALL_LINK_MBPS
--- a/packages/daemon/calicopathd/gateway/state.py
+++ b/packages/daemon/calicopathd/gateway/state.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from calicopath_core.fleet.store import RecordKind
-from calicopathd.gateway.barred import barred_replicas
+from calicopathd.gateway.exclusions import excluded_replicas
 from calicopathd.gateway.requests import RawRequest, RequestHandler
 
 if TYPE_CHECKING:
@@ -24,11 +24,11 @@
 REPLICAS_PATH = '/replicas'
 RELEASE_PATH = '/blocked/release'
 STATUS_OK = 200
-STATUS_WRONG_METHOD = 405
+STATUS_METHOD_NOT_ALLOWED = 405
 JSON_HEADERS = (('Content-Type', 'application/json'),)
 
 
-class TakenOut(msgspec.Struct, frozen=True):
+class EvacuatedFailureDomain(msgspec.Struct, frozen=True):
     """Name a failure domain taken out, since when (seconds since 1970) and from which revision."""
 
     failure_domain: str
@@ -36,7 +36,7 @@
     revision: int
 
 
-class InForce(msgspec.Struct, frozen=True):
+class BoxState(msgspec.Struct, frozen=True):
     """Say what is in force at a box and since when, in seconds since 1970.
 
     `problem` says why the settings file as it stands is not in force there, if it is not;
@@ -52,7 +52,7 @@
     problem: str
     configuration: int
     configuration_since: float
-    taken_out: list[TakenOut]
+    taken_out: list[EvacuatedFailureDomain]
     taken_out_revision: int
     taken_out_era: int
 
@@ -74,7 +74,7 @@
     replicas: tuple[str, ...]
 
 
-class Released(msgspec.Struct, frozen=True):
+class ReleasedRequest(msgspec.Struct, frozen=True):
     """Name a request that was let go."""
 
     content: str
@@ -95,50 +95,50 @@
         """Answer with JSON on the paths for it, with every figure as text on all others."""
         path, _, query = request.target.partition('?')
         if path == STATE_PATH:
-            responder.respond(STATUS_OK, JSON_HEADERS, msgspec.json.encode(self.in_force()))
+            responder.respond(STATUS_OK, JSON_HEADERS, msgspec.json.encode(self.box_state()))
         elif path == BOXES_PATH:
             responder.respond(STATUS_OK, JSON_HEADERS, msgspec.json.encode(self.boxes()))
         elif path == BLOCKED_PATH:
-            responder.respond(STATUS_OK, JSON_HEADERS, msgspec.json.encode(self.blocked()))
+            responder.respond(STATUS_OK, JSON_HEADERS, msgspec.json.encode(self.blocked_requests()))
         elif path == REPLICAS_PATH:
-            body = msgspec.json.encode(barred_replicas(self.box))
+            body = msgspec.json.encode(excluded_replicas(self.box))
             responder.respond(STATUS_OK, JSON_HEADERS, body)
         elif path == RELEASE_PATH and request.method == 'POST':
             released = self.release(query)
             responder.respond(STATUS_OK, JSON_HEADERS, msgspec.json.encode(released))
         elif path == RELEASE_PATH:
-            responder.respond(STATUS_WRONG_METHOD, (('Allow', 'POST'),), b'')
+            responder.respond(STATUS_METHOD_NOT_ALLOWED, (('Allow', 'POST'),), b'')
         else:
             body, headers = self.metrics.render()
             responder.respond(STATUS_OK, tuple(headers.items()), body)
 
-    def in_force(self) -> InForce:
+    def box_state(self) -> BoxState:
         """Return what is in force here."""
         state = self.settings_file.state
-        taken_out_at = self.box.held_position(RecordKind.EVACUATION)
-        return InForce(
+        taken_out_at = self.box.known_position(RecordKind.EVACUATION)
+        return BoxState(
             box=self.box.own.name,
             failure_domain=self.box.own.failure_domain,
-            ready=self.box.ready(),
+            ready=self.box.is_ready(),
             settings=state.digest,
             settings_since=state.since,
             problem=state.problem,
             configuration=self.box.config_version(),
             configuration_since=self.box.config_since,
-            taken_out=self.taken_out(),
+            taken_out=self.evacuated_failure_domains(),
             taken_out_revision=taken_out_at.revision,
             taken_out_era=taken_out_at.era,
         )
 
-    def taken_out(self) -> list[TakenOut]:
+    def evacuated_failure_domains(self) -> list[EvacuatedFailureDomain]:
         """Return the failure domains whose replicas get no new work from here."""
-        held = self.box.evacuations.active
+        active = self.box.evacuations.active
         return [
-            TakenOut(failure_domain, item.since, item.evacuation.revision)
-            for failure_domain, item in sorted(held.items())
+            EvacuatedFailureDomain(failure_domain, item.since, item.evacuation.revision)
+            for failure_domain, item in sorted(active.items())
         ]
 
-    def blocked(self) -> list[BlockedRequest]:
+    def blocked_requests(self) -> list[BlockedRequest]:
         """Return the requests that this box does not send on."""
         box = self.box
         since_1970 = box.clock.wall() - box.clock.monotonic()
@@ -153,12 +153,12 @@
             for item in box.ledger.blocked.values()
         ]
 
-    def release(self, query: str) -> list[Released]:
+    def release(self, query: str) -> list[ReleasedRequest]:
         """Let the request go that a query names; return where it was blocked."""
         fields = parse_qs(query)
         content = fields.get('content', [''])[0]
         keys = self.box.crashes.release(content, who=fields.get('who', ['?'])[0])
-        return [Released(*key) for key in keys]
+        return [ReleasedRequest(*key) for key in keys]
 
     def boxes(self) -> list[ListedBox]:
         """Return every box, this one included; boxes have their ports alike."""
--- a/packages/daemon/calicopathd/gateway/tests/blocked_known_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/blocked_known_tests.py
@@ -13,7 +13,7 @@
 
 async def wait_ready(item: FleetBox) -> None:
     """Ask a box whether it is ready until it is, as the platform does."""
-    while not item.box.ready():
+    while not item.box.is_ready():
         await asyncio.sleep(0.01)
 
 
--- a/packages/daemon/calicopathd/gateway/tests/evacuating_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/evacuating_tests.py
@@ -145,7 +145,7 @@
             fleet.kill('box-3')
             started = fleet.add('box-3', 'south')
             await started.start()
-            while not started.box.ready():
+            while not started.box.is_ready():
                 await asyncio.sleep(0.005)
             sinks = [fleet.serve('box-3', exchange(number, 'pay', now())) for number in range(12)]
             await fleet.settle()
--- a/packages/daemon/calicopathd/gateway/tests/fleet_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/fleet_tests.py
@@ -113,7 +113,7 @@
                 candidate.last_heard_at = now()
                 await asyncio.sleep(0.05)
             self.assertEqual('box-1:7', fleet.boxes['box-2'].box.client.scheduler_address)
-            begun, sent = now(), fleet.boxes['box-2'].box.link.sent
+            begun, sent = now(), fleet.boxes['box-2'].box.link.messages_sent
             sinks = [fleet.serve('box-2', exchange(number, 'draft', now())) for number in range(4)]
             for _ in range(10):
                 candidate.last_heard_at = now()
@@ -122,7 +122,7 @@
             self.assertEqual([WHOLE] * 4, [sink.event_ids for sink in sinks])
             self.assertLess(now() - begun, 3.0)
             # It does not go to and fro between the one that hands over and the asking box.
-            self.assertLess(fleet.boxes['box-2'].box.link.sent - sent, 60)
+            self.assertLess(fleet.boxes['box-2'].box.link.messages_sent - sent, 60)
             await fleet.stop()
 
         self.run_virtual(scenario())
--- a/packages/daemon/calicopathd/gateway/tests/following_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/following_tests.py
@@ -6,7 +6,7 @@
 
 from calicopath_core.fleet.replicas import RETURN_GRACE_S
 from calicopath_core.fleet.store import RecordKind
-from calicopathd.gateway.box import LEAST_CONNECTIONS
+from calicopathd.gateway.box import MIN_CONNECTIONS
 from testkit.cases import VirtualCase
 from testkit.gateway import GatewayFleet
 from testkit.gateway_world import EVENTS, deployment, exchange, replicas
@@ -75,7 +75,7 @@
                 fleet.store.write(RecordKind.REPLICA, replica.id, None)
             box.store.cut = False
             await asyncio.sleep(1.5)
-            self.assertTrue(box.box.ready())
+            self.assertTrue(box.box.is_ready())
             for replica in replicas():
                 if replica.failure_domain == 'south':
                     fleet.store.write(RecordKind.REPLICA, replica.id, replica)
@@ -110,7 +110,7 @@
             await fleet.settle()
             self.assertEqual((503, 'not-ready'), (sink.status, sink.reason))
             self.assertIsNotNone(sink.retry_after_s)
-            self.assertFalse(fleet.boxes['box-0'].box.ready())
+            self.assertFalse(fleet.boxes['box-0'].box.is_ready())
 
         self.run_virtual(scenario())
 
@@ -123,7 +123,7 @@
             shares = [box.box.connection_share('desk-north:1') for box in fleet.boxes.values()]
             self.assertEqual([20] * 4, shares)
             unknown = fleet.boxes['box-0'].box.connection_share('nowhere:1')
-            self.assertEqual(LEAST_CONNECTIONS, unknown)
+            self.assertEqual(MIN_CONNECTIONS, unknown)
             await fleet.stop()
 
         self.run_virtual(scenario())
--- a/packages/daemon/calicopathd/gateway/tests/relaying_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/relaying_tests.py
@@ -146,7 +146,7 @@
             await again.start(register=False)
             await asyncio.sleep(2.5)
             self.assertEqual(4, again.box.config_version())
-            self.assertTrue(again.box.ready())
+            self.assertTrue(again.box.is_ready())
             await fleet.stop()
 
         self.run_virtual(scenario())
--- a/packages/daemon/calicopathd/gateway/tests/reloading_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/reloading_tests.py
@@ -84,13 +84,13 @@
             file = self.file()
             before = file.state.digest
             self.write('new')
-            self.assertTrue(file.changed())
-            found = file.take()
+            self.assertTrue(file.has_changed())
+            found = file.reload()
             assert found is not None
             self.assertEqual(WIDER, found.retry_budget)
             self.assertNotEqual(before, file.state.digest)
             self.assertEqual('', file.state.problem)
-            self.assertFalse(file.changed())
+            self.assertFalse(file.has_changed())
 
         self.play(work)
 
@@ -100,7 +100,7 @@
             before = file.state.digest
             self.write('ne')
             for _ in range(3):
-                self.assertIsNone(file.take())
+                self.assertIsNone(file.reload())
             self.assertEqual(before, file.state.digest)
             self.assertIn('not whole', file.state.problem)
             told = [call.args[1] for call in self.emitted.call_args_list]
@@ -112,11 +112,11 @@
         def work() -> None:
             file = self.file()
             self.write('ne')
-            self.assertTrue(file.changed())
-            file.take()
+            self.assertTrue(file.has_changed())
+            file.reload()
             self.write('new')
-            self.assertTrue(file.changed())
-            self.assertIsNotNone(file.take())
+            self.assertTrue(file.has_changed())
+            self.assertIsNotNone(file.reload())
             self.assertEqual('', file.state.problem)
 
         self.play(work)
@@ -125,8 +125,8 @@
         def work() -> None:
             file = self.file()
             self.path.unlink()
-            self.assertTrue(file.changed())
-            self.assertFalse(file.changed())
+            self.assertTrue(file.has_changed())
+            self.assertFalse(file.has_changed())
             self.assertEqual(self.contents['old'], file.settings)
 
         self.play(work)
--- a/packages/daemon/calicopathd/gateway/tests/restored_store_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/restored_store_tests.py
@@ -9,7 +9,7 @@
 from calicopath_core.fleet.notices import Exclusion
 from calicopath_core.fleet.restoring import KEEP_MISSING_S
 from calicopath_core.fleet.store import RecordKind
-from calicopathd.gateway.run import TICK_S
+from calicopathd.gateway.run import TICK_INTERVAL_S
 from testkit.cases import VirtualCase
 from testkit.gateway import settings
 from testkit.gateway_world import deployment, replicas
@@ -170,7 +170,7 @@
             await asyncio.sleep(DRAIN_S)
             fleet.store.log = [item for item in fleet.store.log if item[2].name != entry.id]
             await fleet.store.go_back(copy, AWAY_S)
-            await asyncio.sleep(settings('box-0', 'north').replica_lapse_s + APPLY_S)
+            await asyncio.sleep(settings('box-0', 'north').replica_entry_ttl_s + APPLY_S)
             for box in fleet.boxes.values():
                 self.assertIn(entry, box.box.replicas.usable('look'))
 
@@ -229,7 +229,7 @@
             await fleet.store.go_back(copy, AWAY_S)
             await asyncio.sleep(5.0)
             listed = fleet.store.records[RecordKind.BOX]['box-1']
-            self.assertEqual(again.box.life, getattr(listed, 'incarnation', ''))
+            self.assertEqual(again.box.incarnation, getattr(listed, 'incarnation', ''))
 
         for count in (FEW, MANY):
             self.play(count, work)
@@ -316,7 +316,7 @@
     while True:
         for box in fleet.boxes.values():
             box.box.tick()
-        await asyncio.sleep(TICK_S)
+        await asyncio.sleep(TICK_INTERVAL_S)
 
 
 async def go_back(fleet: NoticeFleet, *, lost: int, away_s: float = AWAY_S) -> None:
--- a/packages/daemon/calicopathd/gateway/tests/server_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/server_tests.py
@@ -43,11 +43,11 @@
         if request.target == '/slow':
             await asyncio.sleep(0.05)
         if request.target == '/cut':
-            responder.begin(200, ())
+            responder.start(200, ())
             await responder.send(b'part')
             return
         if request.target == '/stream':
-            responder.begin(200, (('X-Seal', 's'),))
+            responder.start(200, (('X-Seal', 's'),))
             await responder.send(b'one')
             await responder.send(b'two')
             responder.finish()
@@ -105,7 +105,7 @@
             await asyncio.sleep(0.02)
             found.append(await first_bytes(port, request))
             open_ones[1][1].close()
-            return [*found, str(server.turned_away).encode()]
+            return [*found, str(server.rejected_connections).encode()]
 
         (turned, served, count), handler = self.play(work)
         self.assertEqual(b'', turned)
@@ -219,7 +219,7 @@
             resting = await asyncio.open_connection('127.0.0.1', port)
             writer.write(b'POST /slow HTTP/1.1\r\nContent-Length: 2\r\n\r\nab')
             await asyncio.sleep(0.02)
-            server.leave()
+            server.start_closing()
             server.close_idle()
             self.assertTrue(await server.wait_idle(5))
             self.assertEqual(b'', await resting[0].read())
--- a/packages/daemon/calicopathd/gateway/tests/starting_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/starting_tests.py
@@ -41,7 +41,7 @@
             asked = [box.store.calls for box in fleet.boxes.values()]
             others = [calls for calls in asked if calls <= CALLS_A_START]
             self.assertGreaterEqual(len(others), COUNT - 3)
-            self.assertTrue(all(box.box.ready() for box in fleet.boxes.values()))
+            self.assertTrue(all(box.box.is_ready() for box in fleet.boxes.values()))
             await fleet.stop()
 
         self.run_virtual(scenario())
@@ -51,7 +51,7 @@
             fleet = await self.started()
             again = await self.restarted(fleet, f'box-{COUNT - 1}')
             await asyncio.sleep(0.1)
-            self.assertTrue(again.box.ready())
+            self.assertTrue(again.box.is_ready())
             self.assertEqual(COUNT, again.box.election.box_count())
             await asyncio.sleep(5.0)
             self.assertEqual(2, again.store.calls)
@@ -68,7 +68,7 @@
             fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(7))
             again = await self.restarted(fleet, f'box-{COUNT - 1}')
             await asyncio.sleep(2 * RELAY_SYNC_WAIT_S + 0.2)
-            self.assertTrue(again.box.ready())
+            self.assertTrue(again.box.is_ready())
             self.assertEqual(7, again.box.config_version())
             await fleet.stop()
 
@@ -83,7 +83,7 @@
             for name in names:
                 await fleet.add(name, 'south').start()
             await asyncio.sleep(0.5)
-            self.assertTrue(all(box.box.ready() for box in fleet.boxes.values()))
+            self.assertTrue(all(box.box.is_ready() for box in fleet.boxes.values()))
             asked = sorted(box.store.calls for box in fleet.boxes.values())
             self.assertEqual([2] * (COUNT - 3), asked[: COUNT - 3])
             await fleet.stop()
@@ -99,7 +99,7 @@
                 await again.start()
                 await asyncio.sleep(STARTUP_TIMEOUT_S + 0.5)
             self.assertLessEqual(unread.await_count, 12)
-            self.assertTrue(again.box.ready())
+            self.assertTrue(again.box.is_ready())
             await fleet.stop()
 
         self.run_virtual(scenario())
--- a/testkit/gateway.py
+++ b/testkit/gateway.py
@@ -44,14 +44,14 @@
         box = self.box
         if register:
             await box.store.register(box.own)
-            box.following.on_registered()
+            box.store_follower.on_registered()
         work: list[Callable[[], Any]] = [
             box.link.run,
             box.scheduler.run,
             box.client.run,
             box.subscription.run,
-            box.keeper.run,
-            box.following.registration.keep_registered,
+            box.blocked_persister.run,
+            box.store_follower.registration.keep_registered,
         ]
         work.extend(feed.run for feed in box.feeds.values())
         self.tasks = [asyncio.create_task(item()) for item in work]
@@ -94,8 +94,8 @@
             settings=settings(name, failure_domain),
             store=client,
             transport=FakeTransport(network=self.network, address=f'{name}:7'),
-            exchanges=BoxReplicas(replicas=self.replicas, notices=self.notices, box=name),
-            stages=BoxStages(stages=self.stages, notices=self.notices, box=name),
+            replica_client=BoxReplicas(replicas=self.replicas, notices=self.notices, box=name),
+            stage_caller=BoxStages(stages=self.stages, notices=self.notices, box=name),
             observer=GatewayObserver(metrics=GatewayMetrics(box=name)),
             seed=1,
         )
--- a/tools/mutants/notices.py
+++ b/tools/mutants/notices.py
@@ -108,7 +108,7 @@
     Mutant(
         'the next scheduler is told',
         'packages/daemon/calicopathd/gateway/box.py',
-        'self.tell_backoffs(self.gate.remaining_backoffs(service))',
+        'self.send_backoffs(self.gate.remaining_backoffs(service))',
         'pass',
         f'{KNOWLEDGE}::Backoffs',
     ),
