--- a/packages/daemon/calicopathd/gateway/__init__.py
+++ b/packages/daemon/calicopathd/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Serve callers' HTTP exchanges on a box."""
+"""Proxy HTTP requests of callers to replicas on a gateway box."""
--- a/packages/daemon/calicopathd/gateway/box.py
+++ b/packages/daemon/calicopathd/gateway/box.py
@@ -1,4 +1,4 @@
-"""Assemble a gateway box: what it follows, schedules and serves."""
+"""Assemble a gateway box: store feeds, scheduling, crash tracking and request handling."""
 
 from __future__ import annotations
 
@@ -48,24 +48,25 @@
     from calicopathd.gateway.settings import GatewaySettings
 
 USABLE_CONNECTIONS_SHARE = 0.8
-"""The part of a replica's connections that boxes use together: a restarted box opens new ones while
-the replica still holds the old."""
+"""Share of a replica's connections that all boxes may use together. A restarted box opens new
+connections while the replica still holds its old ones."""
 
 BLOCKED_NEWS_WAIT_S = 0.5
-"""How long a box that could serve waits to hear which requests are blocked. That takes one call to
-the store by one box, and a ping; where it fails, callers are served all the same."""
+"""How long a box that is otherwise ready waits for the list of blocked requests. One box reads it
+from the store and the others get it with a ping. After this time the box serves without it."""
 
 SCHEDULING_CHECK_INTERVAL_S = 1.0
-"""How often a box that does not schedule looks whether it does."""
+"""How often a box that is not the scheduler checks whether it has become the scheduler."""
 
 MIN_CONNECTIONS = 4
-"""What a box may open in any case: a stage's call, one that gives results up, and reports."""
+"""Connections to a replica that a box may always open: for a stage call, for a call that frees
+results, and for reports."""
 
 log = structlog.get_logger(__name__)
 
 
 class GatewayBox:
-    """Hold everything that one gateway box consists of; no I/O of its own."""
+    """Hold the components of one gateway box; all I/O goes through the arguments."""
 
     def __init__(
         self,
@@ -178,7 +179,10 @@
             on_deployment_applied=self.on_deployment_applied,
             is_leaving=lambda: self.leaving,
         )
-        self.evacuations, self.publisher = self.store_follower.evacuations, self.store_follower.publisher
+        self.evacuations, self.publisher = (
+            self.store_follower.evacuations,
+            self.store_follower.publisher,
+        )
         self.records, self.feeds = self.store_follower.records, self.store_follower.feeds
         self.subscription = self.store_follower.subscription
         self.link.scheduler, self.link.client = self.scheduler, self.client
@@ -188,7 +192,7 @@
         self.executor = ExchangeExecutor(context=self.new_context(replica_client))
 
     def new_context(self, replica_client: ReplicaClient) -> ExchangeContext:
-        """Return what this box's exchanges share."""
+        """Return the context that all exchanges of this box share."""
         return ExchangeContext(
             clock=self.clock,
             view=self.view,
@@ -213,27 +217,27 @@
         )
 
     def random_engine_pool(self, spec: EngineSpec) -> EnginePool:
-        """Return a board of the naive baseline."""
+        """Return an engine pool of the baseline, which picks engines at random."""
         return RandomEnginePool(slots=spec.slots, kv_tokens=spec.kv_tokens, rng=self.rng)
 
     def new_job_id(self) -> str:
-        """Return an identifier that no other job has, of this or another life."""
+        """Return a job ID that is unique over all incarnations of this box."""
         return f'{self.incarnation}-{next(self.job_numbers)}'
 
     def config_version(self) -> int:
-        """Return the version of the configuration in force here, 0 for none."""
+        """Return the version of the configuration in force, 0 if there is none."""
         return self.view.current.version if self.view.current is not None else 0
 
     def known_position(self, kind: RecordKind) -> Position:
-        """Return the store's position up to which this box knows a kind."""
+        """Return the store position up to which this box has records of a kind."""
         return self.subscription.positions().get(kind, NO_POSITION)
 
     def contact(self) -> StoreContact:
-        """Return how the store answers this box, or the relay that it hears."""
+        """Return how recently the store answered this box or the relay that it follows."""
         return self.subscription.contact()
 
     def connection_share(self, address: str) -> int:
-        """Return how many connections to a replica are this box's part of what it accepts."""
+        """Return how many connections this box may open to a replica."""
         replica = self.replicas.by_address.get(address)
         deployment = self.view.current
         service = deployment.services.get(replica.service) if deployment and replica else None
@@ -243,7 +247,7 @@
         return max(MIN_CONNECTIONS, int(share))
 
     def cold_rate_of(self, service: str) -> float | None:
-        """Return how many requests a second this box may send to a service's cold replica."""
+        """Return the requests per second for a cold replica of a service, `None` for no limit."""
         deployment = self.view.current
         spec = deployment.services.get(service) if deployment is not None else None
         if spec is None or spec.warmup is None:
@@ -251,30 +255,32 @@
         return spec.warmup.per_s / max(1, self.election.box_count())
 
     def limits(self) -> ClientLimits:
-        """Return what callers may send at the moment."""
+        """Return the limits on requests that are in force."""
         return self.view.current.limits if self.view.current is not None else DEFAULT_LIMITS
 
     def persists_blocked_requests(self) -> bool:
-        """Tell whether this box is the one that keeps blocked requests in the store."""
+        """Return whether this box persists blocked requests: only the first relay does."""
         return (
-            self.subscription.relay_selection.is_first_relay and self.is_synced() and not self.leaving
+            self.subscription.relay_selection.is_first_relay
+            and self.is_synced()
+            and not self.leaving
         )
 
     def is_synced(self) -> bool:
-        """Tell whether all that says where requests may go was read once."""
+        """Return whether all records that routing needs have been read once."""
         needed = (kind for kind in self.feeds if kind is not RecordKind.BOX)
         return self.view.current is not None and all(self.feeds[kind].synced for kind in needed)
 
     def is_ready(self) -> bool:
-        """Tell whether callers should be sent here."""
+        """Return whether load balancers should send callers to this box."""
         return self.may_serve() and bool(self.replicas.replicas) and not self.leaving
 
     def may_serve(self) -> bool:
-        """Tell whether what callers ask is sent on."""
+        """Return whether requests of callers are sent to replicas."""
         return self.is_synced() and self.knows_blocked_requests()
 
     def unaware_boxes(self) -> set[str]:
-        """Return the boxes that hear the store through this one, and the other relays."""
+        """Return the subscribers of this box and, if it is a relay, the other relays."""
         relays = (
             self.subscription.relay_selection.candidates
             if self.subscription.relay_selection.is_relay
@@ -283,9 +289,10 @@
         return {*self.publisher.subscribers, *relays}
 
     def knows_blocked_requests(self) -> bool:
-        """Tell whether the box has heard which requests are blocked, or has waited long enough.
+        """Return whether the box has the list of blocked requests, or has waited long enough.
 
-        Callers who waited while all boxes restarted come at once, and with them what ends replicas.
+        After a restart of all boxes, waiting callers send their requests at once, and requests
+        that crash replicas are among them.
         """
         if self.sharing.complete:
             return True
@@ -295,13 +302,13 @@
         return now - self.synced_at >= BLOCKED_NEWS_WAIT_S
 
     def on_boxes_changed(self, now: float) -> None:
-        """Take in which boxes there are."""
+        """Update the election and the relays after a change of the listed boxes."""
         self.election.on_listed(self.records.boxes.values(), now)
         self.update_group()
         self.subscription.on_listed(self.records.boxes.values())
 
     def update_group(self) -> None:
-        """Schedule for the group that this box is in now, if it schedules."""
+        """Inform the scheduler if this box belongs to another group now."""
         current = (self.election.group, self.election.groups)
         if current != self.group:
             self.group = current
@@ -309,7 +316,7 @@
             self.scheduler.on_replicas()
 
     async def measure_lag(self) -> None:
-        """Measure how late this box's event loop is while it schedules, until cancelled."""
+        """Measure the lag of the event loop while this box is the scheduler, until cancelled."""
         while True:
             if self.client.scheduler_address == self.own.address:
                 await self.group_policy.lag.measure()
@@ -317,7 +324,7 @@
                 await asyncio.sleep(SCHEDULING_CHECK_INTERVAL_S)
 
     def adjust_group_count(self, now: float) -> None:
-        """Have the fleet split, or joined, if this box schedules and finds that it should be."""
+        """Split or merge groups by the scheduler's load; only a box that schedules decides."""
         if self.client.scheduler_address != self.own.address or self.leaving:
             self.group_policy.reset()
             return
@@ -327,7 +334,7 @@
         )
 
     def on_deployment_applied(self, deployment: Deployment) -> None:
-        """Note that a newer configuration is in force."""
+        """Pass a newer configuration to the scheduler and log it."""
         self.config_since = self.clock.wall()
         self.scheduler.on_deployment(deployment)
         events.emit(
@@ -340,27 +347,27 @@
         )
 
     def send(self, address: str, message: msgspec.Struct) -> None:
-        """Send a message to another box, or to this one."""
+        """Send a message to a box, which may be this one."""
         self.link.send(address, message)
 
     def hubs(self) -> list[str]:
-        """Return the boxes that all others ping, which hear first of what a box has seen."""
+        """Return the addresses of the scheduler candidates, which are notified first."""
         return self.election.candidate_addresses(self.clock.monotonic())
 
     def on_replica_backoff(self, replica: Replica) -> None:
-        """Tell the box that schedules which engine wants nothing from this one."""
+        """Inform the scheduler that a replica asked this box to back off, if it is an engine."""
         if replica.service in self.scheduler.boards:
             remaining_by_replica = {replica.id: self.gate.backoffs.remaining_s(replica)}
             self.send_backoffs(remaining_by_replica)
 
     def send_backoffs(self, remaining_by_replica: dict[str, float]) -> None:
-        """Tell the box that schedules of engines that want nothing from this one."""
+        """Send the scheduler the engines that asked for backoffs and the seconds left of each."""
         if remaining_by_replica:
             notice = BackoffNotice(address=self.own.address, backoffs=remaining_by_replica)
             self.link.send(self.client.scheduler_address, notice)
 
     def on_scheduler_changed(self, address: str, asked_again: int) -> None:
-        """Note that another box schedules now."""
+        """Start or stop scheduling after a change of the scheduler, and send it the backoffs."""
         for service in self.scheduler.boards:
             self.send_backoffs(self.gate.remaining_backoffs(service))
         if address == self.own.address:
@@ -373,7 +380,7 @@
         self.observer.on_scheduler_changed(address, asked_again)
 
     def tick(self) -> None:
-        """Do what is due by time."""
+        """Run the periodic work: expire entries and adjust groups."""
         now = self.clock.monotonic()
         self.store_follower.restore_filter.expire()
         for name in self.replicas.expire(now):
@@ -384,14 +391,14 @@
         self.notices.expire()
 
     def leave(self) -> None:
-        """Ask for no more callers and hand scheduling over."""
+        """Announce to other boxes that this one leaves, and hand scheduling over."""
         self.leaving = True
         self.election.leaving = True
         self.subscription.announce_leaving()
         self.link.ping_all()
         for candidate in self.election.candidates.values():
             if candidate.last_heard_at is not None:
-                # Boxes that see this one as a candidate learn at once that it leaves.
+                # Tells boxes that see this one as a candidate at once that it leaves.
                 self.link.send(candidate.box.address, self.link.presence(Pong, 0))
         successor = self.election.scheduler(self.clock.monotonic(), self.contact()).address
         if successor != self.own.address:
--- a/packages/daemon/calicopathd/gateway/connection.py
+++ b/packages/daemon/calicopathd/gateway/connection.py
@@ -1,4 +1,4 @@
-"""Take requests off a caller's connection, within the limits, one after the other."""
+"""Parse the requests of one caller's connection and serve them in order, within limits."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import httptools
 
 from calicopathd.gateway.requests import RawRequest
-from calicopathd.gateway.responder import ResponseChannel, Responder
+from calicopathd.gateway.responder import Responder, ResponseChannel
 
 if TYPE_CHECKING:
     from calicopath_core.clock import Clock
@@ -20,14 +20,14 @@
 STATUS_HEADER_TOO_LARGE = 431
 
 MAX_PIPELINED = 16
-"""Requests of one connection that may wait for the one in progress."""
+"""Pipelined requests of one connection that may wait for the one in progress."""
 
 MAX_UNSENT_BYTES = 256 * 1024
-"""Unsent bytes of an answer beyond which the sender waits for the caller to read."""
+"""Unsent response bytes above which the sender waits for the caller to read."""
 
 
 class IncomingRequest:
-    """Hold a request while it comes in."""
+    """Hold the parts of a request that is being received."""
 
     def __init__(self, *, received_at: float) -> None:
         self.received_at = received_at
@@ -39,9 +39,10 @@
 
 
 class ServerState:
-    """Hold what the connections of one server share.
+    """Hold the state that the connections of one server share.
 
-    `closing` asks callers to close after their answer, `closing_idle` closes what rests.
+    `closing` closes each connection after its next response, `closing_idle` also closes idle
+    connections.
     """
 
     def __init__(self, *, handler: RequestHandler, clock: Clock, max_connections: int) -> None:
@@ -56,7 +57,7 @@
 
 
 class ServerConnection(asyncio.Protocol, ResponseChannel):
-    """Hold one caller's connection: one request in progress, a few waiting."""
+    """Serve one caller's connection: one request in progress and a bounded queue of others."""
 
     def __init__(self, *, server: ServerState) -> None:
         self.server = server
@@ -74,12 +75,12 @@
 
     @property
     def closing(self) -> bool:
-        """Tell whether the connection is to end after the answer."""
+        """Return whether the connection closes after the response."""
         return self.server.closing
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to wait for the first request."""
-        # uvloop's transports are no subclasses of asyncio's.
+        """Register the connection, or abort it if the server has too many."""
+        # uvloop's transports do not inherit from asyncio's classes.
         self.transport = cast('asyncio.Transport', transport)
         if len(self.server.connections) >= self.server.max_connections:
             self.server.rejected_connections += 1
@@ -91,29 +92,29 @@
         self.start_idle_timer()
 
     def start_idle_timer(self) -> None:
-        """Wait for a request as long as the limits allow a connection to rest."""
+        """Close the connection if no request starts within the idle timeout."""
         self.set_timer(self.server.handler.limits().idle_s)
 
     def set_timer(self, seconds: float) -> None:
-        """Have the connection looked at after a while."""
+        """Call `on_timer` after some seconds instead of at the time set before."""
         self.stop_timer()
         self.timer = self.loop.call_later(seconds, self.on_timer)
 
     def stop_timer(self) -> None:
-        """Wait for nothing."""
+        """Cancel the timer."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
     def on_timer(self) -> None:
-        """Close a connection that rests, or refuse a request that stalls."""
+        """Close an idle connection, or refuse a request that has not arrived in time."""
         if self.incoming is not None:
-            self.refuse(STATUS_TIMEOUT, 'the request came too slowly')
+            self.refuse(STATUS_TIMEOUT, 'the request was not received in time')
         else:
             self.close()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what comes, within the limits."""
+        """Parse received data; refuse malformed requests and too large headers."""
         if self.refused:
             return
         if self.incoming is None or not self.incoming.head_complete:
@@ -121,30 +122,30 @@
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self.refuse(STATUS_BAD_REQUEST, f'no HTTP request: {error}')
+            self.refuse(STATUS_BAD_REQUEST, f'invalid HTTP request: {error}')
             return
         head_pending = self.incoming is not None and not self.incoming.head_complete
         if head_pending and self.head_bytes > self.server.handler.limits().header_bytes:
-            self.refuse(STATUS_HEADER_TOO_LARGE, 'the headers are too large')
+            self.refuse(STATUS_HEADER_TOO_LARGE, 'the headers exceed the size limit')
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Start a request and its header timeout."""
         self.incoming = IncomingRequest(received_at=self.server.clock.monotonic())
         if self.task is None:
             self.set_timer(self.server.handler.limits().header_s)
 
     def on_url(self, url: bytes) -> None:
-        """Take the target in."""
+        """Append to the request target."""
         if self.incoming is not None:
             self.incoming.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header in."""
+        """Add a header."""
         if self.incoming is not None:
             self.incoming.headers.append((name.decode('latin-1'), value.decode('latin-1')))
 
     def on_headers_complete(self) -> None:
-        """Check the head."""
+        """Check sizes, and answer `Expect: 100-continue`."""
         incoming = self.incoming
         if incoming is None:
             return
@@ -154,14 +155,14 @@
             len(name) + len(value) for name, value in incoming.headers
         )
         if size > self.server.handler.limits().header_bytes:
-            self.refuse(STATUS_HEADER_TOO_LARGE, 'the headers are too large')
+            self.refuse(STATUS_HEADER_TOO_LARGE, 'the headers exceed the size limit')
             return
         for name, value in incoming.headers:
             if (
                 name.lower() == 'content-length'
                 and int(value) > self.server.handler.limits().body_bytes
             ):
-                self.refuse(STATUS_TOO_LARGE, 'the body is too large')
+                self.refuse(STATUS_TOO_LARGE, 'the body exceeds the size limit')
                 return
             if name.lower() == 'expect' and value.lower() == '100-continue':
                 self.write(b'HTTP/1.1 100 Continue\r\n\r\n')
@@ -169,17 +170,17 @@
             self.set_timer(self.server.handler.limits().idle_s)
 
     def on_body(self, data: bytes) -> None:
-        """Take some of the body in."""
+        """Append to the body, and refuse it beyond the limit."""
         incoming = self.incoming
         if incoming is None or self.refused:
             return
         incoming.body.append(data)
         incoming.body_size += len(data)
         if incoming.body_size > self.server.handler.limits().body_bytes:
-            self.refuse(STATUS_TOO_LARGE, 'the body is too large')
+            self.refuse(STATUS_TOO_LARGE, 'the body exceeds the size limit')
 
     def on_message_complete(self) -> None:
-        """Hand a whole request over, after those before it."""
+        """Queue a complete request behind those received before."""
         incoming, self.incoming = self.incoming, None
         if incoming is None or self.refused:
             return
@@ -193,19 +194,19 @@
         )
         self.queued_requests.append(request)
         if len(self.queued_requests) > MAX_PIPELINED:
-            self.refuse(STATUS_BAD_REQUEST, 'too many requests wait on the connection')
+            self.refuse(STATUS_BAD_REQUEST, 'too many pipelined requests')
             return
         if self.task is None:
             self.serve_next()
 
     def serve_next(self) -> None:
-        """Serve the request that waits longest."""
+        """Serve the oldest queued request."""
         self.stop_timer()
         request = self.queued_requests.pop(0)
         self.task = self.loop.create_task(self.serve(request))
 
     async def serve(self, request: RawRequest) -> None:
-        """Have one request answered; a caller that leaves cancels it."""
+        """Serve one request; the task is cancelled if the caller disconnects."""
         responder = Responder(connection=self, keep_alive=request.keep_alive)
         self.server.in_progress += 1
         try:
@@ -217,7 +218,7 @@
             self.after_request()
 
     def after_request(self) -> None:
-        """Go on with what waits."""
+        """Serve the next request, or wait for one, or close the connection."""
         if self.transport is None or self.transport.is_closing():
             return
         if self.refused:
@@ -232,7 +233,7 @@
             self.start_idle_timer()
 
     def refuse(self, status: int, reason: str) -> None:
-        """Answer what can't be read and close; nothing of it was handed over."""
+        """Answer an invalid request with an error status and close; no handler has seen it."""
         self.refused = True
         self.incoming = None
         self.server.handler.on_bad_request(status, reason)
@@ -242,32 +243,32 @@
         responder.respond(status, (), b'')
 
     def write(self, data: bytes) -> None:
-        """Write unless the connection is gone."""
+        """Write data unless the connection is closed or closing."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def pause_writing(self) -> None:
-        """Have senders wait."""
+        """Make senders wait, as the write buffer is full."""
         self.writable.clear()
 
     def resume_writing(self) -> None:
-        """Let senders go on."""
+        """Let senders continue, as the write buffer has drained."""
         self.writable.set()
 
     def close(self) -> None:
-        """Close after what was written."""
+        """Close the connection once the written data is sent."""
         self.stop_timer()
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once and drop unsent data."""
         self.stop_timer()
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Take the work of a caller that left along."""
+        """Drop queued requests and cancel the one in progress."""
         self.stop_timer()
         self.writable.set()
         self.server.connections.discard(self)
--- a/packages/daemon/calicopathd/gateway/exclusions.py
+++ b/packages/daemon/calicopathd/gateway/exclusions.py
@@ -1,4 +1,4 @@
-"""Tell operators which replicas a box does not call, or holds to a limit, why, since when."""
+"""Report to operators which replicas a box excludes or rate-limits, and why."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
 
 
 class ExcludedReplica(msgspec.Struct, frozen=True):
-    """Say why a box does not call a replica, or what it holds calls of all boxes to.
+    """Describe why a box does not call a replica, or the rate limit that applies to it.
 
-    `since` and `until` are in seconds since 1970, 0 where the box does not know; `source` says who
-    has told: the replica itself (`own`), another box, or the `store`. `per_s` is a limit that is
-    named, in requests a second of all boxes, `sent` what this one has sent since.
+    `since` and `until` are in seconds since 1970, 0 if unknown. `source` is where the information
+    came from: the replica itself (`own`), the address of another box, or the `store`. `per_s` is
+    the advertised limit in requests per second over all boxes; `sent` counts the requests that
+    this box has sent since the limit was advertised.
     """
 
     replica: str
@@ -36,7 +37,7 @@
 
 
 def excluded_replicas(box: GatewayBox) -> list[ExcludedReplica]:
-    """Return the replicas that a box knows and does not call as it likes, by service and name."""
+    """Return the excluded and rate-limited replicas, sorted by service and name."""
     found = []
     for replica in box.replicas.replicas.values():
         exclusion = box.gate.exclusion_of(replica)
@@ -49,7 +50,7 @@
 
 
 def describe_limit(box: GatewayBox, replica: Replica, limit: AdvertisedLimit) -> ExcludedReplica:
-    """Return what a replica that names a limit is held to."""
+    """Return the advertised limit of a replica."""
     now = box.clock.monotonic()
     since_1970 = box.clock.wall() - now
     return ExcludedReplica(
@@ -65,7 +66,7 @@
 
 
 def describe_exclusion(box: GatewayBox, replica: Replica, exclusion: Exclusion) -> ExcludedReplica:
-    """Return why a replica is not called, with what is known of that."""
+    """Return why a replica is not called, with times and source as far as known."""
     since_1970 = box.clock.wall() - box.clock.monotonic()
     since = until = 0.0
     source = STORE
--- a/packages/daemon/calicopathd/gateway/following.py
+++ b/packages/daemon/calicopathd/gateway/following.py
@@ -1,4 +1,4 @@
-"""Assemble how one box follows the store's records, hands them on and keeps its own there."""
+"""Assemble how a box follows the store's records, relays them and registers its own record."""
 
 from __future__ import annotations
 
@@ -29,9 +29,10 @@
 
 
 class StoreFollower:
-    """Hold what takes records in, from feeds to tables, and what other boxes hear of them.
+    """Hold the components that read records from the store and publish them to other boxes.
 
-    `on_boxes` is told when boxes have changed, `on_applied` of a newer configuration in force.
+    `on_boxes_changed` is called with the monotonic time when the listed boxes have changed, and
+    `on_deployment_applied` with a newer configuration.
     """
 
     def __init__(
@@ -109,5 +110,5 @@
         )
 
     def on_registered(self) -> None:
-        """Note that this box's own record is in the store."""
+        """Record that the store has this box's own record."""
         self.subscription.startup.registered = True
--- a/packages/daemon/calicopathd/gateway/metrics.py
+++ b/packages/daemon/calicopathd/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Count what a gateway box does, for Prometheus."""
+"""Define the Prometheus metrics of a gateway box."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from aioprometheus.renderer import render
 
 LATENCY_BUCKETS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.6, 2.5, 3.6, 5.0, 10.0]
-"""Seconds; the users' objectives are among them."""
+"""In seconds; includes the latency objectives of users."""
 
 
 class GatewayMetrics:
-    """Hold the metrics; labels are kinds, services and outcomes, never workspaces or callers."""
+    """Hold the metrics. Labels are kinds, services and outcomes, never workspaces or callers."""
 
     def __init__(self, *, box: str) -> None:
         self.registry = Registry()
@@ -80,33 +80,35 @@
         )
 
     def counter(self, name: str, doc: str) -> Counter:
-        """Return a new counter."""
+        """Return a new counter with the common prefix and labels."""
         return Counter(f'calicopath_{name}', doc, self.const_labels, self.registry)
 
     def histogram(self, name: str, doc: str) -> Histogram:
-        """Return a new histogram of seconds."""
+        """Return a new histogram in seconds with the common prefix and labels."""
         return Histogram(
             f'calicopath_{name}', doc, self.const_labels, self.registry, buckets=LATENCY_BUCKETS
         )
 
-    def on_exchange(self, kind: str, outcome: str, duration_s: float, first_byte_s: float | None) -> None:
-        """Note one exchange."""
+    def on_exchange(
+        self, kind: str, outcome: str, duration_s: float, first_byte_s: float | None
+    ) -> None:
+        """Record one exchange; `first_byte_s` is `None` if no response was started."""
         self.exchanges.inc({'kind': kind, 'outcome': outcome})
         self.exchange_seconds.observe({'kind': kind}, duration_s)
         if first_byte_s is not None:
             self.first_byte_seconds.observe({}, first_byte_s)
 
     def on_stage_call(self, service: str, pieces: int, duration_s: float, ok: bool) -> None:
-        """Note one call of a stage."""
+        """Record one stage call."""
         self.stage_calls.inc({'service': service, 'result': 'ok' if ok else 'failed'})
         self.stage_pieces.add({'service': service}, pieces)
         self.stage_seconds.observe({'service': service}, duration_s)
 
     def set_state(self, **values: float) -> None:
-        """Set figures of the box's state."""
+        """Set state gauges by their names."""
         for name, value in values.items():
             self.state.set({'of': name}, value)
 
     def render(self) -> tuple[bytes, dict[str, Any]]:
-        """Return the text form and its headers."""
+        """Return the metrics in the text format, with the HTTP headers for it."""
         return render(self.registry, ['text/plain'])
--- a/packages/daemon/calicopathd/gateway/notices.py
+++ b/packages/daemon/calicopathd/gateway/notices.py
@@ -1,4 +1,4 @@
-"""Hold what a box knows of replicas by their answers, and which calls to them may go."""
+"""Assemble what a box learns from replica responses: departures, backoffs, limits, permits."""
 
 from __future__ import annotations
 
@@ -28,10 +28,11 @@
 
 
 class BoxNotices:
-    """Assemble leaving, backoffs, limits and permits of one box.
+    """Hold the leaving replicas, backoffs, limits and permits of one box.
 
-    `hubs` are the boxes that hear of it first, `lender` is the one that lends permits, `share` the
-    part of limits that it lends; `on_backoff` is told of each wish to be left alone.
+    `hubs` returns the addresses of the boxes that are notified first, `issuer_address` that of the
+    box that issues permits, and `limit_share` the share of each limit that it issues. `on_backoff`
+    is called with each replica that asks this box to back off.
     """
 
     def __init__(
@@ -86,30 +87,30 @@
         )
 
     def on_leaving(self, replica: str) -> None:
-        """Tell other boxes of a replica that has told this one that it leaves."""
+        """Report a leaving replica to other boxes."""
         self.leaving_sharing.report([replica])
 
     def on_limit(self, replica: str) -> None:
-        """Tell other boxes of a limit that a replica has named to this one, or names no more."""
+        """Report to other boxes that a replica has advertised a limit or withdrawn it."""
         self.limit_sharing.report([replica])
 
     def service_of(self, replica: str) -> str:
-        """Return a replica's service, nothing for one that is not known here."""
+        """Return a replica's service, an empty string if the replica is unknown."""
         found = self.replicas.replicas.get(replica)
         return found.service if found is not None else ''
 
     def on_presence(self, ping: Presence) -> None:
-        """Send a box that has pinged what it lacks."""
+        """Send the departures and limits that a box lacks by the digests in its ping."""
         self.leaving_sharing.on_digest(ping.address, ping.replicas)
         self.limit_sharing.on_digest(ping.address, ping.limits)
 
     def notify_hubs(self) -> None:
-        """Tell the hubs what is new here."""
+        """Send new departures and limits to the hubs."""
         self.leaving_sharing.notify_hubs()
         self.limit_sharing.notify_hubs()
 
     def handle(self, message: msgspec.Struct) -> None:
-        """Take in a message about replicas or permits."""
+        """Handle a message about departures, limits or permits."""
         match message:
             case LeavingNews():
                 self.leaving_sharing.on_news(message)
@@ -121,7 +122,7 @@
                 self.permits.on_answer(message)
 
     def on_issuer_changed(self, *, is_own: bool) -> None:
-        """Note that another box lends permits now, or this one."""
+        """Start or stop issuing permits after a change of the issuer."""
         if is_own:
             self.limit_issuer.on_activate()
         else:
@@ -129,6 +130,6 @@
         self.permits.on_issuer_changed()
 
     def expire(self) -> None:
-        """Forget what is old."""
+        """Remove expired entries and permit requests."""
         self.gate.expire()
         self.limit_issuer.expire()
--- a/packages/daemon/calicopathd/gateway/observer.py
+++ b/packages/daemon/calicopathd/gateway/observer.py
@@ -1,4 +1,4 @@
-"""Log and count what the parts of a gateway box decide."""
+"""Log and count the events of a gateway box."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 class GatewayObserver(
     ExchangeObserver, FeedObserver, NoticeObserver, PermitObserver, SchedulerObserver, CrashLog
 ):
-    """Write one line a decision and keep the counters."""
+    """Write a log line for each event and update the metrics."""
 
     def __init__(self, *, metrics: GatewayMetrics) -> None:
         super().__init__(counters=metrics)
         self.metrics = metrics
 
     def on_ended(self, state: ExchangeState, took_s: float) -> None:
-        """Note how an exchange ended."""
+        """Log and count an exchange that has ended; `took_s` is its duration."""
         received_at = state.exchange.received_at
         first_s = state.first_byte_at - received_at if state.first_byte_at is not None else None
         self.metrics.on_exchange(state.route.kind, state.outcome, took_s, first_s)
@@ -61,7 +61,7 @@
         )
 
     def on_refused(self, exchange: Exchange, refusal: RefusedExchange) -> None:
-        """Note an exchange that was refused before it had a route."""
+        """Log and count an exchange that was refused before a route was found."""
         self.metrics.on_exchange('none', 'refused', 0.0, None)
         events.emit(
             log,
@@ -76,7 +76,7 @@
     def on_attempt_failed(
         self, state: ExchangeState, replica: str, error: Exception, left_s: float
     ) -> None:
-        """Note an attempt that gave no whole answer."""
+        """Log and count an attempt that gave no complete response; `left_s` is the time left."""
         failure = failure_kind(error)
         self.metrics.attempts_failed.inc({'service': state.service, 'failure': failure})
         events.emit(
@@ -94,13 +94,13 @@
         )
 
     def on_permit(self, service: str, outcome: str) -> None:
-        """Count what became of a permit."""
+        """Count a permit by its outcome."""
         self.metrics.permits.inc({'service': service, 'outcome': outcome})
 
     def on_permit_wait_ended(
         self, state: ExchangeState, replica: str, waited_s: float, opens_in_s: float
     ) -> None:
-        """Note a request that only limited replicas could serve."""
+        """Log the end of a wait for a permit; `replica` is empty if none was granted."""
         events.emit(
             log,
             events.PERMIT_AWAITED,
@@ -112,21 +112,21 @@
         )
 
     def on_blocked_refused(self, state: ExchangeState) -> None:
-        """Count a request that is not sent since replicas end under what it asks."""
+        """Count a request that was refused because requests like it crash replicas."""
         self.metrics.blocked_refused.inc({'service': state.service})
 
     def on_leaving(self, replica: str, source: str) -> None:
-        """Note that a replica says that it leaves."""
+        """Log and count a replica that announced that it leaves."""
         self.metrics.replicas_leaving.inc({'source': 'own' if source == OWN else 'peer'})
         events.emit(log, events.REPLICA_LEAVING, replica=replica, source=source)
 
     def on_replaced(self, replica: str, source: str) -> None:
-        """Note that another replica answers at a replica's address."""
+        """Log and count a replica whose address now belongs to another replica."""
         self.metrics.replicas_replaced.inc({'source': 'own' if source == OWN else 'peer'})
         events.emit(log, events.REPLICA_OVER, replica=replica, source=source)
 
     def on_backoff(self, replica: Replica, backoff_s: float) -> None:
-        """Note a replica that wants nothing from this box for a while."""
+        """Log and count a replica that asked this box to back off."""
         self.metrics.backoffs.inc({'service': replica.service})
         events.emit(
             log,
@@ -137,7 +137,7 @@
         )
 
     def on_backoff_ended(self, replica: str, held_s: float, rejected_calls: int) -> None:
-        """Note that a replica may be called again."""
+        """Log the end of a backoff with its length and the calls rejected in it."""
         events.emit(
             log,
             events.BACKOFF_ENDED,
@@ -147,11 +147,11 @@
         )
 
     def on_bad_notice(self, service: str) -> None:
-        """Count an answer that asks for a pause nobody can read."""
+        """Count a response whose backoff header can't be parsed."""
         self.metrics.bad_notices.inc({'service': service})
 
     def on_limit(self, replica: str, service: str, per_s: float, source: str) -> None:
-        """Note the requests a second that a replica takes."""
+        """Log and count a limit that a replica advertised, in requests per second."""
         self.metrics.limits_advertised.inc({'service': service})
         events.emit(
             log,
@@ -163,7 +163,7 @@
         )
 
     def on_limit_ended(self, replica: str, held_s: float, sent: int, source: str) -> None:
-        """Note that a replica limits no more."""
+        """Log the end of a replica's limit."""
         events.emit(
             log,
             events.LIMIT_ENDED,
@@ -174,11 +174,11 @@
         )
 
     def on_held_back(self, replica: Replica, exclusion: Exclusion) -> None:
-        """Count a call that was chosen and not sent."""
+        """Count a call that was not sent, as its replica was excluded."""
         self.metrics.calls_held_back.inc({'service': replica.service, 'bar': exclusion.value})
 
     def on_replica_skipped(self, state: ExchangeState, replica: str, exclusion: Exclusion) -> None:
-        """Note a replica that was chosen for a request and must not get it."""
+        """Log and count a replica that was chosen for a request but is excluded."""
         self.metrics.replicas_skipped.inc({'service': state.service, 'bar': exclusion.value})
         events.emit(
             log,
@@ -191,7 +191,7 @@
     def on_stage_call(
         self, service: str, replica: str, pieces: list[Piece], took_s: float, outcome: str
     ) -> None:
-        """Note one call to a stage's replica."""
+        """Log and count a stage call."""
         self.metrics.on_stage_call(service, len(pieces), took_s, outcome == 'ok')
         event = events.STAGE_CALLED if outcome == 'ok' else events.STAGE_FAILED
         events.emit(
@@ -206,7 +206,7 @@
         )
 
     def on_placed(self, job: Job, replica: Replica, cost_s: float, waited_s: float) -> None:
-        """Note the engine chosen for a job."""
+        """Log and count the placement of a job on an engine."""
         self.metrics.jobs_placed.inc({})
         events.emit(
             log,
@@ -225,7 +225,7 @@
         )
 
     def on_rejected(self, job: Job, reason: str, retry_after_s: float) -> None:
-        """Note a job that is not placed."""
+        """Log and count a job that was rejected by the scheduler."""
         self.metrics.jobs_rejected.inc({'reason': reason})
         events.emit(
             log,
@@ -240,7 +240,7 @@
         )
 
     def on_handed_over(self, job: Job, successor: str, results: int) -> None:
-        """Note a job that the next scheduler goes on with."""
+        """Log that a job was handed over to the next scheduler."""
         events.emit(
             log,
             events.JOB_HANDED_OVER,
@@ -251,31 +251,31 @@
         )
 
     def on_report_failed(self, replica: Replica, error: Exception) -> None:
-        """Note a replica that did not tell its room."""
+        """Log that a replica did not report its free space."""
         events.emit(log, events.REPORT_FAILED, replica=replica.id, error=repr(error))
 
     def on_free_failed(self, address: str, count: int, error: BackendError) -> None:
-        """Note results that could not be given up."""
+        """Log that results at a replica could not be freed."""
         events.emit(log, events.FREE_FAILED, maker=address, results=count, error=str(error))
 
     def on_scheduler_changed(self, address: str, asked_again: int) -> None:
-        """Note that another box schedules now."""
+        """Log and count a change of the scheduler; `asked_again` jobs were sent to it again."""
         self.metrics.scheduler_changes.inc({})
         events.emit(log, events.SCHEDULER_CHANGED, scheduler=address, jobs_asked_again=asked_again)
 
     def on_group_changed(self, group: int, groups: int) -> None:
-        """Note that this box belongs to another group."""
+        """Log that this box belongs to another group."""
         events.emit(log, events.GROUP_CHANGED, group=group, groups=groups)
 
     def on_evacuation_started(self, evacuation: Evacuation) -> None:
-        """Note that a failure domain's replicas get no new work from here."""
+        """Log that replicas of a failure domain get no new work from this box."""
         revision = evacuation.revision
         events.emit(
             log, events.FAILURE_DOMAIN_TAKEN_OUT, zone=evacuation.failure_domain, revision=revision
         )
 
     def on_evacuation_ended(self, active: ActiveEvacuation) -> None:
-        """Note that a failure domain's replicas get new work again."""
+        """Log that replicas of a failure domain get new work again."""
         evacuation = active.evacuation
         events.emit(
             log,
@@ -286,46 +286,46 @@
         )
 
     def on_relay_changed(self, relay: str | None) -> None:
-        """Note that this box hears the store through another relay, or by itself."""
+        """Log the relay that this box follows now, `None` for the store itself."""
         events.emit(log, events.SOURCE_CHANGED, relay=relay)
 
     def on_registration_failed(self, error: Exception) -> None:
-        """Note that the box's own record was not written."""
+        """Log that the box's own record could not be written."""
         events.emit(log, events.REGISTER_FAILED, error=str(error))
 
     def on_relay_access_failed(self, error: Exception) -> None:
-        """Note that it could not be read or written which boxes are relays."""
+        """Log that the list of relays could not be read or written."""
         events.emit(log, events.RELAYS_UNREAD, error=str(error))
 
     def on_blocked_access_failed(self, error: Exception) -> None:
-        """Note that blocked requests were not read from the store or written there."""
+        """Log that blocked requests could not be read from the store or written to it."""
         events.emit(log, events.BLOCKED_UNKEPT, error=str(error))
 
     def on_store_call(self, cause: str) -> None:
-        """Count a call to the store."""
+        """Count a call to the store by its cause."""
         self.metrics.store_calls.inc({'cause': cause})
 
     def on_contact_lost(self, kind: RecordKind, error: Exception) -> None:
-        """Note that the store stopped answering."""
+        """Log that the feed of a kind lost contact with the store."""
         events.emit(log, events.FEED_LOST, kind=kind.value, error=str(error))
 
     def on_contact_restored(self, kind: RecordKind, silent_s: float) -> None:
-        """Note that the store answers again."""
+        """Log that the feed of a kind is in contact with the store again."""
         events.emit(log, events.FEED_BACK, kind=kind.value, silent_s=round(silent_s, 3))
 
     def on_history_lost(self, kind: RecordKind, held: Position) -> None:
-        """Note that everything is read anew."""
+        """Log that the store lost the history of a kind, so that it is listed again."""
         events.emit(log, events.HISTORY_LOST, kind=kind.value, held=str(held))
 
     def on_listing_dropped(self, kind: RecordKind, held: Position, listed: Position) -> None:
-        """Note a list that was not taken in."""
+        """Log and count a list that was ignored because it is older than the known records."""
         self.metrics.listings_dropped.inc({'kind': kind.value})
         events.emit(
             log, events.LISTING_DROPPED, kind=kind.value, held=str(held), listed=str(listed)
         )
 
     def on_restored(self, kind: RecordKind, position: Position, kept: int, held_back: int) -> None:
-        """Note the first list of a new era of the store."""
+        """Log the first list after the store was restored from a backup."""
         events.emit(
             log,
             events.KIND_RESTORED,
@@ -336,29 +336,29 @@
         )
 
     def on_store_era(self, before: int, era: int) -> None:
-        """Note that the store is back from a copy."""
+        """Log that the store was restored from a backup, which starts a new era."""
         events.emit(log, events.STORE_ERA, before=before, era=era)
 
     def on_draining(self, replica: Replica) -> None:
-        """Note that a replica's entry says otherwise than before whether it drains."""
+        """Log that a replica started or stopped draining by its record."""
         event = events.REPLICA_DRAINING if replica.draining else events.DRAINING_TAKEN_BACK
         events.emit(log, event, replica=replica.id, service=replica.service)
 
     def on_bad_object(self, name: str, error: Exception) -> None:
-        """Note an object that can't be understood."""
+        """Log and count a store object that can't be decoded."""
         self.metrics.bad_objects.inc({'kind': name.partition('/')[0]})
         events.emit(log, events.OBJECT_BAD, key=name, error=str(error))
 
     def on_bad_message(self, error: str) -> None:
-        """Note a peer's message that can't be decoded."""
+        """Log a peer message that can't be decoded."""
         events.emit(log, events.PEER_MESSAGE_BAD, error=error)
 
     def on_forged_headers(self, count: int) -> None:
-        """Count headers that a caller may not set; the request goes on without them."""
+        """Count reserved headers that were removed from a caller's request."""
         if count:
             self.metrics.forged_headers.add({}, count)
 
     def on_bad_request(self, status: int, reason: str) -> None:
-        """Note a request that was refused before it was read."""
+        """Log and count a request that was refused because it could not be parsed."""
         self.metrics.on_exchange('none', 'bad', 0.0, None)
         events.emit(log, events.EXCHANGE_BAD, status=status, reason=reason)
--- a/packages/daemon/calicopathd/gateway/peers.py
+++ b/packages/daemon/calicopathd/gateway/peers.py
@@ -1,4 +1,4 @@
-"""Exchange scheduling messages with other boxes, and with this one."""
+"""Exchange messages between boxes and dispatch them to the components of this box."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 class PeerLink:
-    """Send messages to boxes and hand on those that come."""
+    """Send messages to boxes and dispatch received ones."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
         transport.listen(self.on_data)
 
     def send(self, address: str, message: msgspec.Struct) -> None:
-        """Send a message; one to this box itself takes no detour."""
+        """Send a message; one to this box itself bypasses the network."""
         if address == self.election.own.address:
             asyncio.get_running_loop().call_soon(self.handle, message)
             return
@@ -97,7 +97,7 @@
         self.transport.send(address, encode(message))
 
     def on_data(self, data: bytes) -> None:
-        """Decode what came and handle it."""
+        """Decode and handle a received message."""
         try:
             message = self.decoder.decode(data)
         except BadMessage as error:
@@ -106,7 +106,7 @@
         self.handle(message)
 
     def handle(self, message: msgspec.Struct) -> None:
-        """Hand a message to whom it concerns."""
+        """Dispatch a message to the component that handles its type."""
         assert self.scheduler is not None
         assert self.client is not None
         assert self.subscription is not None
@@ -123,7 +123,7 @@
             case Pong():
                 self.election.on_pong(message, self.clock.monotonic())
             case PlaceJob():
-                # Others may have noticed before this box that the former scheduler is silent.
+                # The sender may have noticed before this box that the previous scheduler is silent.
                 self.client.update_scheduler()
                 self.scheduler.on_place(message)
             case AdoptJob():
@@ -147,7 +147,7 @@
             case Subscribe():
                 self.subscription.on_subscribe(message)
                 if NO_POSITION in message.positions.values():
-                    # A box that starts serves as soon as it has heard everything.
+                    # A starting box waits for the full list of blocked requests before it serves.
                     self.crash_sharing.send_full_news(message.sender)
             case RelayStatus():
                 self.subscription.on_status(message)
@@ -161,7 +161,7 @@
                 self.notices.handle(message)
 
     def presence(self, kind: type[Ping] | type[Pong], sequence: int) -> Ping | Pong:
-        """Return what this box says of itself."""
+        """Return a ping or pong with the state and digests of this box."""
         assert self.crash_sharing is not None
         assert self.notices is not None
         own = self.election.own
@@ -179,7 +179,7 @@
         )
 
     def ping_all(self) -> None:
-        """Ping every candidate; one that does not answer on a new connection."""
+        """Ping every scheduler candidate, on a new connection if it has stopped answering."""
         self.election.sequence += 1
         now = self.clock.monotonic()
         ping = self.presence(Ping, self.election.sequence)
@@ -192,7 +192,7 @@
                 self.send(address, ping)
 
     async def run(self) -> None:
-        """Ping until cancelled."""
+        """Ping candidates and notify hubs periodically, until cancelled."""
         assert self.crash_sharing is not None
         assert self.notices is not None
         while True:
--- a/packages/daemon/calicopathd/gateway/records.py
+++ b/packages/daemon/calicopathd/gateway/records.py
@@ -1,4 +1,4 @@
-"""Take in what feeds bring of the store's records, and hand it on to boxes that follow this one."""
+"""Apply the records of the store's feeds, and publish them to boxes that follow this one."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class RecordHandler(FeedHandler):
-    """Hold the boxes listed, and fill the tables of replicas, failure domains and the
-    configuration.
+    """Hold the listed boxes, and update the replicas, evacuations and the configuration.
 
-    `on_boxes` is told when boxes have changed, `on_applied` of a newer configuration in force.
+    `on_boxes_changed` is called with the monotonic time when the listed boxes have changed, and
+    `on_deployment_applied` with a newer configuration.
     """
 
     def __init__(
@@ -51,11 +51,11 @@
         self.boxes: dict[str, BoxAddress] = {}
 
     def on_disrupted(self) -> None:
-        """Note that the store does not tell everything."""
+        """Record that updates from the store may be missing."""
         self.replicas.on_disrupted(self.clock.monotonic())
 
     def on_listing(self, kind: RecordKind, listing: Listing) -> None:
-        """Take a whole kind in."""
+        """Replace all records of a kind."""
         now = self.clock.monotonic()
         records = listing.records
         if kind is RecordKind.REPLICA:
@@ -78,7 +78,7 @@
         self.publisher.on_listed(kind, listing.position)
 
     def on_changes(self, kind: RecordKind, position: Position, changes: list[Change]) -> None:
-        """Take records in together, and hand them on to boxes that hear the store through this."""
+        """Apply changes as one batch, and publish them to boxes that follow this one."""
         with self.replicas.batch():
             for change in changes:
                 self.on_change(kind, change)
@@ -87,7 +87,7 @@
         self.publisher.on_changed(kind, position, [change.name for change in changes])
 
     def on_change(self, kind: RecordKind, change: Change) -> None:
-        """Take one record's change in."""
+        """Apply the change or removal of one record."""
         now = self.clock.monotonic()
         record = change.record
         if isinstance(record, Deployment):
@@ -106,6 +106,6 @@
             self.replicas.remove(change.name, now)
 
     def on_deployment(self, deployment: Deployment) -> None:
-        """Apply a configuration if it is newer."""
+        """Apply a configuration if it is newer than the one in force."""
         if self.view.apply_if_newer(deployment, self.clock.monotonic()):
             self.on_deployment_applied(deployment)
--- a/packages/daemon/calicopathd/gateway/reloading.py
+++ b/packages/daemon/calicopathd/gateway/reloading.py
@@ -1,4 +1,4 @@
-"""Follow the settings file while the box runs: what is sound is taken in, the rest is told once."""
+"""Reload the settings file at run time; keep the old settings if the file is invalid."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     from calicopathd.gateway.settings import GatewaySettings
 
 SETTINGS_CHECK_INTERVAL_S = 1.0
-"""How often the file is looked at: it may change without a signal, and one that was half written
-when the signal came is whole soon after."""
+"""The file is polled because it may change without a signal, or may have been only partly written
+when the signal arrived."""
 
 DIGEST_BYTES = 6
 
@@ -27,10 +27,10 @@
 
 
 class SettingsState(NamedTuple):
-    """Say which settings are in force: `since` is in seconds since 1970.
+    """Describe the settings in force; `since` is in seconds since 1970.
 
-    `digest` is of what all boxes share, so that boxes can be compared. `problem` says why the file
-    as it stands is not in force, if it is not.
+    `digest` covers the settings that all boxes share, so that boxes can be compared. `problem` is
+    the error of the current file, empty if the file is in force.
     """
 
     digest: str
@@ -39,14 +39,14 @@
 
 
 class FileVersion(NamedTuple):
-    """Tell versions of a file apart without reading it."""
+    """Identify a version of a file by its metadata."""
 
     modified_ns: int
     size: int
 
 
 class SettingsFile:
-    """Hold the settings in force and the file they came from."""
+    """Hold the settings in force and the file that they are read from."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self.reported_problem = ''
 
     def current_version(self) -> FileVersion | None:
-        """Return the file's stamp, nothing if it is not there."""
+        """Return the version of the file, `None` if the file does not exist."""
         try:
             found = self.path.stat()
         except OSError:
@@ -73,7 +73,7 @@
         return FileVersion(found.st_mtime_ns, found.st_size)
 
     def has_changed(self) -> bool:
-        """Tell whether the file is another than when it was last looked at."""
+        """Return whether the file has changed since the last check."""
         version = self.current_version()
         if version == self.version:
             return False
@@ -81,7 +81,7 @@
         return True
 
     def reload(self) -> GatewaySettings | None:
-        """Read the file; return its settings if they are sound, and say once if they are not."""
+        """Read the file and return its settings, or `None` if they are invalid."""
         try:
             settings = self.read(self.path)
         except CalicopathError as error:
@@ -95,7 +95,7 @@
         return settings
 
     def reject(self, problem: str) -> None:
-        """Keep what is in force and say why."""
+        """Keep the settings in force, and log a new problem once."""
         self.state = self.state._replace(problem=problem)
         if problem != self.reported_problem:
             self.reported_problem = problem
@@ -103,6 +103,6 @@
 
 
 def digest_of(settings: GatewaySettings) -> str:
-    """Return a digest of the settings that are alike on all boxes."""
+    """Return a digest of the settings that are the same on all boxes."""
     shared = (settings.store, settings.drain_s, settings.stop_grace_s, settings.retry_budget)
     return hashlib.blake2b(repr(shared).encode(), digest_size=DIGEST_BYTES).hexdigest()
--- a/packages/daemon/calicopathd/gateway/requests.py
+++ b/packages/daemon/calicopathd/gateway/requests.py
@@ -1,4 +1,4 @@
-"""Define a caller's request as it came, and who serves it."""
+"""Define a received HTTP request and the interface of its handlers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RawRequest(NamedTuple):
-    """Hold a request as it came; `received_at` is the box's time of its head's first byte."""
+    """Hold a received request; `received_at` is the monotonic time of its first byte."""
 
     method: str
     target: str
@@ -22,16 +22,16 @@
 
 
 class RequestHandler(ABC):
-    """Serve requests."""
+    """Handle the requests of an `HttpServer`."""
 
     @abstractmethod
     async def handle(self, request: RawRequest, responder: Responder) -> None:
-        """Give one final answer through the responder."""
+        """Send exactly one response through the responder."""
 
     @abstractmethod
     def limits(self) -> ClientLimits:
-        """Return what callers may send at the moment."""
+        """Return the limits on requests that are in force."""
 
     @abstractmethod
     def on_bad_request(self, status: int, reason: str) -> None:
-        """Note a request that was refused before it was read."""
+        """Record a request that was refused because it could not be parsed."""
--- a/packages/daemon/calicopathd/gateway/responder.py
+++ b/packages/daemon/calicopathd/gateway/responder.py
@@ -1,4 +1,4 @@
-"""Write one answer to a caller's connection, byte for byte, or cut it."""
+"""Write one response to a caller's connection, or abort the connection."""
 
 from __future__ import annotations
 
@@ -21,34 +21,34 @@
         'content-length',
     )
 )
-"""Headers that concern one connection only, or that are set anew here."""
+"""Hop-by-hop headers, and `Content-Length`, which the responder sets itself."""
 
 
 class ResponseChannel(ABC):
-    """Carry an answer's bytes to a caller; `writable` is set while the caller reads them."""
+    """Send response bytes to a caller; `writable` is clear while the write buffer is full."""
 
     writable: asyncio.Event
 
     @property
     @abstractmethod
     def closing(self) -> bool:
-        """Tell whether the connection is to end after the answer."""
+        """Return whether the connection closes after the response."""
 
     @abstractmethod
     def write(self, data: bytes) -> None:
-        """Send bytes."""
+        """Send bytes, or buffer them."""
 
     @abstractmethod
     def close(self) -> None:
-        """Close once everything is sent."""
+        """Close the connection once the buffered bytes are sent."""
 
     @abstractmethod
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once and drop unsent bytes."""
 
 
 class Responder:
-    """Write one answer to a connection."""
+    """Write one response to a connection."""
 
     def __init__(self, *, connection: ResponseChannel, keep_alive: bool) -> None:
         self.connection = connection
@@ -57,7 +57,7 @@
         self.finished = False
 
     def respond(self, status: int, headers: tuple[tuple[str, str], ...], body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         self.started = True
         length = ('Content-Length', str(len(body)))
         self.write_head(status, headers, length)
@@ -65,12 +65,12 @@
         self.on_finished()
 
     def start(self, status: int, headers: tuple[tuple[str, str], ...]) -> None:
-        """Send the head of an answer in chunks."""
+        """Send the status line and headers of a chunked response."""
         self.started = True
         self.write_head(status, headers, ('Transfer-Encoding', 'chunked'))
 
     async def send(self, data: bytes) -> None:
-        """Send one chunk, waiting while the caller does not read."""
+        """Send one chunk and wait until the channel is writable."""
         self.connection.write(b'%x\r\n%s\r\n' % (len(data), data))
         await self.connection.writable.wait()
 
@@ -80,7 +80,7 @@
         self.on_finished()
 
     def abort(self) -> None:
-        """Close the connection so that what was sent can't look whole."""
+        """Abort the connection unless the response is finished, so that it is seen as truncated."""
         if not self.finished:
             self.finished = True
             self.connection.abort()
@@ -88,7 +88,7 @@
     def write_head(
         self, status: int, headers: tuple[tuple[str, str], ...], framing: tuple[str, str]
     ) -> None:
-        """Send status line and headers."""
+        """Send the status line and headers, without those of `HOP_HEADERS`."""
         if self.connection.closing:
             self.keep_alive = False
         phrase = responses.get(status, 'Unknown')
@@ -102,7 +102,7 @@
         self.connection.write('\r\n'.join([*lines, '', '']).encode('latin-1'))
 
     def on_finished(self) -> None:
-        """Note that the answer is whole."""
+        """Mark the response as finished, and close the connection unless it is kept alive."""
         self.finished = True
         if not self.keep_alive:
             self.connection.close()
--- a/packages/daemon/calicopathd/gateway/run.py
+++ b/packages/daemon/calicopathd/gateway/run.py
@@ -1,4 +1,4 @@
-"""Run a gateway box from start to planned stop."""
+"""Run a gateway box from its start to a graceful shutdown."""
 
 from __future__ import annotations
 
@@ -26,23 +26,24 @@
 
 TICK_INTERVAL_S = 0.2
 LOAD_BALANCER_DELAY_S = 3.0
-"""How long the platform's balancer may go on sending callers to a box that is not ready: it asks
-each second and needs two answers in a row."""
+"""How long the platform's load balancer may keep sending callers to a box that is not ready. It
+probes once a second and needs two equal results in a row."""
 
 EXIT_MARGIN_S = 1.0
-"""How long before the kill a stopping box gives up what is still in progress."""
+"""How long before it is killed a stopping box gives up requests in progress."""
 
 REFUSE_MARGIN_S = 0.8
-"""How long before it ends a box refuses what still waits for stages or an engine: time for the
-answers to reach their callers, and for streams that run to end."""
+"""How long before its end a stopping box refuses requests that still wait for stages or an engine.
+The time lets the refusals reach callers and running streams end."""
 
 WITHDRAW_TIMEOUT_S = 0.4
-"""How long a stopping box waits for the store to take its record away: with `EXIT_MARGIN_S` it is
-gone before the kill. What is left over is overwritten when a box of that name starts."""
+"""How long a stopping box waits for the store to remove its record. It fits into `EXIT_MARGIN_S`,
+so that the box ends before it is killed. A record that remains is overwritten when a box of the
+same name starts."""
 
 
 class GatewayRunner:
-    """Run one gateway box inside the current event loop."""
+    """Run the servers and background tasks of a gateway box in the current event loop."""
 
     def __init__(
         self,
@@ -70,7 +71,7 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     async def run(self) -> None:
-        """Serve until a stop signal, then end every request in progress and return."""
+        """Serve until a stop signal, then shut down gracefully and return."""
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(on_loop_error)
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -83,13 +84,13 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         self.transport.close()
-        # The loop would give the signal its default action back, which ends the process.
+        # Closing the loop restores the default action of the signal, which ends the process.
         loop.remove_signal_handler(signal.SIGHUP)
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
         events.emit(log, events.GATEWAY_STOPPED, in_progress=self.exchange_server.in_progress)
 
     async def start(self) -> None:
-        """Listen, and follow store and peers."""
+        """Start the servers and the background tasks."""
         settings = self.box.settings
         await self.exchange_server.start(*settings.exchange_listen)
         await self.ready_server.start(*settings.ready_listen)
@@ -118,7 +119,7 @@
         )
 
     def reload_settings(self) -> None:
-        """Take the settings in that may change without a restart; keep the old ones if unsound."""
+        """Apply the settings that may change at run time; ignore an invalid file."""
         settings = self.settings_file.reload()
         if settings is None:
             return
@@ -128,14 +129,14 @@
         events.emit(log, events.GATEWAY_RELOADED, box=settings.box, digest=state.digest)
 
     async def watch_settings(self) -> None:
-        """Take the settings file in whenever it changes, signalled or not, until cancelled."""
+        """Reload the settings file when it changes, until cancelled."""
         while True:
             await asyncio.sleep(SETTINGS_CHECK_INTERVAL_S)
             if self.settings_file.has_changed():
                 self.reload_settings()
 
     async def run_ticks(self) -> None:
-        """Do what is due by time, until cancelled."""
+        """Run the box's periodic work and log changes of readiness, until cancelled."""
         was_ready = False
         while True:
             self.box.tick()
@@ -149,7 +150,7 @@
             await asyncio.sleep(TICK_INTERVAL_S)
 
     def update_gauges(self) -> None:
-        """Set the gauges."""
+        """Set the gauges from the state of the box."""
         box = self.box
         age_s = box.contact().age_s
         self.metrics.set_state(
@@ -181,7 +182,7 @@
         )
 
     async def shut_down(self) -> None:
-        """Stop without cutting a request: not ready, then no new ones, then idle."""
+        """Shut down gracefully: report not ready, stop accepting, then wait for open requests."""
         grace_s = self.box.settings.stop_grace_s - EXIT_MARGIN_S
         started_at = self.box.clock.monotonic()
         self.box.leave()
@@ -198,7 +199,7 @@
         await self.withdraw()
 
     async def withdraw(self) -> None:
-        """Remove the box's own record, unless the store takes longer than there is time."""
+        """Remove the box's own record from the store; log it if that fails or times out."""
         try:
             async with asyncio.timeout(WITHDRAW_TIMEOUT_S):
                 await self.box.store.withdraw(self.box.own)
@@ -207,14 +208,15 @@
 
 
 def log_loaded(box: str) -> None:
-    """Log that a box has loaded all it needs.
+    """Log that a box has loaded its modules and settings.
 
-    With the line that it listens, it places an end that leaves no word of its own.
+    With the later line that it listens, this shows in which phase a start ended that logged no
+    error.
     """
     events.emit(log, events.GATEWAY_LOADED, box=box)
 
 
 def on_loop_error(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Log a fault of a callback, or of a task whose result nothing awaited."""
+    """Log an exception of a callback, or of a task that was never awaited."""
     error = context.get('exception')
     events.emit(log, events.LOOP_FAULT, error=context['message'], exc_info=error)
--- a/packages/daemon/calicopathd/gateway/server.py
+++ b/packages/daemon/calicopathd/gateway/server.py
@@ -1,8 +1,8 @@
-"""Accept HTTP/1.1 connections and hand each request over whole.
+"""Accept HTTP/1.1 connections and pass complete requests to a handler.
 
-Sanic serves the callers' own interface. Here answers must go out byte for byte, and one that is cut
-must be cut on the connection itself, which a web framework decides on its own; so the parser is a
-library's (httptools, the one sanic brings) and the rest is here.
+The API of the service itself uses Sanic. The gateway has to forward responses byte for byte and to
+abort the caller's connection if a response breaks off; a web framework does not leave these to its
+user. Requests are therefore parsed by httptools, the parser of Sanic, and the rest is done here.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 
 MAX_CONNECTIONS = 1024
-"""Connections of callers where the settings name no other number."""
+"""Default limit of open connections."""
 
 
 class HttpServer(ServerState):
-    """Listen on one address; a stop closes connections as they fall idle.
+    """Listen on one address; while stopping, close connections as they become idle.
 
-    Beyond `max_connections` new ones are closed unread, so that descriptors are left for the rest.
+    Connections beyond `max_connections` are closed unread, to keep descriptors for other uses.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self.listener: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Listen, and return the port."""
+        """Start to listen and return the port."""
         loop = asyncio.get_running_loop()
         self.listener = await loop.create_server(
             lambda: ServerConnection(server=self), host, port, backlog=1024
@@ -43,11 +43,11 @@
         return int(self.listener.sockets[0].getsockname()[1])
 
     def start_closing(self) -> None:
-        """Answer each request from now on with the wish to close."""
+        """Send `Connection: close` with each response from now on."""
         self.closing = True
 
     def close_idle(self) -> None:
-        """Accept no more, and close every connection that rests."""
+        """Stop accepting connections and close the idle ones."""
         self.closing = self.closing_idle = True
         if self.listener is not None:
             self.listener.close()
@@ -56,7 +56,7 @@
                 connection.close()
 
     async def wait_idle(self, timeout_s: float) -> bool:
-        """Wait until no request is in progress; say whether that came in time."""
+        """Wait until no request is in progress; return whether that happened within the time."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 while self.in_progress or any(item.incoming for item in self.connections):
--- a/packages/daemon/calicopathd/gateway/settings.py
+++ b/packages/daemon/calicopathd/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Define what a box that passes exchanges through must be told."""
+"""Define the settings of a gateway box."""
 
 from __future__ import annotations
 
@@ -12,39 +12,40 @@
 
 
 CALLER_DESCRIPTORS_SHARE = 0.6
-"""The part of the descriptors that connections of callers may take; the rest are for replicas,
-peers, the store and files."""
+"""Share of the file descriptors for connections of callers; the rest are for replicas, peers, the
+store and files."""
 
 SMALL_CORES = 0.8
 SMALL_LINK_MBPS = 50.0
-"""A box with less than this works for others only if no other box can: scheduling took 0.2 to 0.3
-of a core at 74 boxes, and handing a configuration of 350 routes on to 18 boxes some 2 Mbit."""
+"""A box below either limit schedules or relays only if no other box can. Scheduling takes 0.2 to
+0.3 of a core with 74 boxes; relaying a configuration of 350 routes to 18 boxes takes about
+2 Mbit."""
 
 
 DEFAULT_HEARTBEAT_S = 1.2
 HEARTBEATS_TO_EXPIRY = 4
-"""An entry goes after three beats of silence, and something in between."""
+"""A replica's entry expires after three missed heartbeats and some tolerance."""
 
 
 class HostPort(NamedTuple):
-    """Hold an address to listen on or to call."""
+    """Hold a host and port to listen on or to connect to."""
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """Return the form in which it is written."""
+        """Return `host:port`."""
         return f'{self.host}:{self.port}'
 
 
 class GatewaySettings(NamedTuple):
-    """Hold the settings of one box; spans are in seconds.
+    """Hold the settings of one box.
 
-    `drain_s` is how long a replica that leaves goes on serving, `stop_grace_s` how long a box may
-    take to stop before it is killed, `evacuate_s` how soon nothing more may reach a failure domain
-    that is taken out; there is none where operators do not take failure domains out. A replica
-    writes its entry each `replica_beat_s`. `warmup` says how far the rate may be passed that a cold
-    replica bears.
+    `drain_s` is how long a leaving replica keeps serving, and `stop_grace_s` how long a box may
+    take to stop before it is killed. `evacuate_s` is the time within which requests must stop
+    reaching a failure domain that is taken out, `None` if evacuations are not used. A replica
+    renews its entry every `replica_heartbeat_s`. `warmup` limits how far the rate of a cold replica
+    may be exceeded.
     """
 
     box: str
@@ -67,22 +68,22 @@
 
     @property
     def followed_kinds(self) -> tuple[RecordKind, ...]:
-        """Return the kinds of records that a box follows: a watch each at every relay."""
+        """Return the kinds of records that a box follows; each costs one watch at every relay."""
         if self.evacuate_s is not None:
             return tuple(RecordKind)
         return tuple(kind for kind in RecordKind if kind is not RecordKind.EVACUATION)
 
     @property
     def replica_entry_ttl_s(self) -> float:
-        """Return how long the entry of a replica stands that has ended."""
+        """Return how long the entry of a replica stays after its last heartbeat."""
         return HEARTBEATS_TO_EXPIRY * self.replica_heartbeat_s
 
     @property
     def max_caller_connections(self) -> int:
-        """Return how many connections of callers a box holds at once."""
+        """Return the limit of open connections of callers."""
         return int(self.max_descriptors * CALLER_DESCRIPTORS_SHARE)
 
     @property
     def is_small(self) -> bool:
-        """Tell whether the box has too little to work for others."""
+        """Return whether the box is too small to schedule or relay for others."""
         return self.cpu_cores < SMALL_CORES or self.link_mbps < SMALL_LINK_MBPS
--- a/packages/daemon/calicopathd/gateway/state.py
+++ b/packages/daemon/calicopathd/gateway/state.py
@@ -1,4 +1,4 @@
-"""Answer with the box's figures, with what is in force there, and with the other boxes."""
+"""Serve a box's metrics and state to operators over HTTP."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class EvacuatedFailureDomain(msgspec.Struct, frozen=True):
-    """Name a failure domain taken out, since when (seconds since 1970) and from which revision."""
+    """Name a failure domain taken out, the time in seconds since 1970, and the store revision."""
 
     failure_domain: str
     since: float
@@ -37,11 +37,10 @@
 
 
 class BoxState(msgspec.Struct, frozen=True):
-    """Say what is in force at a box and since when, in seconds since 1970.
+    """Describe the settings, configuration and evacuations in force; times are since 1970.
 
-    `problem` says why the settings file as it stands is not in force there, if it is not;
-    `taken_out_revision`, of the store's `taken_out_era`, is up to where the box knows what is taken
-    out, -1 for none.
+    `problem` is the error of the settings file, empty if the file is in force. The box knows the
+    evacuations up to `taken_out_revision` of the store's `taken_out_era`, -1 if it knows none.
     """
 
     box: str
@@ -58,14 +57,14 @@
 
 
 class ListedBox(msgspec.Struct, frozen=True):
-    """Name a box and the address at which it tells its state."""
+    """Name a box and the address of its state endpoint."""
 
     box: str
     address: str
 
 
 class BlockedRequest(msgspec.Struct, frozen=True):
-    """Describe a request that is not sent on: since when and until when, in seconds since 1970."""
+    """Describe a blocked request; `since` and `until` are in seconds since 1970."""
 
     content: str
     service: str
@@ -75,14 +74,14 @@
 
 
 class ReleasedRequest(msgspec.Struct, frozen=True):
-    """Name a request that was let go."""
+    """Name a request that was unblocked."""
 
     content: str
     service: str
 
 
 class StateHandler(RequestHandler):
-    """Answer operators' questions on the box's own address for figures."""
+    """Answer requests of operators on the box's metrics address."""
 
     def __init__(
         self, *, box: GatewayBox, metrics: GatewayMetrics, settings_file: SettingsFile
@@ -92,7 +91,7 @@
         self.settings_file = settings_file
 
     async def handle(self, request: RawRequest, responder: Responder) -> None:
-        """Answer with JSON on the paths for it, with every figure as text on all others."""
+        """Answer with JSON on the state paths, and with the metrics on all others."""
         path, _, query = request.target.partition('?')
         if path == STATE_PATH:
             responder.respond(STATUS_OK, JSON_HEADERS, msgspec.json.encode(self.box_state()))
@@ -113,7 +112,7 @@
             responder.respond(STATUS_OK, tuple(headers.items()), body)
 
     def box_state(self) -> BoxState:
-        """Return what is in force here."""
+        """Return the settings, configuration and evacuations in force."""
         state = self.settings_file.state
         taken_out_at = self.box.known_position(RecordKind.EVACUATION)
         return BoxState(
@@ -131,7 +130,7 @@
         )
 
     def evacuated_failure_domains(self) -> list[EvacuatedFailureDomain]:
-        """Return the failure domains whose replicas get no new work from here."""
+        """Return the failure domains whose replicas get no new work from this box."""
         active = self.box.evacuations.active
         return [
             EvacuatedFailureDomain(failure_domain, item.since, item.evacuation.revision)
@@ -139,7 +138,7 @@
         ]
 
     def blocked_requests(self) -> list[BlockedRequest]:
-        """Return the requests that this box does not send on."""
+        """Return the blocked requests that this box knows."""
         box = self.box
         since_1970 = box.clock.wall() - box.clock.monotonic()
         return [
@@ -154,14 +153,14 @@
         ]
 
     def release(self, query: str) -> list[ReleasedRequest]:
-        """Let the request go that a query names; return where it was blocked."""
+        """Unblock the request named in a query; return it with the services that blocked it."""
         fields = parse_qs(query)
         content = fields.get('content', [''])[0]
         keys = self.box.crashes.release(content, who=fields.get('who', ['?'])[0])
         return [ReleasedRequest(*key) for key in keys]
 
     def boxes(self) -> list[ListedBox]:
-        """Return every box, this one included; boxes have their ports alike."""
+        """Return every box, this one included; all boxes use the same metrics port."""
         port = self.box.settings.metrics_listen.port
         listed = {self.box.own.name: self.box.own, **self.box.records.boxes}
         return [
@@ -170,8 +169,8 @@
         ]
 
     def limits(self) -> ClientLimits:
-        """Return the limits in force."""
+        """Return the limits on requests that are in force."""
         return self.box.limits()
 
     def on_bad_request(self, status: int, reason: str) -> None:
-        """Leave requests that can't be read uncounted: they are not callers'."""
+        """Ignore invalid requests: they do not come from callers and are not counted."""
