--- a/packages/daemon/calicopathd/gateway/tests/blocked_answers_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/blocked_answers_tests.py
@@ -1,4 +1,4 @@
-"""Test what callers get whose request ends the replicas that run it, and what others get."""
+"""Test the responses to a request that crashes replicas, and to other requests meanwhile."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class Answered(CrashingCase):
-    """Test what callers get."""
+    """Test the responses to a blocked request, and to requests that differ from it."""
 
     def test_a_blocked_request_is_refused_at_once_as_not_run_until_it_may_come_back(self) -> None:
         async def work(fleet: CrashingFleet) -> None:
             fleet.replicas.crashing = {POISON}
             await fleet.repeat(POISON, 0.4, 4.0)
             for box in fleet.boxes:
-                begun = asyncio.get_running_loop().time()
+                asked_at = asyncio.get_running_loop().time()
                 sink = fleet.ask(box, POISON)
                 await fleet.served[-1]
                 self.assertEqual((503, 'crashes-replicas'), (sink.status, sink.reason))
                 self.assertGreater(sink.retry_after_s or 0, BLOCK_S - 10)
-                self.assertEqual(begun, asyncio.get_running_loop().time())
+                self.assertEqual(asked_at, asyncio.get_running_loop().time())
 
         self.play(work)
 
@@ -76,7 +76,7 @@
 
 
 class Innocent(CrashingCase):
-    """Test what must not be blocked."""
+    """Test that requests which do not crash replicas are not blocked."""
 
     def test_other_bodies_of_a_callers_path_are_served_while_one_of_them_ends_replicas(
         self,
@@ -94,7 +94,7 @@
         self.play(work)
 
     async def ask_bodies(self, fleet: CrashingFleet, target: str) -> list[FakeSink]:
-        """Ask one path with many bodies."""
+        """Send requests for one path with many different bodies."""
         sinks = []
         for number in range(60):
             body = f'body {number}'.encode()
--- a/packages/daemon/calicopathd/gateway/tests/blocked_innocent_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/blocked_innocent_tests.py
@@ -1,11 +1,10 @@
-"""Test that what runs beside requests that end replicas is not refused for it.
-
-On a day of ten series of such requests, while nine in ten requests of each kind asked for the same
-few things, 18 and 25 requests were blocked at every box for ten minutes, of which at most ten
-ended replicas. What is popular runs on each engine when it ends, and its streams take seconds, so
-that none is whole between two ends. Three ends are enough for whoever was there: `"request
-blocked"` came for one content after the other within 0.1 s, each with the same three replicas. Once
-blocked, a request has no way to show that it ends nothing, until its time is over.
+"""Test that popular requests are not blocked because they run beside requests that crash replicas.
+
+A popular request runs on nearly every engine at the moment of a crash, and its streams take
+seconds, so that none is complete between two crashes. Three crashes block every request that was
+running. With ten series of crashing requests and nine in ten requests for the same few targets, 18
+and 25 requests were blocked for ten minutes, of which at most ten crashed replicas. A blocked
+request can't show that it is harmless until the block expires.
 """
 
 from __future__ import annotations
@@ -37,7 +36,7 @@
 
         self.play(work)
 
-    async def later(self, fleet: CrashingFleet, target: str, at_s: float) -> None:
-        """Ask for what ends engines for a while, from some time on."""
-        await asyncio.sleep(at_s)
+    async def later(self, fleet: CrashingFleet, target: str, delay_s: float) -> None:
+        """Send a crashing request repeatedly for 3 s, starting after `delay_s`."""
+        await asyncio.sleep(delay_s)
         await fleet.repeat(target, 0.4, 3.0)
--- a/packages/daemon/calicopathd/gateway/tests/blocked_known_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/blocked_known_tests.py
@@ -1,4 +1,4 @@
-"""Test that every box knows which requests end replicas, whatever happens to boxes."""
+"""Test that every box knows the blocked requests, also after restarts and lost messages."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 async def wait_ready(item: FleetBox) -> None:
-    """Ask a box whether it is ready until it is, as the platform does."""
+    """Poll a box until it is ready, as the load balancer does."""
     while not item.box.is_ready():
         await asyncio.sleep(0.01)
 
 
 class Known(CrashingCase):
-    """Test that every box knows, whatever happens to boxes."""
+    """Test that no box sends a blocked request after restarts, partitions and outages."""
 
     async def blocked_fleet(self) -> CrashingFleet:
-        """Return boxes that have blocked a request."""
+        """Return a started fleet in which a request is blocked."""
         fleet = CrashingFleet()
         await fleet.start()
         fleet.replicas.crashing = {POISON}
@@ -30,7 +30,7 @@
         return fleet
 
     async def check_known(self, fleet: CrashingFleet, *names: str) -> None:
-        """Check that boxes do not send the request on."""
+        """Check that boxes, all by default, do not send the blocked request to a replica."""
         for name in names or fleet.boxes:
             fleet.ask(name, POISON)
         await fleet.settle()
@@ -99,10 +99,10 @@
         self.run_virtual(scenario())
 
     def test_it_is_known_as_soon_as_boxes_are_ready_after_all_were_killed(self) -> None:
-        # Boxes were ready 0.2 s after they began to listen and read what is blocked 0.1 s later;
-        # the others heard of it up to 0.1 s after that. Callers who had waited for the restart came
-        # in that time: one to three more engines ended at each of four restarts of all boxes
-        # (ready 10.02 s, blocked 10.14 to 10.24 s, engines ended 10.18 and 10.28 s).
+        # Guards against boxes that are ready before they have the list of blocked requests. One
+        # box reads the list 0.1 s after boxes would be ready, and the others get it up to 0.1 s
+        # later. Requests of waiting callers arrive in that time, and each of four restarts of
+        # all boxes crashed one to three more engines.
         async def scenario() -> None:
             fleet = await self.blocked_fleet()
             names = list(fleet.boxes)
--- a/packages/daemon/calicopathd/gateway/tests/crashing_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/crashing_tests.py
@@ -1,16 +1,13 @@
-"""Test requests that end the replicas which run them, coming again and again at any box.
-
-Some requests ended each engine that began to run them. Callers sent them again, with the same path,
-key and body and another identifier, to whichever box they reached. Every box counted the engines of
-one try only and began at nothing with the next: nineteen and twenty-four engines ended under two
-such requests, with eight and thirteen sends after the third engine had ended and every box could
-have known for three seconds. Whatever else ran on those engines broke with them, followed to the
-same next engine and broke there again.
-
-The lines that settled it: within 0.2 ms two boxes wrote `"replica":"i-...","failure":"broken",
-"error":"the connection was lost: None"` for different requests at one engine, and the alerts told
-that the engine did not answer from then on. On a day without such requests 1,245 digests of method,
-target, workspace and body stood for 1,252 requests, and the seven that came twice were repeats.
+"""Test that a request which crashes replicas is blocked, to whichever box callers repeat it.
+
+Callers repeat a crashing request with the same path, key and body but another identifier. If each
+box counts the crashes of one call only, the request goes on crashing engines: two requests crashed
+19 and 24 engines, with 8 and 13 sends more than 3 s after the third crash. Other requests on these
+engines fail with them, and fail again on the next engine.
+
+Crash evidence is kept by a fingerprint of the request, as a fingerprint rarely repeats by chance:
+without crashing requests, 1,252 requests had 1,245 different ones, and the other seven were
+retries by callers.
 """
 
 from __future__ import annotations
@@ -26,7 +23,7 @@
 
 class Crashing(CrashingCase):
     def check_stopped(self, fleet: CrashingFleet, target: str = POISON) -> None:
-        """Check that a request is not sent on once three replicas have ended under it."""
+        """Check that a request is hardly sent any more once it has crashed three replicas."""
         crashes = fleet.replicas.crashes_under(target)
         self.assertGreaterEqual(len(crashes), 3)
         late = fleet.replicas.sent_after(target, crashes[2] + CONTACT_S)
@@ -157,7 +154,7 @@
 
         self.play(work)
 
-    # A box passed a refusal on, took up scheduling and sent the request on, as it lacked an end.
+    # Without the evidence, such a box would send the request if it became the scheduler next.
     def test_a_box_that_passes_a_refusal_on_knows_what_blocks_the_request(self) -> None:
         async def work(fleet: CrashingFleet) -> None:
             box, scheduler = fleet.boxes['box-2'].box, fleet.boxes['box-0'].box
@@ -172,11 +169,11 @@
                 'another',
             )
             known: list[float | None] = []
-            take_in = box.client.on_rejected
+            handle_rejected = box.client.on_rejected
 
             def on_rejected(message: Rejected) -> None:
                 known.append(box.ledger.blocked_s(content, ['engine']))
-                take_in(message)
+                handle_rejected(message)
 
             box.client.on_rejected = on_rejected  # type: ignore[method-assign]
             await fleet.settle()
--- a/packages/daemon/calicopathd/gateway/tests/evacuating_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/evacuating_tests.py
@@ -1,4 +1,4 @@
-"""Test failure domains that operators take out and give back, on boxes together."""
+"""Test that a fleet of boxes follows evacuations of failure domains and their end."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
     from testkit.gateway_replicas import FakeSink
 
-WHOLE = list(range(1, EVENTS + 1))
-HEARD_S = 0.1
-"""How long after its record was written every box has heard of an evacuation, here."""
+ALL_EVENTS = list(range(1, EVENTS + 1))
+PROPAGATION_S = 0.1
+"""Time after which every box of the test fleet has the record of an evacuation."""
 
 RELAYED_BOXES = 12
-"""Enough boxes for relays."""
+"""Enough boxes for the fleet to use relays."""
 
 
 class Evacuating(VirtualCase):
     def run_fleet(
         self, scenario: Callable[[GatewayFleet], Awaitable[None]], *, count: int = 4
     ) -> None:
-        """Run a scenario on a fleet that has started."""
+        """Run a scenario on a started fleet, and stop the fleet."""
 
         async def whole() -> None:
             fleet = GatewayFleet(count=count)
@@ -44,7 +44,7 @@
             sinks = burst(fleet, range(12))
             await asyncio.sleep(0.2)
             fleet.take_out('south')
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(PROPAGATION_S)
             before = reached(fleet)
             sinks += burst(fleet, range(12, 36))
             await fleet.settle()
@@ -60,7 +60,7 @@
             fleet.take_out('south')
             await asyncio.sleep(1.0)
             fleet.give_back('south')
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(PROPAGATION_S)
             burst(fleet, range(24))
             await fleet.settle()
             services = {name.partition('-')[0] for name in south(reached(fleet))}
@@ -85,11 +85,11 @@
         async def scenario(fleet: GatewayFleet) -> None:
             fleet.take_out('south')
             fleet.take_out('north')
-            await asyncio.sleep(HEARD_S)
-            begun = asyncio.get_running_loop().time()
+            await asyncio.sleep(PROPAGATION_S)
+            asked_at = asyncio.get_running_loop().time()
             sinks = burst(fleet, range(12))
             await fleet.settle()
-            self.assertLess(asyncio.get_running_loop().time() - begun, 0.1)
+            self.assertLess(asyncio.get_running_loop().time() - asked_at, 0.1)
             self.assertEqual({503}, {sink.status for sink in sinks})
             self.assertNotIn(None, [sink.retry_after_s for sink in sinks])
             self.assertEqual([], reached(fleet))
@@ -103,7 +103,7 @@
                 await asyncio.sleep(0.01)
             fleet.take_out('south')
             await fleet.settle()
-            self.assertEqual([WHOLE] * 4, [sink.event_ids for sink in sinks])
+            self.assertEqual([ALL_EVENTS] * 4, [sink.event_ids for sink in sinks])
             self.assertEqual(12, sum(len(calls) for _, calls in fleet.stages.calls))
 
         self.run_fleet(scenario)
@@ -114,10 +114,10 @@
             while len(fleet.stages.live) < 2:
                 await asyncio.sleep(0.01)
             fleet.take_out('south')
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(PROPAGATION_S)
             before = len(fleet.stages.freed_at)
             await fleet.settle()
-            self.assertEqual([WHOLE] * 4, [sink.event_ids for sink in sinks])
+            self.assertEqual([ALL_EVENTS] * 4, [sink.event_ids for sink in sinks])
             freed = fleet.stages.freed_at[before:]
             self.assertNotEqual([], freed)
             self.assertEqual([], [address for address in freed if 'south' in address])
@@ -129,11 +129,11 @@
             fleet.boxes['box-0'].store.cut = True
             await asyncio.sleep(0.3)
             fleet.take_out('south')
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(PROPAGATION_S)
             self.assertEqual({'box-0:7'}, fleet.schedulers())
             sinks = [fleet.serve('box-1', exchange(number, 'letter', now())) for number in range(8)]
             await fleet.settle()
-            self.assertEqual([WHOLE] * 8, [sink.event_ids for sink in sinks])
+            self.assertEqual([ALL_EVENTS] * 8, [sink.event_ids for sink in sinks])
             self.assertEqual([], south(reached(fleet)))
 
         self.run_fleet(scenario)
@@ -141,7 +141,7 @@
     def test_a_box_that_starts_knows_before_it_is_ready(self) -> None:
         async def scenario(fleet: GatewayFleet) -> None:
             fleet.take_out('south')
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(PROPAGATION_S)
             fleet.kill('box-3')
             started = fleet.add('box-3', 'south')
             await started.start()
@@ -193,7 +193,7 @@
     def test_a_zone_given_back_while_a_box_was_cut_off_is_back_there_too(self) -> None:
         async def scenario(fleet: GatewayFleet) -> None:
             fleet.take_out('south')
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(PROPAGATION_S)
             for box in fleet.boxes.values():
                 box.store.cut = True
             fleet.give_back('south')
@@ -222,7 +222,7 @@
 
 
 def burst(fleet: GatewayFleet, numbers: range) -> list[FakeSink]:
-    """Have requests of every kind served on all boxes."""
+    """Serve one request per number, spread over all routes and boxes."""
     names = sorted(fleet.boxes)
     routes = ('draft', 'letter', 'read', 'pay')
     return [
@@ -235,16 +235,15 @@
 
 
 def reached(fleet: GatewayFleet) -> list[str]:
-    """Return the replicas that were sent work so far, pieces included, in the order of names."""
+    """Return the sorted names of the replicas of all calls so far, stage calls included."""
     called = [name for name, _ in fleet.stages.calls]
     return sorted(called + [outbound.replica.id for outbound in fleet.replicas.sent])
 
 
 def south(names: list[str]) -> list[str]:
-    """Return the replicas of the southern failure domain among some."""
+    """Return the replicas of the failure domain `south`."""
     return [name for name in names if name.endswith('south')]
 
 
 def now() -> float:
-    """Return the loop's time."""
     return asyncio.get_running_loop().time()
--- a/packages/daemon/calicopathd/gateway/tests/exchanges_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/exchanges_tests.py
@@ -1,4 +1,4 @@
-"""Test how exchanges end when replicas fail: never run twice, never joined wrongly, never held."""
+"""Test exchanges with failing replicas: no double run, no wrong resumption, no hanging."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-WHOLE = list(range(1, EVENTS + 1))
+ALL_EVENTS = list(range(1, EVENTS + 1))
 BOTH_DESKS = ('desk-north', 'desk-south')
 BOTH_ENGINES = ('engine-north', 'engine-south')
 
 
 class ExchangeCase(VirtualCase):
-    """Serve requests on one box after giving replicas faults."""
+    """Serve requests on one box whose replicas have injected faults."""
 
     def play(
         self,
@@ -29,7 +29,7 @@
         check: Callable[[GatewayFleet, FakeSink], None],
         **changes: object,
     ) -> None:
-        """Serve one request and check what came of it."""
+        """Serve one request and check its result."""
 
         async def scenario() -> None:
             fleet = GatewayFleet(count=1)
@@ -43,7 +43,7 @@
         self.run_virtual(scenario())
 
     def play_work(self, work: Callable[[GatewayFleet], Awaitable[None]]) -> None:
-        """Run some work against one box."""
+        """Run some work on a started fleet of one box."""
 
         async def scenario() -> None:
             fleet = GatewayFleet(count=1)
@@ -55,7 +55,6 @@
 
 
 def now() -> float:
-    """Return the loop's time."""
     return asyncio.get_running_loop().time()
 
 
@@ -86,11 +85,11 @@
     def test_a_silent_replica_ends_it_at_its_time_as_may_have_run(self) -> None:
         async def work(fleet: GatewayFleet) -> None:
             fleet.replicas.faults = {name: ['dark'] for name in BOTH_DESKS}
-            begun = now()
-            sink = fleet.serve('box-0', exchange(1, 'pay', begun))
+            asked_at = now()
+            sink = fleet.serve('box-0', exchange(1, 'pay', asked_at))
             await fleet.settle()
             self.assertEqual(504, sink.status)
-            self.assertAlmostEqual(1.0, now() - begun, delta=0.1)
+            self.assertAlmostEqual(1.0, now() - asked_at, delta=0.1)
 
         self.play_work(work)
 
@@ -131,7 +130,7 @@
 class Streams(ExchangeCase):
     def test_a_broken_stream_goes_on_elsewhere_without_a_gap_or_a_double(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
-            self.assertEqual((WHOLE, 'whole'), (sink.event_ids, sink.state))
+            self.assertEqual((ALL_EVENTS, 'whole'), (sink.event_ids, sink.state))
             first, second = fleet.replicas.sent
             self.assertNotEqual(first.replica.id, second.replica.id)
             self.assertEqual('3', second.last_event_id)
@@ -140,7 +139,7 @@
 
     def test_a_stream_that_hangs_is_left_and_goes_on_elsewhere(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
-            self.assertEqual((WHOLE, 'whole'), (sink.event_ids, sink.state))
+            self.assertEqual((ALL_EVENTS, 'whole'), (sink.event_ids, sink.state))
             self.assertEqual(2, len(fleet.replicas.sent))
 
         self.play('draft', {ANY: ['break:0']}, check)
@@ -163,22 +162,22 @@
 
     def test_an_engine_that_declines_is_left_for_another(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
-            self.assertEqual((WHOLE, 'whole'), (sink.event_ids, sink.state))
+            self.assertEqual((ALL_EVENTS, 'whole'), (sink.event_ids, sink.state))
             self.assertEqual({'call-1': 1}, fleet.replicas.runs)
 
         self.play('letter', {'engine-north': ['declined'], 'engine-south': ['none']}, check)
 
     def test_an_engine_that_declines_is_not_taken_for_a_broken_one(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
-            board = fleet.boxes['box-0'].box.scheduler.boards['engine']
-            self.assertEqual([0.0, 0.0], [item.ejected_until for item in board.engines.values()])
+            pool = fleet.boxes['box-0'].box.scheduler.boards['engine']
+            self.assertEqual([0.0, 0.0], [item.ejected_until for item in pool.engines.values()])
 
         self.play('draft', {ANY: ['declined']}, check)
 
     def test_an_engine_that_breaks_is_left_alone_for_a_while(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
-            board = fleet.boxes['box-0'].box.scheduler.boards['engine']
-            self.assertGreater(max(item.ejected_until for item in board.engines.values()), now())
+            pool = fleet.boxes['box-0'].box.scheduler.boards['engine']
+            self.assertGreater(max(item.ejected_until for item in pool.engines.values()), now())
 
         self.play('draft', {ANY: ['break:2']}, check)
 
--- a/packages/daemon/calicopathd/gateway/tests/fleet_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/fleet_tests.py
@@ -1,4 +1,4 @@
-"""Test gateway boxes together: who schedules, and what a fault costs callers."""
+"""Test a fleet of gateway boxes: the choice of the scheduler, and faults under load."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from testkit.gateway_replicas import FakeSink
 
-WHOLE = list(range(1, EVENTS + 1))
+ALL_EVENTS = list(range(1, EVENTS + 1))
 
 
 class Scheduling(VirtualCase):
@@ -31,7 +31,7 @@
             fleet = GatewayFleet()
             await fleet.start()
             sinks = await load(fleet, 12)
-            self.assertEqual([WHOLE] * 12, [sink.event_ids for sink in sinks])
+            self.assertEqual([ALL_EVENTS] * 12, [sink.event_ids for sink in sinks])
             pieces = sum(len(calls) for _, calls in fleet.stages.calls)
             self.assertEqual(36, pieces)
             self.assertLess(len(fleet.stages.calls), 18)
@@ -49,7 +49,7 @@
             fleet.kill('box-0')
             sinks += [serve_draft(fleet, number, skip='box-0') for number in range(12, 24)]
             await fleet.settle()
-            self.assertEqual([WHOLE] * 24, [sink.event_ids for sink in sinks])
+            self.assertEqual([ALL_EVENTS] * 24, [sink.event_ids for sink in sinks])
             self.assertEqual({'whole'}, {sink.state for sink in sinks})
             self.assertEqual({'box-1:7'}, fleet.schedulers())
             await fleet.stop()
@@ -78,7 +78,7 @@
             await asyncio.sleep(0.2)
             fleet.boxes['box-0'].box.leave()
             await fleet.settle()
-            self.assertEqual([WHOLE] * 6, [sink.event_ids for sink in sinks])
+            self.assertEqual([ALL_EVENTS] * 6, [sink.event_ids for sink in sinks])
             self.assertEqual(18, sum(len(calls) for _, calls in fleet.stages.calls))
             others = {box.box.client.scheduler_address for box in fleet.boxes.values()}
             self.assertEqual({'box-1:7'}, others)
@@ -106,22 +106,22 @@
         async def scenario() -> None:
             fleet = GatewayFleet()
             await fleet.start()
-            # box-1 believes for long that the scheduler it once gave way to is alive.
+            # box-1 keeps regarding the killed scheduler as alive.
             fleet.kill('box-0')
             candidate = fleet.boxes['box-1'].box.election.candidates['box-0']
             for _ in range(30):
                 candidate.last_heard_at = now()
                 await asyncio.sleep(0.05)
             self.assertEqual('box-1:7', fleet.boxes['box-2'].box.client.scheduler_address)
-            begun, sent = now(), fleet.boxes['box-2'].box.link.messages_sent
+            asked_at, sent = now(), fleet.boxes['box-2'].box.link.messages_sent
             sinks = [fleet.serve('box-2', exchange(number, 'draft', now())) for number in range(4)]
             for _ in range(10):
                 candidate.last_heard_at = now()
                 await asyncio.sleep(0.05)
             await fleet.settle()
-            self.assertEqual([WHOLE] * 4, [sink.event_ids for sink in sinks])
-            self.assertLess(now() - begun, 3.0)
-            # It does not go to and fro between the one that hands over and the asking box.
+            self.assertEqual([ALL_EVENTS] * 4, [sink.event_ids for sink in sinks])
+            self.assertLess(now() - asked_at, 3.0)
+            # The jobs do not bounce between box-2 and the box that hands them over.
             self.assertLess(fleet.boxes['box-2'].box.link.messages_sent - sent, 60)
             await fleet.stop()
 
@@ -135,10 +135,10 @@
             sink = fleet.serve('box-2', exchange(1, 'draft', now()))
             await asyncio.sleep(0.1)
             fleet.network.blocked = lambda source, target: False
-            begun = now()
+            asked_at = now()
             await fleet.settle()
-            self.assertEqual(WHOLE, sink.event_ids)
-            self.assertLess(now() - begun, 3.0)
+            self.assertEqual(ALL_EVENTS, sink.event_ids)
+            self.assertLess(now() - asked_at, 3.0)
             await fleet.stop()
 
         self.run_virtual(scenario())
@@ -152,7 +152,7 @@
             self.assertEqual('box-3:7', fleet.boxes['box-3'].box.client.scheduler_address)
             sink = fleet.serve('box-3', exchange(1, 'draft', now()))
             await fleet.settle()
-            self.assertEqual(WHOLE, sink.event_ids)
+            self.assertEqual(ALL_EVENTS, sink.event_ids)
             await fleet.stop()
 
         self.run_virtual(scenario())
@@ -178,7 +178,7 @@
             self.assertEqual({'box-0:7'}, fleet.schedulers())
             sink = fleet.serve('box-2', exchange(1, 'draft', now()))
             await fleet.settle()
-            self.assertEqual(WHOLE, sink.event_ids)
+            self.assertEqual(ALL_EVENTS, sink.event_ids)
             await fleet.stop()
 
         self.run_virtual(scenario())
@@ -214,7 +214,7 @@
             fleet.stages.broken['look-north'] = 'dead'
             fleet.stages.lose('look-north')
             await fleet.settle()
-            self.assertEqual([WHOLE] * 8, [sink.event_ids for sink in sinks])
+            self.assertEqual([ALL_EVENTS] * 8, [sink.event_ids for sink in sinks])
             self.assertEqual(0, fleet.stages.wrong_inputs)
             await fleet.stop()
 
@@ -226,7 +226,7 @@
             await fleet.start()
             fleet.stages.broken['look-north'] = 'room'
             sinks = await load(fleet, 8)
-            self.assertEqual([WHOLE] * 8, [sink.event_ids for sink in sinks])
+            self.assertEqual([ALL_EVENTS] * 8, [sink.event_ids for sink in sinks])
             calls = [replica for replica, _ in fleet.stages.calls if replica == 'look-north']
             self.assertLess(len(calls), 12)
             await fleet.stop()
@@ -238,13 +238,13 @@
             fleet = GatewayFleet()
             await fleet.start()
             fleet.stages.broken['look-north'] = 'mute'
-            begun = now()
+            asked_at = now()
             sinks = [serve_draft(fleet, number, skip='') for number in range(2)]
             await asyncio.sleep(0.1)
             fleet.stages.broken.clear()
             await fleet.settle()
-            self.assertEqual([WHOLE] * 2, [sink.event_ids for sink in sinks])
-            self.assertLess(now() - begun, 2.0)
+            self.assertEqual([ALL_EVENTS] * 2, [sink.event_ids for sink in sinks])
+            self.assertLess(now() - asked_at, 2.0)
             await fleet.stop()
 
         self.run_virtual(scenario())
@@ -255,7 +255,7 @@
             await fleet.start()
             fleet.stages.broken['look-north'] = fleet.stages.broken['look-south'] = 'slow'
             sinks = await load(fleet, 2)
-            self.assertEqual([WHOLE] * 2, [sink.event_ids for sink in sinks])
+            self.assertEqual([ALL_EVENTS] * 2, [sink.event_ids for sink in sinks])
             self.assertEqual(6, sum(len(calls) for _, calls in fleet.stages.calls))
             await fleet.stop()
 
@@ -301,25 +301,24 @@
             self.assertEqual([], sink.event_ids)
             self.assertEqual({}, fleet.stages.live)
             await fleet.settle()
-            self.assertEqual(WHOLE, sink.event_ids)
+            self.assertEqual(ALL_EVENTS, sink.event_ids)
             await fleet.stop()
 
         self.run_virtual(scenario())
 
 
 def now() -> float:
-    """Return the loop's time."""
     return asyncio.get_running_loop().time()
 
 
 def serve_draft(fleet: GatewayFleet, number: int, skip: str) -> FakeSink:
-    """Have a box other than `skip` serve a staged stream."""
+    """Serve a stream with stages on a box other than `skip`."""
     names = [name for name in fleet.boxes if name != skip]
     return fleet.serve(names[number % len(names)], exchange(number, 'draft', now()))
 
 
 async def load(fleet: GatewayFleet, count: int) -> list[FakeSink]:
-    """Have staged streams served by all boxes at once."""
+    """Serve streams with stages on all boxes and wait for their end."""
     sinks = [serve_draft(fleet, number, skip='') for number in range(count)]
     await fleet.settle()
     return sinks
--- a/packages/daemon/calicopathd/gateway/tests/following_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/following_tests.py
@@ -1,4 +1,4 @@
-"""Test what boxes do with what the store tells: configurations, and replicas that leave."""
+"""Test that boxes follow the store: configurations, lost records and draining replicas."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from testkit.gateway import GatewayFleet
 from testkit.gateway_world import EVENTS, deployment, exchange, replicas
 
-WHOLE = list(range(1, EVENTS + 1))
+ALL_EVENTS = list(range(1, EVENTS + 1))
 
 
 class Configuration(VirtualCase):
@@ -144,7 +144,7 @@
             await asyncio.sleep(0.1)
             sinks = [fleet.serve('box-1', exchange(n, 'letter', now())) for n in range(6)]
             await fleet.settle()
-            self.assertEqual([WHOLE] * 6, [sink.event_ids for sink in sinks])
+            self.assertEqual([ALL_EVENTS] * 6, [sink.event_ids for sink in sinks])
             self.assertEqual({'engine-south'}, {item.replica.id for item in fleet.replicas.sent})
             await fleet.stop()
 
@@ -152,10 +152,9 @@
 
 
 def now() -> float:
-    """Return the loop's time."""
     return asyncio.get_running_loop().time()
 
 
 def versions(fleet: GatewayFleet) -> set[int]:
-    """Return the configuration versions in force."""
+    """Return the configuration versions in force on all boxes."""
     return {box.box.config_version() for box in fleet.boxes.values()}
--- a/packages/daemon/calicopathd/gateway/tests/leaving_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/leaving_tests.py
@@ -1,15 +1,9 @@
-"""Test that replicas which say in an answer that they leave get nothing more.
-
-The store did not answer for 15 s, and in that time an engine began to leave. The store's entry of
-it still said that it was ready, and that was all that boxes went by: what the engine said in the
-heads of its own answers was passed on to callers and read by nobody. The box that places jobs gave
-it nine more in ten seconds, and two boxes that had been told sent it requests 7.4 s and 3.7 s
-later, where 2 s are allowed:
-
-    6.8  'feed lost' on all eight boxes, 'feed back' at 19.4 to 20.1
-    7.5  the replica says that it leaves; the store takes that at 20.7
-    9.4  a box passes on an answer of the replica that says so
-    17.7 the last of nine lines 'job placed' that name it
+"""Test that a replica which announces in a response that it leaves gets no more requests.
+
+While the store is down, its entry of a leaving replica still says that the replica is ready. If
+boxes ignore the headers of the replica's responses, they keep using it: in an outage of 15 s the
+scheduler placed nine more jobs there in ten seconds, and two boxes that had seen the header sent
+requests 7.4 s and 3.7 s later, where 2 s are allowed.
 """
 
 from __future__ import annotations
@@ -25,14 +19,14 @@
     from collections.abc import Awaitable, Callable
 
 DRAIN_S = 2.0
-"""How long after it has told a box a replica may still get requests from there."""
+"""How long after its announcement to a box a replica may still get requests from it."""
 
 GAP_S = 0.04
 
 
 class Leaving(VirtualCase):
     def play(self, work: Callable[[NoticeFleet], Awaitable[None]]) -> NoticeFleet:
-        """Run boxes that the store does not answer, and do some work with them."""
+        """Run some work on a fleet whose store does not answer."""
 
         async def scenario() -> NoticeFleet:
             fleet = NoticeFleet()
@@ -45,7 +39,7 @@
         return self.run_virtual(scenario())
 
     def check_left(self, fleet: NoticeFleet) -> None:
-        """Check that replicas said that they leave, and got nothing late from boxes told so."""
+        """Check that replicas announced leaving, and got no late requests from boxes that knew."""
         self.assertTrue(any(item.notice.leaving for item in fleet.notices.arrivals))
         self.assertEqual([], fleet.notices.late_sends(DRAIN_S))
 
