--- a/packages/daemon/calicopathd/gateway/tests/limit_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/limit_tests.py
@@ -1,4 +1,4 @@
-"""Test that replicas which name a limit of requests get no more from all boxes together."""
+"""Test that all boxes together keep the request limits that replicas advertise."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 CONTACT_S = 3.0
 SURPLUS_SHARE = 1.5
 SURPLUS = 5
-"""In any 4 s from 3 s after it first named a limit, a replica may get one and a half times that and
-five requests more, as the users' pages say."""
+"""In any 4 s, from 3 s after it first advertised a limit, a replica may get one and a half times
+its limit plus five requests."""
 
-HEARD_S = 0.5
-"""How long a box may take to go by a limit that it has been told."""
+PROPAGATION_S = 0.5
+"""How long a box may take to apply a limit after it has received it."""
 
 GAP_S = 0.02
 ENGINES = tuple(f'engine-{number}' for number in range(2, 9))
@@ -35,8 +35,6 @@
     def play(
         self, work: Callable[[NoticeFleet], Awaitable[None]], *, count: int = 8
     ) -> NoticeFleet:
-        """Run boxes and do some work with them."""
-
         async def scenario() -> NoticeFleet:
             fleet = NoticeFleet(count=count)
             await fleet.start()
@@ -47,8 +45,10 @@
         return self.run_virtual(scenario())
 
     def check_kept(self, fleet: NoticeFleet, per_s: float) -> None:
-        """Check that no replica that named a limit got more, and that some did."""
-        worst = fleet.notices.most_after_limits(span_s=SPAN_S, after_s=CONTACT_S, heard_s=HEARD_S)
+        """Check that replicas with a limit got requests, but not more than allowed."""
+        worst = fleet.notices.most_after_limits(
+            span_s=SPAN_S, after_s=CONTACT_S, heard_s=PROPAGATION_S
+        )
         self.assertNotEqual({}, worst)
         most = SURPLUS_SHARE * SPAN_S * per_s + SURPLUS
         self.assertEqual({}, {name: count for name, count in worst.items() if count > most})
@@ -127,14 +127,14 @@
         self,
     ) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            # What the others tell does not reach the box that lends.
-            lender = fleet.boxes['box-0'].box.notices
-            lender.limits.merge = mock.Mock(return_value=False)  # type: ignore[method-assign]
+            # Limits reported by other boxes do not reach the issuer.
+            issuer = fleet.boxes['box-0'].box.notices
+            issuer.limits.merge = mock.Mock(return_value=False)  # type: ignore[method-assign]
             box = fleet.boxes['box-3'].box
             engines = box.replicas.usable('engine')
             for item in engines:
-                heard = LimitState(item.started_ms, 1.0, ended=False)
-                box.notices.limits.merge(item.id, 'engine', heard, 5.0, 'box-9')
+                limit_state = LimitState(item.started_ms, 1.0, ended=False)
+                box.notices.limits.merge(item.id, 'engine', limit_state, 5.0, 'box-9')
             await asyncio.sleep(ENFORCEMENT_DELAY_S)
             sinks = []
             for _ in range(20):
@@ -169,25 +169,25 @@
             before = {name: self.sent(fleet, name) for name in fleet.boxes}
             for number in range(2, 9):
                 for name in fleet.boxes:
-                    self.hear(fleet, name, f'engine-{number}', 1.0)
+                    self.receive_limit(fleet, name, f'engine-{number}', 1.0)
             await asyncio.sleep(1.0)
-            # At one request a second one box hears of a change.
+            # With a limit of one request per second, only one box learns of each change.
             for number in range(2, 9):
-                self.hear(fleet, f'box-{number}', f'engine-{number}', 2.0)
+                self.receive_limit(fleet, f'box-{number}', f'engine-{number}', 2.0)
             await asyncio.sleep(1.0)
             sent = max(self.sent(fleet, name) - before[name] for name in before)
-            # 24 KB/s is all that a box may spend on control, pings included.
+            # A box may use 24 KB/s for control traffic, pings included.
             self.assertLess(sent / 2.0, 24_000)
 
         self.play(work, count=20)
 
-    def hear(self, fleet: NoticeFleet, name: str, replica: str, per_s: float) -> None:
-        """Have a box hear of a limit in an answer."""
+    def receive_limit(self, fleet: NoticeFleet, name: str, replica: str, per_s: float) -> None:
+        """Pass a box a limit as if received in a response."""
         box = fleet.boxes[name].box
         box.gate.on_notice(box.replicas.replicas[replica], Notice(limit_per_s=per_s))
 
     def sent(self, fleet: NoticeFleet, name: str) -> int:
-        """Return what a box has sent to peers so far."""
+        """Return the bytes that a box has sent to peers."""
         return fleet.network.sent_bytes.get(f'{name}:7', 0)
 
 
@@ -238,7 +238,7 @@
             await fleet.load('read', GAP_S, for_s=8.0)
             await fleet.settle()
             waits = [item.at - item.asked_at for item in fleet.notices.arrivals]
-            # The route gives a request 1 s.
+            # The route's timeout is 1 s.
             self.assertLess(max(waits), 0.6)
 
         self.play(work)
--- a/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
@@ -1,4 +1,4 @@
-"""Test which boxes know what replicas have said in answers, and what is under way then."""
+"""Test how notices in replica responses spread to boxes and affect requests under way."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
     from calicopathd.gateway.box import GatewayBox
 
-LEAVES = Notice(leaving=True)
-PAUSE_S = 3.0
+LEAVING_NOTICE = Notice(leaving=True)
+BACKOFF_S = 3.0
 
 
 class KnowledgeCase(VirtualCase):
     def play(
         self, work: Callable[[NoticeFleet], Awaitable[None]], *, count: int = 4
     ) -> NoticeFleet:
-        """Run boxes that the store does not answer, and do some work with them."""
+        """Run some work on a fleet whose store does not answer."""
 
         async def scenario() -> NoticeFleet:
             fleet = NoticeFleet(count=count)
@@ -36,16 +36,15 @@
         return self.run_virtual(scenario())
 
     def box(self, fleet: NoticeFleet, name: str) -> GatewayBox:
-        """Return a box."""
         return fleet.boxes[name].box
 
-    def hear(self, fleet: NoticeFleet, name: str, replica: str, notice: Notice) -> None:
-        """Have a box hear something in an answer."""
+    def receive_notice(self, fleet: NoticeFleet, name: str, replica: str, notice: Notice) -> None:
+        """Pass a box a notice as if received in a response of a replica."""
         box = self.box(fleet, name)
         box.gate.on_notice(box.replicas.replicas[replica], notice)
 
-    def knowing(self, fleet: NoticeFleet, replica: str) -> set[str]:
-        """Return the boxes that would not call a replica since it leaves."""
+    def boxes_excluding(self, fleet: NoticeFleet, replica: str) -> set[str]:
+        """Return the boxes that exclude a replica because it leaves."""
         return {
             name
             for name, item in fleet.boxes.items()
@@ -56,9 +55,9 @@
 class Leaving(KnowledgeCase):
     def test_what_one_box_is_told_all_know_within_a_second(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            self.hear(fleet, 'box-9', 'engine-4', LEAVES)
+            self.receive_notice(fleet, 'box-9', 'engine-4', LEAVING_NOTICE)
             await asyncio.sleep(1.0)
-            self.assertEqual(set(fleet.boxes), self.knowing(fleet, 'engine-4'))
+            self.assertEqual(set(fleet.boxes), self.boxes_excluding(fleet, 'engine-4'))
 
         self.play(work, count=12)
 
@@ -66,9 +65,9 @@
         async def work(fleet: NoticeFleet) -> None:
             for number in range(2, 8):
                 name = f'engine-{number}'
-                self.hear(fleet, 'box-3', name, LEAVES)
+                self.receive_notice(fleet, 'box-3', name, LEAVING_NOTICE)
                 await asyncio.sleep(0.004)
-                self.assertIn('box-0', self.knowing(fleet, name))
+                self.assertIn('box-0', self.boxes_excluding(fleet, name))
                 await asyncio.sleep(0.033)
 
         self.play(work)
@@ -76,33 +75,33 @@
     def test_it_is_known_where_many_messages_are_lost(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
             fleet.network.loss = 0.4
-            self.hear(fleet, 'box-5', 'engine-4', LEAVES)
+            self.receive_notice(fleet, 'box-5', 'engine-4', LEAVING_NOTICE)
             await asyncio.sleep(4.0)
             fleet.network.loss = 0.0
             await asyncio.sleep(1.0)
-            self.assertEqual(set(fleet.boxes), self.knowing(fleet, 'engine-4'))
+            self.assertEqual(set(fleet.boxes), self.boxes_excluding(fleet, 'engine-4'))
 
         self.play(work, count=8)
 
     def test_a_box_that_starts_is_told(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            self.hear(fleet, 'box-1', 'engine-4', LEAVES)
+            self.receive_notice(fleet, 'box-1', 'engine-4', LEAVING_NOTICE)
             await asyncio.sleep(0.5)
             fleet.store_answers()
             await fleet.add('box-new', 'north').start()
             await asyncio.sleep(3.0)
-            self.assertIn('box-new', self.knowing(fleet, 'engine-4'))
+            self.assertIn('box-new', self.boxes_excluding(fleet, 'engine-4'))
 
         self.play(work)
 
     def test_it_outlives_the_box_that_places(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            self.hear(fleet, 'box-3', 'engine-4', LEAVES)
+            self.receive_notice(fleet, 'box-3', 'engine-4', LEAVING_NOTICE)
             await asyncio.sleep(0.3)
             for number in range(CANDIDATE_COUNT - 1):
                 fleet.kill(f'box-{number}')
             await asyncio.sleep(3.0)
-            self.assertEqual(set(fleet.boxes), self.knowing(fleet, 'engine-4'))
+            self.assertEqual(set(fleet.boxes), self.boxes_excluding(fleet, 'engine-4'))
 
         self.play(work)
 
@@ -111,16 +110,16 @@
             before = self.bytes_sent(fleet)
             for number in range(2, 9):
                 for box in fleet.boxes:
-                    self.hear(fleet, box, f'engine-{number}', LEAVES)
+                    self.receive_notice(fleet, box, f'engine-{number}', LEAVING_NOTICE)
             await asyncio.sleep(2.0)
             sent = max(self.bytes_sent(fleet)[name] - before[name] for name in before)
-            # 24 KB/s is all that a box may spend on control, pings included.
+            # A box may use 24 KB/s for control traffic, pings included.
             self.assertLess(sent / 2.0, 24_000)
 
         self.play(work, count=20)
 
     def bytes_sent(self, fleet: NoticeFleet) -> dict[str, int]:
-        """Return what each box has sent to peers so far."""
+        """Return the bytes that each box has sent to peers."""
         return {name: fleet.network.sent_bytes.get(f'{name}:7', 0) for name in fleet.boxes}
 
 
@@ -132,7 +131,7 @@
             await asyncio.sleep(0.0015)
             engines = [item for item in box.replicas.replicas.values() if item.service == 'engine']
             for item in engines[1:]:
-                self.hear(fleet, 'box-3', item.id, LEAVES)
+                self.receive_notice(fleet, 'box-3', item.id, LEAVING_NOTICE)
             await fleet.settle()
             reached = [item.replica for item in fleet.notices.arrivals]
             self.assertEqual((200, [engines[0].id]), (sink.status, reached))
@@ -151,7 +150,7 @@
             await asyncio.sleep(0.05)
             first = [item.replica for item in fleet.notices.arrivals if 'engine' in item.replica]
             for number in range(2, 6):
-                self.hear(fleet, 'box-1', f'engine-{number}', LEAVES)
+                self.receive_notice(fleet, 'box-1', f'engine-{number}', LEAVING_NOTICE)
             await fleet.settle()
             later = [item for item in fleet.notices.arrivals if 'engine' in item.replica]
             self.assertEqual([1, 2, 3, 4, 5, 6], sink.event_ids)
@@ -163,7 +162,7 @@
     def test_a_request_whose_other_replicas_all_leave_is_refused_at_once(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
             for name in ('desk-north', 'desk-south', 'desk-2', 'desk-3'):
-                self.hear(fleet, 'box-1', name, LEAVES)
+                self.receive_notice(fleet, 'box-1', name, LEAVING_NOTICE)
             for kind in ('read', 'pay'):
                 sink = fleet.ask('box-1', kind)
                 await asyncio.sleep(0.01)
@@ -175,7 +174,7 @@
     def test_with_all_engines_leaving_a_stream_is_refused_at_once(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
             for item in list(self.box(fleet, 'box-1').replicas.usable('engine')):
-                self.hear(fleet, 'box-1', item.id, LEAVES)
+                self.receive_notice(fleet, 'box-1', item.id, LEAVING_NOTICE)
             await asyncio.sleep(0.5)
             sink = fleet.ask('box-2', 'letter')
             await asyncio.sleep(0.02)
@@ -188,23 +187,23 @@
 class Backoffs(KnowledgeCase):
     def test_only_the_box_that_was_asked_stays_away(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            self.hear(fleet, 'box-1', 'desk-2', Notice(backoff_s=PAUSE_S))
+            self.receive_notice(fleet, 'box-1', 'desk-2', Notice(backoff_s=BACKOFF_S))
             await asyncio.sleep(0.5)
-            bars = {name: self.bar(fleet, name, 'desk-2') for name in fleet.boxes}
-            self.assertEqual(Exclusion.BACKOFF, bars.pop('box-1'))
-            self.assertEqual({None}, set(bars.values()))
+            exclusions = {name: self.exclusion(fleet, name, 'desk-2') for name in fleet.boxes}
+            self.assertEqual(Exclusion.BACKOFF, exclusions.pop('box-1'))
+            self.assertEqual({None}, set(exclusions.values()))
 
         self.play(work)
 
-    def bar(self, fleet: NoticeFleet, name: str, replica: str) -> Exclusion | None:
-        """Return why a box would not call a replica."""
+    def exclusion(self, fleet: NoticeFleet, name: str, replica: str) -> Exclusion | None:
+        """Return why a box excludes a replica, `None` if it does not."""
         box = self.box(fleet, name)
         return box.gate.exclusion_of(box.replicas.replicas[replica])
 
     def test_the_next_scheduler_is_told_what_holds(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
             for name in ('engine-4', 'engine-5'):
-                self.hear(fleet, 'box-3', name, Notice(backoff_s=60.0))
+                self.receive_notice(fleet, 'box-3', name, Notice(backoff_s=60.0))
             await asyncio.sleep(0.1)
             fleet.kill('box-0')
             await asyncio.sleep(2.0)
@@ -212,23 +211,23 @@
                 fleet, self.box(fleet, 'box-3').client.scheduler_address.split(':')[0]
             )
             now = scheduler.clock.monotonic()
-            held = scheduler.scheduler.boards.backoffs.of_box('box-3:7', now)
-            self.assertEqual({'engine-4', 'engine-5'}, set(held))
+            backoffs_of_box = scheduler.scheduler.boards.backoffs.of_box('box-3:7', now)
+            self.assertEqual({'engine-4', 'engine-5'}, set(backoffs_of_box))
 
         self.play(work)
 
     def test_a_suspension_counts_as_time(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            self.hear(fleet, 'box-1', 'desk-2', Notice(backoff_s=PAUSE_S))
-            self.box(fleet, 'box-1').clock.suspended_s += PAUSE_S + 1.0
-            self.assertIsNone(self.bar(fleet, 'box-1', 'desk-2'))
+            self.receive_notice(fleet, 'box-1', 'desk-2', Notice(backoff_s=BACKOFF_S))
+            self.box(fleet, 'box-1').clock.suspended_s += BACKOFF_S + 1.0
+            self.assertIsNone(self.exclusion(fleet, 'box-1', 'desk-2'))
 
         self.play(work)
 
     def test_an_answer_without_a_wish_ends_none(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            self.hear(fleet, 'box-1', 'desk-2', Notice(backoff_s=PAUSE_S))
-            self.hear(fleet, 'box-1', 'desk-2', EMPTY_NOTICE)
-            self.assertEqual(Exclusion.BACKOFF, self.bar(fleet, 'box-1', 'desk-2'))
+            self.receive_notice(fleet, 'box-1', 'desk-2', Notice(backoff_s=BACKOFF_S))
+            self.receive_notice(fleet, 'box-1', 'desk-2', EMPTY_NOTICE)
+            self.assertEqual(Exclusion.BACKOFF, self.exclusion(fleet, 'box-1', 'desk-2'))
 
         self.play(work)
--- a/packages/daemon/calicopathd/gateway/tests/relaying_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/relaying_tests.py
@@ -1,4 +1,4 @@
-"""Test boxes that hear the store through relays, as relays, links and the store fail."""
+"""Test boxes that follow the store through relays while relays, links or the store fail."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     from collections.abc import Iterable
 
 COUNT = 10
-MOST_CALLS_FORGOTTEN = 4
-"""Calls to the store that its lost history may cost a box that hears relays; 8 where each box reads
-four kinds anew."""
+MAX_CALLS_AFTER_HISTORY_LOSS = 4
+"""Store calls that a box behind relays may make after the store lost its history. It would make 8
+if it listed all four kinds again."""
 
 IN_FORCE_S = 2.0
-"""How soon a change must be in force on boxes that reach the store."""
+"""Time within which a change must be in force on boxes that reach the store."""
 
 
 class Relaying(VirtualCase):
@@ -60,7 +60,7 @@
             fleet = await started()
             for name in relays(fleet):
                 fleet.kill(name)
-            await self.changed_in_time(fleet, fleet.boxes)
+            await self.check_change_applied(fleet, fleet.boxes)
             await fleet.stop()
 
         self.run_virtual(scenario())
@@ -72,7 +72,7 @@
             cut = relays(fleet)
             for name in cut:
                 fleet.boxes[name].store.silent = True
-            await self.changed_in_time(fleet, fleet.boxes.keys() - set(cut))
+            await self.check_change_applied(fleet, fleet.boxes.keys() - set(cut))
             await fleet.stop()
 
         for step in range(10):
@@ -82,7 +82,7 @@
         async def scenario() -> None:
             fleet = await started()
             fleet.network.blocked = lambda source, target: 'box-9:7' in (source, target)
-            await self.changed_in_time(fleet, ['box-9'])
+            await self.check_change_applied(fleet, ['box-9'])
             await fleet.stop()
 
         self.run_virtual(scenario())
@@ -91,7 +91,7 @@
         async def scenario() -> None:
             fleet = await started()
             fleet.network.loss = 0.3
-            await self.changed_in_time(fleet, fleet.boxes)
+            await self.check_change_applied(fleet, fleet.boxes)
             await fleet.stop()
 
         self.run_virtual(scenario())
@@ -220,14 +220,14 @@
             await asyncio.sleep(3.0)
             others = [name for name in fleet.boxes if name not in relays(fleet)]
             spent = [calls(fleet)[name] - before[name] for name in others]
-            self.assertLessEqual(max(spent), MOST_CALLS_FORGOTTEN)
+            self.assertLessEqual(max(spent), MAX_CALLS_AFTER_HISTORY_LOSS)
             await fleet.stop()
 
         for deaf_s in (1.0, 1.4, 1.8, 2.6):
             self.run_virtual(scenario(deaf_s))
 
-    async def changed_in_time(self, fleet: GatewayFleet, names: Iterable[str]) -> None:
-        """Change the configuration and check that boxes have it in time."""
+    async def check_change_applied(self, fleet: GatewayFleet, names: Iterable[str]) -> None:
+        """Write a new configuration and check that boxes apply it within `IN_FORCE_S`."""
         fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(5))
         await asyncio.sleep(IN_FORCE_S)
         found = {name: fleet.boxes[name].box.config_version() for name in names}
@@ -235,7 +235,7 @@
 
 
 async def started() -> GatewayFleet:
-    """Return a fleet whose boxes hear their relays."""
+    """Return a started fleet whose boxes follow their relays."""
     fleet = GatewayFleet(count=COUNT)
     await fleet.start()
     await asyncio.sleep(3.0)
@@ -243,17 +243,17 @@
 
 
 def calls(fleet: GatewayFleet) -> dict[str, int]:
-    """Return how often each box has asked the store."""
+    """Return the number of store calls of each box."""
     return {name: box.store.calls for name, box in fleet.boxes.items()}
 
 
 def relays(fleet: GatewayFleet) -> list[str]:
-    """Return the boxes that follow the store for others."""
+    """Return the names of the relays."""
     return [
         name for name, box in fleet.boxes.items() if box.box.subscription.relay_selection.is_relay
     ]
 
 
 def versions(fleet: GatewayFleet) -> set[int]:
-    """Return the configuration versions in force."""
+    """Return the configuration versions in force on all boxes."""
     return {box.box.config_version() for box in fleet.boxes.values()}
--- a/packages/daemon/calicopathd/gateway/tests/reloading_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/reloading_tests.py
@@ -1,4 +1,4 @@
-"""Test that a settings file is taken in when it is sound, and told of once when it is not."""
+"""Test that a valid settings file is applied, and an invalid one is logged once."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         self.emitted = self.patch_events()
 
     def patch_events(self) -> mock.Mock:
-        """Return what is told."""
+        """Replace `events.emit` by a mock and return it."""
         found = mock.Mock()
         patcher = mock.patch('calicopathd.events.emit', found)
         patcher.start()
@@ -48,21 +48,21 @@
         return found
 
     def write(self, text: str) -> None:
-        """Replace the file."""
+        """Replace the file, and give it a new modification time."""
         self.path.write_text(text)
-        # Files written within one tick of the file system's clock are told apart all the same.
-        moment_ns = next(self.versions)
-        os.utime(self.path, ns=(moment_ns, moment_ns))
+        # Without this, files written within one tick of the file system's clock look the same.
+        modified_ns = next(self.versions)
+        os.utime(self.path, ns=(modified_ns, modified_ns))
 
     def read(self, path: Path) -> GatewaySettings:
-        """Return the settings in the file."""
+        """Return the settings that the file's text names; raise `SettingsError` if unknown."""
         text = path.read_text()
         if text not in self.contents:
             raise SettingsError(f'{text!r} is not whole')
         return self.contents[text]
 
     def file(self) -> SettingsFile:
-        """Return the file as a box that has just started holds it."""
+        """Return the settings file of a box that has just started."""
         found = SettingsFile(
             path=self.path,
             read=self.read,
@@ -72,7 +72,7 @@
         return found
 
     def play(self, work: Callable[[], None]) -> None:
-        """Run a test on virtual time."""
+        """Run a test in virtual time."""
 
         async def scenario() -> None:
             work()
@@ -103,8 +103,8 @@
                 self.assertIsNone(file.reload())
             self.assertEqual(before, file.state.digest)
             self.assertIn('not whole', file.state.problem)
-            told = [call.args[1] for call in self.emitted.call_args_list]
-            self.assertEqual([events.RELOAD_FAILED], told)
+            logged = [call.args[1] for call in self.emitted.call_args_list]
+            self.assertEqual([events.RELOAD_FAILED], logged)
 
         self.play(work)
 
--- a/packages/daemon/calicopathd/gateway/tests/replaced_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/replaced_tests.py
@@ -1,4 +1,4 @@
-"""Test that replicas at whose addresses others answer are called no more."""
+"""Test that boxes stop calling a replica once another replica responds at its address."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-MOST_CALLS = 8
-"""Calls that a life which is over may cost four boxes: two each are on their way as it shows."""
+MAX_CALLS = 8
+"""Calls that four boxes may send to a replaced replica: two each are under way when it shows."""
 
 GAP_S = 0.04
 
 
 class Replaced(VirtualCase):
     def play(self, work: Callable[[NoticeFleet], Awaitable[None]]) -> NoticeFleet:
-        """Run boxes that the store does not answer, and do some work with them."""
+        """Run some work on a fleet whose store does not answer."""
 
         async def scenario() -> NoticeFleet:
             fleet = NoticeFleet()
@@ -34,7 +34,7 @@
         return self.run_virtual(scenario())
 
     def check(self, route: str, gap_s: float, *names: str) -> None:
-        """Check that all are served and that those replaced get a handful of calls each."""
+        """Check that all requests are served and replaced replicas get at most `MAX_CALLS` each."""
 
         async def work(fleet: NoticeFleet) -> None:
             fleet.replace(*names)
@@ -43,13 +43,13 @@
             self.assertEqual([], [sink.reason for sink in sinks if sink.status != 200])
 
         fleet = self.play(work)
-        came = Counter(
+        calls = Counter(
             item.replica for item in fleet.notices.arrivals if item.notice.from_other_replica
         )
-        self.assertTrue(came)
-        self.assertLessEqual(max(came.values()), MOST_CALLS)
+        self.assertTrue(calls)
+        self.assertLessEqual(max(calls.values()), MAX_CALLS)
 
-    # Each request was sent to the same dead replicas until the budget of repeats was empty.
+    # Otherwise each request is sent to the same dead replicas until the retry budget is empty.
     def test_engines_cost_a_handful_of_calls_and_no_request(self) -> None:
         self.check('letter', GAP_S, 'engine-2', 'engine-3', 'engine-4', 'engine-north')
 
@@ -66,8 +66,8 @@
             replica = box.replicas.replicas['engine-2']
             box.gate.on_notice(replica, fleet.notices.said['engine-2'])
             await asyncio.sleep(1.0)
-            bars = {item.box.gate.exclusion_of(replica) for item in fleet.boxes.values()}
-            self.assertEqual({Exclusion.GONE}, bars)
+            exclusions = {item.box.gate.exclusion_of(replica) for item in fleet.boxes.values()}
+            self.assertEqual({Exclusion.GONE}, exclusions)
 
         self.play(work)
 
--- a/packages/daemon/calicopathd/gateway/tests/restored_store_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/restored_store_tests.py
@@ -1,4 +1,4 @@
-"""Test that boxes follow a store which comes back from a copy some seconds old."""
+"""Test that boxes follow a store that was restored from a backup some seconds old."""
 
 from __future__ import annotations
 
@@ -21,43 +21,43 @@
     from calicopath_core.fleet.replicas import Replica
 
 DRAIN_S = 2.0
-"""How long after the store has acknowledged that it drains a replica may still get requests."""
+"""How long a replica may get requests after the store acknowledged that it drains."""
 
 APPLY_S = 2.0
-"""How soon a configuration that the store has acknowledged must be in force."""
+"""Time within which a configuration that the store acknowledged must be in force."""
 
-AWAY_S = 2.7
+OUTAGE_S = 2.7
 FEW = 4
 MANY = 10
-"""Boxes that each follow the store by themselves, and boxes that hear it through relays."""
+"""Fleet sizes in which each box follows the store itself, and in which boxes use relays."""
 
-CALLS_A_SECOND = 10.0
-"""Calls to the store that a box may make in a second: each kind anew, and a failure of each."""
+MAX_CALLS_PER_S = 10.0
+"""Store calls that a box may make per second: a list of each kind, and a failure of each."""
 
 
 class RestoredStore(VirtualCase):
     def play(self, count: int, work: Callable[[NoticeFleet], Awaitable[None]]) -> NoticeFleet:
-        """Run boxes and do some work with them."""
+        """Run some work on a fleet whose boxes tick as in production."""
 
         async def scenario() -> NoticeFleet:
             fleet = NoticeFleet(count=count)
             await fleet.start()
-            ticking = asyncio.create_task(tick_often(fleet))
+            ticks_task = asyncio.create_task(run_ticks(fleet))
             await work(fleet)
-            ticking.cancel()
+            ticks_task.cancel()
             await fleet.stop()
             return fleet
 
         return self.run_virtual(scenario())
 
-    # Entries written under revisions that were given out before were never heard.
+    # After a restore the store reuses revisions; boxes must not ignore records that have them.
     def test_a_replica_that_drains_after_the_return_gets_no_more_calls(self) -> None:
         for count in (FEW, MANY):
             for others in range(6):
                 self.check_drain(count, others)
 
     def check_drain(self, count: int, others: int) -> None:
-        """Check it where some more changes follow at once on the one that says so."""
+        """Check it with some other changes directly after the draining record."""
 
         async def work(fleet: NoticeFleet) -> None:
             leaving = replica_of('look-north')
@@ -68,7 +68,7 @@
                 fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(version))
             await asyncio.sleep(DRAIN_S)
             self.assertEqual(
-                {Exclusion.DRAINING}, bars(fleet, leaving), f'{count} boxes, {others} more'
+                {Exclusion.DRAINING}, exclusions(fleet, leaving), f'{count} boxes, {others} more'
             )
             fleet.stages.calls.clear()
             await fleet.load('draft', 0.2, for_s=4.0)
@@ -93,7 +93,7 @@
             fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(50))
             await asyncio.sleep(1.0)
             seen: set[int] = set()
-            back = asyncio.create_task(fleet.store.go_back(copy, AWAY_S, again_s=1.0))
+            back = asyncio.create_task(fleet.store.go_back(copy, OUTAGE_S, again_s=1.0))
             while not back.done():
                 await asyncio.sleep(0.05)
                 seen |= versions(fleet)
@@ -110,8 +110,8 @@
             fleet.announce(leaving._replace(draining=True))
             await asyncio.sleep(DRAIN_S)
             fleet.stages.calls.clear()
-            back = asyncio.create_task(fleet.store.go_back(copy, AWAY_S, again_s=3.0))
-            await fleet.load('draft', 0.2, for_s=AWAY_S + 6.0)
+            back = asyncio.create_task(fleet.store.go_back(copy, OUTAGE_S, again_s=3.0))
+            await fleet.load('draft', 0.2, for_s=OUTAGE_S + 6.0)
             await back
             self.assertNotIn(leaving.id, {name for name, _ in fleet.stages.calls})
 
@@ -124,8 +124,8 @@
             gone = fleet.withdraw('look-north')
             await asyncio.sleep(DRAIN_S)
             fleet.stages.calls.clear()
-            back = asyncio.create_task(fleet.store.go_back(copy, AWAY_S, again_s=3.0))
-            await fleet.load('draft', 0.2, for_s=AWAY_S + 6.0)
+            back = asyncio.create_task(fleet.store.go_back(copy, OUTAGE_S, again_s=3.0))
+            await fleet.load('draft', 0.2, for_s=OUTAGE_S + 6.0)
             await back
             self.assertNotIn(gone.id, {name for name, _ in fleet.stages.calls})
 
@@ -137,7 +137,7 @@
             copy = fleet.store.copy()
             fleet.take_out('north')
             await asyncio.sleep(DRAIN_S)
-            back = asyncio.create_task(fleet.store.go_back(copy, AWAY_S, again_s=4.0))
+            back = asyncio.create_task(fleet.store.go_back(copy, OUTAGE_S, again_s=4.0))
             while not back.done():
                 await asyncio.sleep(0.1)
                 for box in fleet.boxes.values():
@@ -154,7 +154,7 @@
             copy = fleet.store.copy()
             fleet.take_out('north')
             await asyncio.sleep(DRAIN_S)
-            await fleet.store.go_back(copy, AWAY_S, again_s=2 * KEEP_MISSING_S)
+            await fleet.store.go_back(copy, OUTAGE_S, again_s=2 * KEEP_MISSING_S)
             fleet.give_back('north')
             await asyncio.sleep(DRAIN_S)
             for box in fleet.boxes.values():
@@ -169,7 +169,7 @@
             entry = fleet.withdraw('look-north')
             await asyncio.sleep(DRAIN_S)
             fleet.store.log = [item for item in fleet.store.log if item[2].name != entry.id]
-            await fleet.store.go_back(copy, AWAY_S)
+            await fleet.store.go_back(copy, OUTAGE_S)
             await asyncio.sleep(settings('box-0', 'north').replica_entry_ttl_s + APPLY_S)
             for box in fleet.boxes.values():
                 self.assertIn(entry, box.box.replicas.usable('look'))
@@ -184,8 +184,8 @@
             copy = fleet.store.copy()
             fleet.announce(replica_of('desk-north')._replace(id='desk-new', address='desk-new:1'))
             await asyncio.sleep(1.0)
-            back = asyncio.create_task(fleet.store.go_back(copy, AWAY_S, again_s=1.5))
-            sinks = await fleet.load('read', 0.05, for_s=AWAY_S + 4.0)
+            back = asyncio.create_task(fleet.store.go_back(copy, OUTAGE_S, again_s=1.5))
+            sinks = await fleet.load('read', 0.05, for_s=OUTAGE_S + 4.0)
             await back
             await fleet.settle()
             self.assertEqual([], [sink.reason for sink in sinks if sink.status != 200])
@@ -195,11 +195,11 @@
 
     def test_the_store_is_not_asked_more_often_than_it_bears(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            await go_back(fleet, lost=6, away_s=0.0)
+            await go_back(fleet, lost=6, outage_s=0.0)
             before = {name: box.store.calls for name, box in fleet.boxes.items()}
             await asyncio.sleep(5.0)
             for name, box in fleet.boxes.items():
-                self.assertLess((box.store.calls - before[name]) / 5.0, CALLS_A_SECOND, name)
+                self.assertLess((box.store.calls - before[name]) / 5.0, MAX_CALLS_PER_S, name)
 
         for count in (FEW, MANY):
             self.play(count, work)
@@ -209,7 +209,7 @@
             copy = fleet.store.copy()
             await fleet.add('box-new', 'north').start()
             await asyncio.sleep(2.0)
-            await fleet.store.go_back(copy, AWAY_S)
+            await fleet.store.go_back(copy, OUTAGE_S)
             await asyncio.sleep(5.0)
             self.assertIn('box-new', fleet.store.records[RecordKind.BOX])
             for box in fleet.boxes.values():
@@ -226,7 +226,7 @@
             again = fleet.add('box-1', 'south')
             await again.start()
             await asyncio.sleep(2.0)
-            await fleet.store.go_back(copy, AWAY_S)
+            await fleet.store.go_back(copy, OUTAGE_S)
             await asyncio.sleep(5.0)
             listed = fleet.store.records[RecordKind.BOX]['box-1']
             self.assertEqual(again.box.incarnation, getattr(listed, 'incarnation', ''))
@@ -241,7 +241,7 @@
             await leaving.start()
             await asyncio.sleep(2.0)
             leaving.box.leave()
-            await fleet.store.go_back(copy, AWAY_S)
+            await fleet.store.go_back(copy, OUTAGE_S)
             await asyncio.sleep(5.0)
             self.assertNotIn('box-new', fleet.store.records[RecordKind.BOX])
 
@@ -254,7 +254,7 @@
             fleet.kill('box-2')
             await gone.store.withdraw(gone.box.own)
             await asyncio.sleep(1.0)
-            await fleet.store.go_back(copy, AWAY_S)
+            await fleet.store.go_back(copy, OUTAGE_S)
             await asyncio.sleep(APPLY_S)
             self.assertNotIn('box-2', fleet.store.records[RecordKind.BOX])
             for box in fleet.boxes.values():
@@ -268,7 +268,7 @@
             noted = fleet.store.relays
             self.assertTrue(noted)
             copy = fleet.store.copy()._replace(relays=None)
-            await fleet.store.go_back(copy, AWAY_S)
+            await fleet.store.go_back(copy, OUTAGE_S)
             await asyncio.sleep(5.0)
             self.assertEqual(noted, fleet.store.relays)
 
@@ -283,7 +283,7 @@
                 box.box.ledger.merge(evidence, 'test')
             await asyncio.sleep(1.0)
             self.assertEqual(['a.b'], [item.content for item in fleet.store.blocked])
-            await fleet.store.go_back(copy, AWAY_S)
+            await fleet.store.go_back(copy, OUTAGE_S)
             self.assertEqual((), fleet.store.blocked)
             await asyncio.sleep(5.0)
             self.assertEqual(['a.b'], [item.content for item in fleet.store.blocked])
@@ -305,29 +305,29 @@
             cut.store.cut = False
             fleet.network.blocked = lambda source, target: False
             await asyncio.sleep(2 * DRAIN_S)
-            self.assertEqual({Exclusion.DRAINING}, bars(fleet, leaving))
+            self.assertEqual({Exclusion.DRAINING}, exclusions(fleet, leaving))
 
         for count in (FEW, MANY):
             self.play(count, work)
 
 
-async def tick_often(fleet: NoticeFleet) -> None:
-    """Do at every box what is due by time, as the runner does."""
+async def run_ticks(fleet: NoticeFleet) -> None:
+    """Tick every box periodically, as the runner does."""
     while True:
         for box in fleet.boxes.values():
             box.box.tick()
         await asyncio.sleep(TICK_INTERVAL_S)
 
 
-async def go_back(fleet: NoticeFleet, *, lost: int, away_s: float = AWAY_S) -> None:
-    """Have the store go back by some configurations, which are not written again yet."""
+async def go_back(fleet: NoticeFleet, *, lost: int, outage_s: float = OUTAGE_S) -> None:
+    """Restore the store from a copy that lacks its last `lost` revisions."""
     for version in range(2, 4):
         fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(version))
     copy = fleet.store.copy()
     for number in range(lost):
         fleet.store.write(RecordKind.BOX, f'gone-{number}', None)
     await asyncio.sleep(1.0)
-    await fleet.store.go_back(copy, away_s)
+    await fleet.store.go_back(copy, outage_s)
 
 
 def replica_of(name: str) -> Replica:
@@ -335,11 +335,11 @@
     return next(item for item in replicas() if item.id == name)
 
 
-def bars(fleet: NoticeFleet, replica: Replica) -> set[Exclusion | None]:
-    """Return why boxes send a replica nothing."""
+def exclusions(fleet: NoticeFleet, replica: Replica) -> set[Exclusion | None]:
+    """Return the reasons why boxes exclude a replica."""
     return {box.box.replicas.exclusion_of(replica) for box in fleet.boxes.values()}
 
 
 def versions(fleet: NoticeFleet) -> set[int]:
-    """Return the configuration versions in force."""
+    """Return the configuration versions in force on all boxes."""
     return {box.box.config_version() for box in fleet.boxes.values()}
--- a/packages/daemon/calicopathd/gateway/tests/server_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/server_tests.py
@@ -1,4 +1,4 @@
-"""Test the server that takes callers' requests whole and gives answers byte for byte."""
+"""Test the HTTP server: parsing, limits, exact responses and closing."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Echo(RequestHandler):
-    """Answer with the request; paths ask for more."""
+    """Echo the request body; some paths delay, stream or break off the response."""
 
     def __init__(self) -> None:
         self.requests: list[RawRequest] = []
@@ -32,7 +32,6 @@
         self.cancelled = 0
 
     async def handle(self, request: RawRequest, responder: Responder) -> None:
-        """Answer as the path says."""
         self.requests.append(request)
         if request.target == '/wait':
             try:
@@ -55,17 +54,15 @@
         responder.respond(200, (('X-Seal', 's'), ('Transfer-Encoding', 'x')), request.body)
 
     def limits(self) -> ClientLimits:
-        """Return small limits."""
         return LIMITS
 
     def on_bad_request(self, status: int, reason: str) -> None:
-        """Keep what was refused."""
         self.bad.append(status)
 
 
 class ServerCase(testtools.TestCase):
     def play(self, work: Callable[[HttpServer, int], Awaitable[Any]]) -> tuple[Any, Echo]:
-        """Run some work against a server."""
+        """Run some work against a started server."""
 
         async def scenario() -> tuple[Any, Echo]:
             handler = Echo()
@@ -81,7 +78,7 @@
         return asyncio.run(scenario())
 
     def ask(self, data: bytes) -> tuple[bytes, Echo]:
-        """Send bytes and return everything until the server closes."""
+        """Send bytes and return all that the server sends until it closes the connection."""
 
         async def work(server: HttpServer, port: int) -> bytes:
             reader, writer = await asyncio.open_connection('127.0.0.1', port)
@@ -98,24 +95,24 @@
         async def work(server: HttpServer, port: int) -> list[bytes]:
             server.max_connections = 2
             request = b'GET /x HTTP/1.1\r\n\r\n'
-            open_ones = [await asyncio.open_connection('127.0.0.1', port) for _ in range(2)]
+            connections = [await asyncio.open_connection('127.0.0.1', port) for _ in range(2)]
             await asyncio.sleep(0.02)
             found = [await first_bytes(port, request)]
-            open_ones[0][1].close()
+            connections[0][1].close()
             await asyncio.sleep(0.02)
             found.append(await first_bytes(port, request))
-            open_ones[1][1].close()
+            connections[1][1].close()
             return [*found, str(server.rejected_connections).encode()]
 
-        (turned, served, count), handler = self.play(work)
-        self.assertEqual(b'', turned)
+        (rejected, served, count), handler = self.play(work)
+        self.assertEqual(b'', rejected)
         self.assertThat(served, StartsWith(OK))
         self.assertEqual(b'1', count)
         self.assertEqual(1, len(handler.requests))
 
 
 async def first_bytes(port: int, data: bytes) -> bytes:
-    """Send bytes on a new connection and return what comes first."""
+    """Send bytes on a new connection and return the first bytes of the response."""
     reader, writer = await asyncio.open_connection('127.0.0.1', port)
     found = b''
     with contextlib.suppress(ConnectionError):
@@ -216,16 +213,16 @@
     def test_a_stop_lets_requests_end_and_tells_connections_to_close(self) -> None:
         async def work(server: HttpServer, port: int) -> bytes:
             reader, writer = await asyncio.open_connection('127.0.0.1', port)
-            resting = await asyncio.open_connection('127.0.0.1', port)
+            idle = await asyncio.open_connection('127.0.0.1', port)
             writer.write(b'POST /slow HTTP/1.1\r\nContent-Length: 2\r\n\r\nab')
             await asyncio.sleep(0.02)
             server.start_closing()
             server.close_idle()
             self.assertTrue(await server.wait_idle(5))
-            self.assertEqual(b'', await resting[0].read())
+            self.assertEqual(b'', await idle[0].read())
             found = await reader.read()
             writer.close()
-            resting[1].close()
+            idle[1].close()
             return found
 
         found, _ = self.play(work)
--- a/packages/daemon/calicopathd/gateway/tests/starting_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/starting_tests.py
@@ -1,4 +1,4 @@
-"""Test what boxes ask of the store as they start, one by one and all at once."""
+"""Test the store calls of starting boxes, one by one and all at once."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     from testkit.gateway import FleetBox
 
 COUNT = 40
-CALLS_A_START = 3
-"""A record written, which boxes are relays, and the list of boxes where nobody wrote that yet."""
+MAX_CALLS_PER_START = 3
+"""Write the own record, read the relays, and list the boxes if no relays are stored yet."""
 
 
 class Starting(VirtualCase):
     async def started(self) -> GatewayFleet:
-        """Return a fleet that has written its relays down."""
+        """Return a started fleet whose relays are stored."""
         fleet = GatewayFleet(count=COUNT)
         await fleet.start()
         await asyncio.sleep(2.0)
@@ -39,7 +39,7 @@
         async def scenario() -> None:
             fleet = await self.started()
             asked = [box.store.calls for box in fleet.boxes.values()]
-            others = [calls for calls in asked if calls <= CALLS_A_START]
+            others = [calls for calls in asked if calls <= MAX_CALLS_PER_START]
             self.assertGreaterEqual(len(others), COUNT - 3)
             self.assertTrue(all(box.box.is_ready() for box in fleet.boxes.values()))
             await fleet.stop()
