--- a/packages/daemon/calicopathd/gateway/box.py
+++ b/packages/daemon/calicopathd/gateway/box.py
@@ -291,8 +291,8 @@
     def knows_blocked_requests(self) -> bool:
         """Return whether the box has the list of blocked requests, or has waited long enough.
 
-        After a restart of all boxes, waiting callers send their requests at once, and requests
-        that crash replicas are among them.
+        After a restart of all boxes, waiting callers send their requests at once, and some of
+        these may crash replicas; hence boxes should know the list before they serve.
         """
         if self.sharing.complete:
             return True
