--- a/packages/daemon/calicopathd/gateway/following.py
+++ b/packages/daemon/calicopathd/gateway/following.py
@@ -1,4 +1,4 @@
-"""Assemble how one box follows the store's records, hands them on and keeps its own there."""
+"""Assemble how a box follows the store's records, relays them and registers its own record."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from calicopath_core.fleet.restoring import RestoreFilter
 from calicopath_core.fleet.store import RecordKind
 from calicopath_core.fleet.subscription import Subscription
-from calicopathd.gateway.records import RecordIntake
+from calicopathd.gateway.records import RecordHandler
 
 if TYPE_CHECKING:
     import random
@@ -28,10 +28,11 @@
     from calicopathd.gateway.settings import GatewaySettings
 
 
-class StoreFollowing:
-    """Hold what takes records in, from feeds to tables, and what other boxes hear of them.
+class StoreFollower:
+    """Hold the components that read records from the store and publish them to other boxes.
 
-    `on_boxes` is told when boxes have changed, `on_applied` of a newer configuration in force.
+    `on_boxes_changed` is called with the monotonic time when the listed boxes have changed, and
+    `on_deployment_applied` with a newer configuration.
     """
 
     def __init__(
@@ -46,30 +47,30 @@
         view: DeploymentView,
         replicas: ReplicaTable,
         send: Callable[[str, msgspec.Struct], None],
-        on_boxes: Callable[[float], None],
-        on_applied: Callable[[Deployment], None],
+        on_boxes_changed: Callable[[float], None],
+        on_deployment_applied: Callable[[Deployment], None],
         is_leaving: Callable[[], bool],
     ) -> None:
         self.evacuations = Evacuations(
             wall_clock=clock.wall,
-            on_evacuation_started=observer.on_failure_domain_taken_out,
-            on_evacuation_ended=observer.on_failure_domain_given_back,
+            on_evacuation_started=observer.on_evacuation_started,
+            on_evacuation_ended=observer.on_evacuation_ended,
             on_changed=replicas.set_evacuated,
         )
         self.publisher = Publisher(own_address=own.address, clock=clock, send=send)
-        self.records = RecordIntake(
+        self.records = RecordHandler(
             clock=clock,
             view=view,
             replicas=replicas,
             evacuations=self.evacuations,
             publisher=self.publisher,
-            on_boxes=on_boxes,
-            on_applied=on_applied,
+            on_boxes_changed=on_boxes_changed,
+            on_deployment_applied=on_deployment_applied,
         )
-        self.restored = RestoreFilter(
+        self.restore_filter = RestoreFilter(
             inner=self.records,
             clock=clock,
-            entry_ttl_s=settings.replica_lapse_s,
+            entry_ttl_s=settings.replica_entry_ttl_s,
             on_restored=observer.on_restored,
         )
         self.subscription = Subscription(
@@ -79,11 +80,11 @@
             publisher=self.publisher,
             on_disrupted=replicas.on_disrupted,
             on_bad_update=observer.on_bad_message,
-            on_relay_changed=observer.on_source,
+            on_relay_changed=observer.on_relay_changed,
             store=store,
-            on_store_error=observer.on_relays_unread,
+            on_store_error=observer.on_relay_access_failed,
             rng=rng,
-            stale_boxes=self.restored.stale_boxes,
+            stale_boxes=self.restore_filter.stale_boxes,
         )
         self.feeds = {
             kind: RecordFeed(
@@ -91,10 +92,10 @@
                 kind=kind,
                 clock=clock,
                 observer=observer,
-                handler=self.restored,
+                handler=self.restore_filter,
                 policy=self.subscription,
             )
-            for kind in settings.followed
+            for kind in settings.followed_kinds
         }
         self.subscription.feeds.update(self.feeds)
         self.publisher.feeds.update(self.feeds)
@@ -105,9 +106,9 @@
             rng=rng,
             is_leaving=is_leaving,
             on_registered=self.on_registered,
-            on_failed=observer.on_register_failed,
+            on_failed=observer.on_registration_failed,
         )
 
     def on_registered(self) -> None:
-        """Note that this box's own record is in the store."""
+        """Record that the store has this box's own record."""
         self.subscription.startup.registered = True
--- a/packages/daemon/calicopathd/gateway/peers.py
+++ b/packages/daemon/calicopathd/gateway/peers.py
@@ -1,4 +1,4 @@
-"""Exchange scheduling messages with other boxes, and with this one."""
+"""Exchange messages between boxes and dispatch them to the components of this box."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 class PeerLink:
-    """Send messages to boxes and hand on those that come."""
+    """Send messages to boxes and dispatch received ones."""
 
     def __init__(
         self,
@@ -62,14 +62,14 @@
         clock: Clock,
         config_version: Callable[[], int],
         contact: Callable[[], StoreContact],
-        on_bad: Callable[[str], None],
+        on_bad_message: Callable[[str], None],
     ) -> None:
         self.transport = transport
         self.election = election
         self.clock = clock
         self.config_version = config_version
         self.contact = contact
-        self.on_bad = on_bad
+        self.on_bad_message = on_bad_message
         self.decoder = MessageDecoder(
             types=(
                 *MESSAGES,
@@ -83,34 +83,34 @@
         self.scheduler: Scheduler | None = None
         self.client: SchedulerClient | None = None
         self.subscription: Subscription | None = None
-        self.crashes: CrashSharing | None = None
+        self.crash_sharing: CrashSharing | None = None
         self.notices: BoxNotices | None = None
-        self.sent = 0
+        self.messages_sent = 0
         transport.listen(self.on_data)
 
     def send(self, address: str, message: msgspec.Struct) -> None:
-        """Send a message; one to this box itself takes no detour."""
+        """Send a message; one to this box itself bypasses the network."""
         if address == self.election.own.address:
             asyncio.get_running_loop().call_soon(self.handle, message)
             return
-        self.sent += 1
+        self.messages_sent += 1
         self.transport.send(address, encode(message))
 
     def on_data(self, data: bytes) -> None:
-        """Decode what came and handle it."""
+        """Decode and handle a received message."""
         try:
             message = self.decoder.decode(data)
         except BadMessage as error:
-            self.on_bad(str(error))
+            self.on_bad_message(str(error))
             return
         self.handle(message)
 
     def handle(self, message: msgspec.Struct) -> None:
-        """Hand a message to whom it concerns."""
+        """Dispatch a message to the component that handles its type."""
         assert self.scheduler is not None
         assert self.client is not None
         assert self.subscription is not None
-        assert self.crashes is not None
+        assert self.crash_sharing is not None
         assert self.notices is not None
         match message:
             case Ping():
@@ -118,12 +118,12 @@
                 if message.unanswered:
                     self.transport.drop_connection(message.address)
                 self.send(message.address, self.presence(Pong, message.sequence))
-                self.crashes.on_digest(message.address, message.crashes)
-                self.notices.on_digests(message)
+                self.crash_sharing.on_digest(message.address, message.crashes)
+                self.notices.on_presence(message)
             case Pong():
                 self.election.on_pong(message, self.clock.monotonic())
             case PlaceJob():
-                # Others may have noticed before this box that the former scheduler is silent.
+                # The sender may have noticed before this box that the previous scheduler is silent.
                 self.client.update_scheduler()
                 self.scheduler.on_place(message)
             case AdoptJob():
@@ -147,22 +147,22 @@
             case Subscribe():
                 self.subscription.on_subscribe(message)
                 if NO_POSITION in message.positions.values():
-                    # A box that starts serves as soon as it has heard everything.
-                    self.crashes.send_full_news(message.sender)
+                    # A starting box waits for the full list of blocked requests before it serves.
+                    self.crash_sharing.send_full_news(message.sender)
             case RelayStatus():
                 self.subscription.on_status(message)
             case RelayUpdate():
                 self.subscription.on_update(message)
             case CrashNews():
-                self.crashes.on_news(message)
+                self.crash_sharing.on_news(message)
             case BackoffNotice():
                 self.scheduler.on_backoffs(message)
             case _:
                 self.notices.handle(message)
 
     def presence(self, kind: type[Ping] | type[Pong], sequence: int) -> Ping | Pong:
-        """Return what this box says of itself."""
-        assert self.crashes is not None
+        """Return a ping or pong with the state and digests of this box."""
+        assert self.crash_sharing is not None
         assert self.notices is not None
         own = self.election.own
         return kind(
@@ -173,13 +173,13 @@
             leaving=self.election.leaving,
             sequence=sequence,
             groups=self.election.group_count,
-            crashes=self.crashes.digest(),
+            crashes=self.crash_sharing.digest(),
             replicas=self.notices.leaving_sharing.digest(),
             limits=self.notices.limit_sharing.digest(),
         )
 
     def ping_all(self) -> None:
-        """Ping every candidate; one that does not answer on a new connection."""
+        """Ping every scheduler candidate, on a new connection if it has stopped answering."""
         self.election.sequence += 1
         now = self.clock.monotonic()
         ping = self.presence(Ping, self.election.sequence)
@@ -192,11 +192,11 @@
                 self.send(address, ping)
 
     async def run(self) -> None:
-        """Ping until cancelled."""
-        assert self.crashes is not None
+        """Ping candidates and notify hubs periodically, until cancelled."""
+        assert self.crash_sharing is not None
         assert self.notices is not None
         while True:
             self.ping_all()
-            self.crashes.notify_hubs()
-            self.notices.tell_hubs()
+            self.crash_sharing.notify_hubs()
+            self.notices.notify_hubs()
             await asyncio.sleep(PING_INTERVAL_S)
--- a/packages/daemon/calicopathd/gateway/reloading.py
+++ b/packages/daemon/calicopathd/gateway/reloading.py
@@ -1,4 +1,4 @@
-"""Follow the settings file while the box runs: what is sound is taken in, the rest is told once."""
+"""Reload the settings file at run time; keep the old settings if the file is invalid."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     from calicopath_core.clock import Clock
     from calicopathd.gateway.settings import GatewaySettings
 
-LOOK_S = 1.0
-"""How often the file is looked at: it may change without a signal, and one that was half written
-when the signal came is whole soon after."""
+SETTINGS_CHECK_INTERVAL_S = 1.0
+"""The file is polled because it may change without a signal, or may have been only partly written
+when the signal arrived."""
 
 DIGEST_BYTES = 6
 
@@ -27,10 +27,10 @@
 
 
 class SettingsState(NamedTuple):
-    """Say which settings are in force: `since` is in seconds since 1970.
+    """Describe the settings in force; `since` is in seconds since 1970.
 
-    `digest` is of what all boxes share, so that boxes can be compared. `problem` says why the file
-    as it stands is not in force, if it is not.
+    `digest` covers the settings that all boxes share, so that boxes can be compared. `problem` is
+    the error of the current file, empty if the file is in force.
     """
 
     digest: str
@@ -38,15 +38,15 @@
     problem: str = ''
 
 
-class Stamp(NamedTuple):
-    """Tell versions of a file apart without reading it."""
+class FileVersion(NamedTuple):
+    """Identify a version of a file by its metadata."""
 
     modified_ns: int
     size: int
 
 
 class SettingsFile:
-    """Hold the settings in force and the file they came from."""
+    """Hold the settings in force and the file that they are read from."""
 
     def __init__(
         self,
@@ -61,33 +61,33 @@
         self.settings = settings
         self.clock = clock
         self.state = SettingsState(digest_of(settings), clock.wall())
-        self.stamp = self.stamp_now()
-        self.told = ''
+        self.version = self.current_version()
+        self.reported_problem = ''
 
-    def stamp_now(self) -> Stamp | None:
-        """Return the file's stamp, nothing if it is not there."""
+    def current_version(self) -> FileVersion | None:
+        """Return the version of the file, `None` if the file does not exist."""
         try:
             found = self.path.stat()
         except OSError:
             return None
-        return Stamp(found.st_mtime_ns, found.st_size)
+        return FileVersion(found.st_mtime_ns, found.st_size)
 
-    def changed(self) -> bool:
-        """Tell whether the file is another than when it was last looked at."""
-        stamp = self.stamp_now()
-        if stamp == self.stamp:
+    def has_changed(self) -> bool:
+        """Return whether the file has changed since the last check."""
+        version = self.current_version()
+        if version == self.version:
             return False
-        self.stamp = stamp
+        self.version = version
         return True
 
-    def take(self) -> GatewaySettings | None:
-        """Read the file; return its settings if they are sound, and say once if they are not."""
+    def reload(self) -> GatewaySettings | None:
+        """Read the file and return its settings, or `None` if they are invalid."""
         try:
             settings = self.read(self.path)
         except CalicopathError as error:
             self.reject(str(error))
             return None
-        self.told = ''
+        self.reported_problem = ''
         digest = digest_of(settings)
         since = self.state.since if digest == self.state.digest else self.clock.wall()
         self.state = SettingsState(digest, since)
@@ -95,14 +95,14 @@
         return settings
 
     def reject(self, problem: str) -> None:
-        """Keep what is in force and say why."""
+        """Keep the settings in force, and log a new problem once."""
         self.state = self.state._replace(problem=problem)
-        if problem != self.told:
-            self.told = problem
+        if problem != self.reported_problem:
+            self.reported_problem = problem
             events.emit(log, events.RELOAD_FAILED, error=problem, in_force=self.state.digest)
 
 
 def digest_of(settings: GatewaySettings) -> str:
-    """Return a digest of the settings that are alike on all boxes."""
+    """Return a digest of the settings that are the same on all boxes."""
     shared = (settings.store, settings.drain_s, settings.stop_grace_s, settings.retry_budget)
     return hashlib.blake2b(repr(shared).encode(), digest_size=DIGEST_BYTES).hexdigest()
--- a/packages/daemon/calicopathd/gateway/state.py
+++ b/packages/daemon/calicopathd/gateway/state.py
@@ -1,4 +1,4 @@
-"""Answer with the box's figures, with what is in force there, and with the other boxes."""
+"""Serve a box's metrics and state to operators over HTTP."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgspec
 
 from calicopath_core.fleet.store import RecordKind
-from calicopathd.gateway.barred import barred_replicas
+from calicopathd.gateway.exclusions import excluded_replicas
 from calicopathd.gateway.requests import RawRequest, RequestHandler
 
 if TYPE_CHECKING:
@@ -24,24 +24,23 @@
 REPLICAS_PATH = '/replicas'
 RELEASE_PATH = '/blocked/release'
 STATUS_OK = 200
-STATUS_WRONG_METHOD = 405
+STATUS_METHOD_NOT_ALLOWED = 405
 JSON_HEADERS = (('Content-Type', 'application/json'),)
 
 
-class TakenOut(msgspec.Struct, frozen=True):
-    """Name a failure domain taken out, since when (seconds since 1970) and from which revision."""
+class EvacuatedFailureDomain(msgspec.Struct, frozen=True):
+    """Name a failure domain taken out, the time in seconds since 1970, and the store revision."""
 
     failure_domain: str
     since: float
     revision: int
 
 
-class InForce(msgspec.Struct, frozen=True):
-    """Say what is in force at a box and since when, in seconds since 1970.
+class BoxState(msgspec.Struct, frozen=True):
+    """Describe the settings, configuration and evacuations in force; times are since 1970.
 
-    `problem` says why the settings file as it stands is not in force there, if it is not;
-    `taken_out_revision`, of the store's `taken_out_era`, is up to where the box knows what is taken
-    out, -1 for none.
+    `problem` is the error of the settings file, empty if the file is in force. The box knows the
+    evacuations up to `taken_out_revision` of the store's `taken_out_era`, -1 if it knows none.
     """
 
     box: str
@@ -52,20 +51,20 @@
     problem: str
     configuration: int
     configuration_since: float
-    taken_out: list[TakenOut]
+    taken_out: list[EvacuatedFailureDomain]
     taken_out_revision: int
     taken_out_era: int
 
 
 class ListedBox(msgspec.Struct, frozen=True):
-    """Name a box and the address at which it tells its state."""
+    """Name a box and the address of its state endpoint."""
 
     box: str
     address: str
 
 
 class BlockedRequest(msgspec.Struct, frozen=True):
-    """Describe a request that is not sent on: since when and until when, in seconds since 1970."""
+    """Describe a blocked request; `since` and `until` are in seconds since 1970."""
 
     content: str
     service: str
@@ -74,15 +73,15 @@
     replicas: tuple[str, ...]
 
 
-class Released(msgspec.Struct, frozen=True):
-    """Name a request that was let go."""
+class ReleasedRequest(msgspec.Struct, frozen=True):
+    """Name a request that was unblocked."""
 
     content: str
     service: str
 
 
 class StateHandler(RequestHandler):
-    """Answer operators' questions on the box's own address for figures."""
+    """Answer requests of operators on the box's metrics address."""
 
     def __init__(
         self, *, box: GatewayBox, metrics: GatewayMetrics, settings_file: SettingsFile
@@ -92,54 +91,54 @@
         self.settings_file = settings_file
 
     async def handle(self, request: RawRequest, responder: Responder) -> None:
-        """Answer with JSON on the paths for it, with every figure as text on all others."""
+        """Answer with JSON on the state paths, and with the metrics on all others."""
         path, _, query = request.target.partition('?')
         if path == STATE_PATH:
-            responder.respond(STATUS_OK, JSON_HEADERS, msgspec.json.encode(self.in_force()))
+            responder.respond(STATUS_OK, JSON_HEADERS, msgspec.json.encode(self.box_state()))
         elif path == BOXES_PATH:
             responder.respond(STATUS_OK, JSON_HEADERS, msgspec.json.encode(self.boxes()))
         elif path == BLOCKED_PATH:
-            responder.respond(STATUS_OK, JSON_HEADERS, msgspec.json.encode(self.blocked()))
+            responder.respond(STATUS_OK, JSON_HEADERS, msgspec.json.encode(self.blocked_requests()))
         elif path == REPLICAS_PATH:
-            body = msgspec.json.encode(barred_replicas(self.box))
+            body = msgspec.json.encode(excluded_replicas(self.box))
             responder.respond(STATUS_OK, JSON_HEADERS, body)
         elif path == RELEASE_PATH and request.method == 'POST':
             released = self.release(query)
             responder.respond(STATUS_OK, JSON_HEADERS, msgspec.json.encode(released))
         elif path == RELEASE_PATH:
-            responder.respond(STATUS_WRONG_METHOD, (('Allow', 'POST'),), b'')
+            responder.respond(STATUS_METHOD_NOT_ALLOWED, (('Allow', 'POST'),), b'')
         else:
             body, headers = self.metrics.render()
             responder.respond(STATUS_OK, tuple(headers.items()), body)
 
-    def in_force(self) -> InForce:
-        """Return what is in force here."""
+    def box_state(self) -> BoxState:
+        """Return the settings, configuration and evacuations in force."""
         state = self.settings_file.state
-        taken_out_at = self.box.held_position(RecordKind.EVACUATION)
-        return InForce(
+        taken_out_at = self.box.known_position(RecordKind.EVACUATION)
+        return BoxState(
             box=self.box.own.name,
             failure_domain=self.box.own.failure_domain,
-            ready=self.box.ready(),
+            ready=self.box.is_ready(),
             settings=state.digest,
             settings_since=state.since,
             problem=state.problem,
             configuration=self.box.config_version(),
             configuration_since=self.box.config_since,
-            taken_out=self.taken_out(),
+            taken_out=self.evacuated_failure_domains(),
             taken_out_revision=taken_out_at.revision,
             taken_out_era=taken_out_at.era,
         )
 
-    def taken_out(self) -> list[TakenOut]:
-        """Return the failure domains whose replicas get no new work from here."""
-        held = self.box.evacuations.active
+    def evacuated_failure_domains(self) -> list[EvacuatedFailureDomain]:
+        """Return the failure domains whose replicas get no new work from this box."""
+        active = self.box.evacuations.active
         return [
-            TakenOut(failure_domain, item.since, item.evacuation.revision)
-            for failure_domain, item in sorted(held.items())
+            EvacuatedFailureDomain(failure_domain, item.since, item.evacuation.revision)
+            for failure_domain, item in sorted(active.items())
         ]
 
-    def blocked(self) -> list[BlockedRequest]:
-        """Return the requests that this box does not send on."""
+    def blocked_requests(self) -> list[BlockedRequest]:
+        """Return the blocked requests that this box knows."""
         box = self.box
         since_1970 = box.clock.wall() - box.clock.monotonic()
         return [
@@ -153,15 +152,15 @@
             for item in box.ledger.blocked.values()
         ]
 
-    def release(self, query: str) -> list[Released]:
-        """Let the request go that a query names; return where it was blocked."""
+    def release(self, query: str) -> list[ReleasedRequest]:
+        """Unblock the request named in a query; return it with the services that blocked it."""
         fields = parse_qs(query)
         content = fields.get('content', [''])[0]
         keys = self.box.crashes.release(content, who=fields.get('who', ['?'])[0])
-        return [Released(*key) for key in keys]
+        return [ReleasedRequest(*key) for key in keys]
 
     def boxes(self) -> list[ListedBox]:
-        """Return every box, this one included; boxes have their ports alike."""
+        """Return every box, this one included; all boxes use the same metrics port."""
         port = self.box.settings.metrics_listen.port
         listed = {self.box.own.name: self.box.own, **self.box.records.boxes}
         return [
@@ -170,8 +169,8 @@
         ]
 
     def limits(self) -> ClientLimits:
-        """Return the limits in force."""
+        """Return the limits on requests that are in force."""
         return self.box.limits()
 
     def on_bad_request(self, status: int, reason: str) -> None:
-        """Leave requests that can't be read uncounted: they are not callers'."""
+        """Ignore invalid requests: they do not come from callers and are not counted."""
--- a/packages/daemon/calicopathd/gateway/tests/starting_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/starting_tests.py
@@ -1,4 +1,4 @@
-"""Test what boxes ask of the store as they start, one by one and all at once."""
+"""Test the store calls of starting boxes, one by one and all at once."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     from testkit.gateway import FleetBox
 
 COUNT = 40
-CALLS_A_START = 3
-"""A record written, which boxes are relays, and the list of boxes where nobody wrote that yet."""
+MAX_CALLS_PER_START = 3
+"""Write the own record, read the relays, and list the boxes if no relays are stored yet."""
 
 
 class Starting(VirtualCase):
     async def started(self) -> GatewayFleet:
-        """Return a fleet that has written its relays down."""
+        """Return a started fleet whose relays are stored."""
         fleet = GatewayFleet(count=COUNT)
         await fleet.start()
         await asyncio.sleep(2.0)
@@ -39,9 +39,9 @@
         async def scenario() -> None:
             fleet = await self.started()
             asked = [box.store.calls for box in fleet.boxes.values()]
-            others = [calls for calls in asked if calls <= CALLS_A_START]
+            others = [calls for calls in asked if calls <= MAX_CALLS_PER_START]
             self.assertGreaterEqual(len(others), COUNT - 3)
-            self.assertTrue(all(box.box.ready() for box in fleet.boxes.values()))
+            self.assertTrue(all(box.box.is_ready() for box in fleet.boxes.values()))
             await fleet.stop()
 
         self.run_virtual(scenario())
@@ -51,7 +51,7 @@
             fleet = await self.started()
             again = await self.restarted(fleet, f'box-{COUNT - 1}')
             await asyncio.sleep(0.1)
-            self.assertTrue(again.box.ready())
+            self.assertTrue(again.box.is_ready())
             self.assertEqual(COUNT, again.box.election.box_count())
             await asyncio.sleep(5.0)
             self.assertEqual(2, again.store.calls)
@@ -68,7 +68,7 @@
             fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(7))
             again = await self.restarted(fleet, f'box-{COUNT - 1}')
             await asyncio.sleep(2 * RELAY_SYNC_WAIT_S + 0.2)
-            self.assertTrue(again.box.ready())
+            self.assertTrue(again.box.is_ready())
             self.assertEqual(7, again.box.config_version())
             await fleet.stop()
 
@@ -83,7 +83,7 @@
             for name in names:
                 await fleet.add(name, 'south').start()
             await asyncio.sleep(0.5)
-            self.assertTrue(all(box.box.ready() for box in fleet.boxes.values()))
+            self.assertTrue(all(box.box.is_ready() for box in fleet.boxes.values()))
             asked = sorted(box.store.calls for box in fleet.boxes.values())
             self.assertEqual([2] * (COUNT - 3), asked[: COUNT - 3])
             await fleet.stop()
@@ -99,7 +99,7 @@
                 await again.start()
                 await asyncio.sleep(STARTUP_TIMEOUT_S + 0.5)
             self.assertLessEqual(unread.await_count, 12)
-            self.assertTrue(again.box.ready())
+            self.assertTrue(again.box.is_ready())
             await fleet.stop()
 
         self.run_virtual(scenario())
