--- a/packages/core/calicopath_core/store/tests/changes_tests.py
+++ b/packages/core/calicopath_core/store/tests/changes_tests.py
@@ -1,4 +1,4 @@
-"""Test that changes are conditional, settled after lost answers and recorded exactly once."""
+"""Test that changes are conditional, survive lost answers and are recorded exactly once."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     ChangeWriter,
     Conflict,
     NotAccepted,
-    Unsettled,
+    Unconfirmed,
     read_audit_trail,
 )
 from calicopath_core.store.records import Change, ChangeAction
@@ -28,17 +28,17 @@
 
 
 def change(number: int, who: str = 'asma') -> Change:
-    """Return a change with its number as content."""
+    """Return a change whose content is its number."""
     return Change(f'change-{who}-{number}', KEY, {'n': number}, who, ChangeAction.APPLY)
 
 
 def new_writer(state: StoreState) -> ChangeWriter:
-    """Return a writer over its own link to the store."""
-    return ChangeWriter(store=FakeStore(state=state), clock=VirtualClock(), patience_s=2.0)
+    """Return a writer with its own client of the store."""
+    return ChangeWriter(store=FakeStore(state=state), clock=VirtualClock(), retry_timeout_s=2.0)
 
 
 def link(writer: ChangeWriter) -> FakeStore:
-    """Return a writer's link to the store."""
+    """Return the store client of a writer, to set its faults."""
     assert isinstance(writer.store, FakeStore)
     return writer.store
 
@@ -105,7 +105,7 @@
                 return WriteFate.LOST_AFTER
 
             link(writer).fate = fate
-            self.assertIsInstance((await writer.make(change(1))).failure(), Unsettled)
+            self.assertIsInstance((await writer.make(change(1))).failure(), Unconfirmed)
 
         self.run_virtual(scenario())
 
@@ -178,7 +178,7 @@
 
 
 def watch_accepted(state: StoreState, versions: dict[int, str]) -> None:
-    """Note every change that the store itself took, by version."""
+    """Record the ID of every change that the store accepts, by version."""
     write = state.write
 
     def noted(key: str, value: dict[str, Any], expected: int) -> Any:
--- a/packages/daemon/calicopathd/gateway/box.py
+++ b/packages/daemon/calicopathd/gateway/box.py
@@ -1,4 +1,4 @@
-"""Assemble a gateway box: what it follows, schedules and serves."""
+"""Assemble a gateway box: store feeds, scheduling, crash tracking and request handling."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from calicopath_core.scheduling.messages import BackoffNotice, Pong
 from calicopath_core.scheduling.scheduler import Scheduler
 from calicopathd import events
-from calicopathd.gateway.following import StoreFollowing
+from calicopathd.gateway.following import StoreFollower
 from calicopathd.gateway.notices import BoxNotices
 from calicopathd.gateway.peers import PeerLink
 
@@ -47,25 +47,26 @@
     from calicopathd.gateway.observer import GatewayObserver
     from calicopathd.gateway.settings import GatewaySettings
 
-CONNECTIONS_USED = 0.8
-"""The part of a replica's connections that boxes use together: a restarted box opens new ones while
-the replica still holds the old."""
+USABLE_CONNECTIONS_SHARE = 0.8
+"""Share of a replica's connections that all boxes may use together. A restarted box opens new
+connections while the replica still holds its old ones."""
 
-KNOWN_WAIT_S = 0.5
-"""How long a box that could serve waits to hear which requests are blocked. That takes one call to
-the store by one box, and a ping; where it fails, callers are served all the same."""
+BLOCKED_NEWS_WAIT_S = 0.5
+"""How long a box that is otherwise ready waits for the list of blocked requests. One box reads it
+from the store and the others get it with a ping. After this time the box serves without it."""
 
-UNMEASURED_S = 1.0
-"""How often a box that does not schedule looks whether it does."""
+SCHEDULING_CHECK_INTERVAL_S = 1.0
+"""How often a box that is not the scheduler checks whether it has become the scheduler."""
 
-LEAST_CONNECTIONS = 4
-"""What a box may open in any case: a stage's call, one that gives results up, and reports."""
+MIN_CONNECTIONS = 4
+"""Connections to a replica that a box may always open: for a stage call, for a call that frees
+results, and for reports."""
 
 log = structlog.get_logger(__name__)
 
 
 class GatewayBox:
-    """Hold everything that one gateway box consists of; no I/O of its own."""
+    """Hold the components of one gateway box; all I/O goes through the arguments."""
 
     def __init__(
         self,
@@ -73,18 +74,18 @@
         settings: GatewaySettings,
         store: FleetStore,
         transport: PeerTransport,
-        exchanges: ReplicaClient,
-        stages: StageCaller,
+        replica_client: ReplicaClient,
+        stage_caller: StageCaller,
         observer: GatewayObserver,
         seed: int | None = None,
-        alone: bool = False,
+        standalone: bool = False,
     ) -> None:
         self.settings = settings
         self.store = store
         self.observer = observer
         self.clock = SuspensionClock()
         self.rng = random.Random(seed)
-        self.life = f'{settings.box}-{os.urandom(4).hex()}'
+        self.incarnation = f'{settings.box}-{os.urandom(4).hex()}'
         self.job_numbers = itertools.count(1)
         self.leaving = False
         self.view = DeploymentView()
@@ -95,31 +96,31 @@
             own_address=str(settings.peer_listen),
             hubs=self.hubs,
             send=self.send,
-            lender=lambda: self.client.scheduler_address,
-            share=lambda: 1 / max(1, self.election.groups),
+            issuer_address=lambda: self.client.scheduler_address,
+            limit_share=lambda: 1 / max(1, self.election.groups),
             on_backoff=self.on_replica_backoff,
         )
         self.replicas, self.gate = self.notices.replicas, self.notices.gate
-        exchanges.interceptor = stages.interceptor = self.gate
+        replica_client.interceptor = stage_caller.interceptor = self.gate
         self.own = BoxAddress(
             settings.box,
             str(settings.peer_listen),
             settings.failure_domain,
-            self.life,
-            small=settings.small,
+            self.incarnation,
+            small=settings.is_small,
         )
-        self.election = StandaloneElection(own=self.own) if alone else Election(own=self.own)
+        self.election = StandaloneElection(own=self.own) if standalone else Election(own=self.own)
         self.config_since = 0.0
         self.synced_at: float | None = None
         self.group = (0, 1)
-        self.group_rule = GroupPolicy(clock=self.clock)
+        self.group_policy = GroupPolicy(clock=self.clock)
         self.link = PeerLink(
             transport=transport,
             election=self.election,
             clock=self.clock,
             config_version=self.config_version,
             contact=self.contact,
-            on_bad=observer.on_bad_message,
+            on_bad_message=observer.on_bad_message,
         )
         self.ledger = CrashLedger(clock=self.clock, observer=observer)
         self.sharing = CrashSharing(
@@ -130,21 +131,21 @@
             send=self.link.send,
             complete=False,
         )
-        self.keeper = BlockedRequestPersister(
+        self.blocked_persister = BlockedRequestPersister(
             clock=self.clock,
             ledger=self.ledger,
             sharing=self.sharing,
-            is_due=self.keeps_blocked,
+            is_due=self.persists_blocked_requests,
             read=store.read_blocked,
             write=store.write_blocked,
             era=lambda: self.subscription.era(),
-            on_failed=observer.on_blocked_unkept,
+            on_failed=observer.on_blocked_access_failed,
         )
         self.crashes = CrashGuard(ledger=self.ledger, sharing=self.sharing)
         self.scheduler = Scheduler(
             clock=self.clock,
             replicas=self.replicas,
-            caller=stages,
+            caller=stage_caller,
             send=self.link.send,
             observer=observer,
             own_address=self.own.address,
@@ -152,19 +153,19 @@
             crashes=self.crashes,
             backoff_left_s=self.gate.backoffs.remaining_s,
             support_backoff_left_s=self.gate.control_call_available_in_s,
-            permits=self.notices.holder,
+            permits=self.notices.limit_issuer,
             warmup=settings.warmup,
-            pool_factory=self.random_board if alone else None,
+            pool_factory=self.random_engine_pool if standalone else None,
         )
         self.client = SchedulerClient(
             clock=self.clock,
             election=self.election,
             send=self.link.send,
-            on_scheduler=self.on_scheduler,
+            on_scheduler=self.on_scheduler_changed,
             contact=self.contact,
             has_configuration=lambda: self.view.current is not None,
         )
-        self.following = StoreFollowing(
+        self.store_follower = StoreFollower(
             own=self.own,
             settings=settings,
             store=store,
@@ -174,21 +175,24 @@
             view=self.view,
             replicas=self.replicas,
             send=self.link.send,
-            on_boxes=self.on_boxes,
-            on_applied=self.on_applied,
+            on_boxes_changed=self.on_boxes_changed,
+            on_deployment_applied=self.on_deployment_applied,
             is_leaving=lambda: self.leaving,
         )
-        self.evacuations, self.publisher = self.following.evacuations, self.following.publisher
-        self.records, self.feeds = self.following.records, self.following.feeds
-        self.subscription = self.following.subscription
+        self.evacuations, self.publisher = (
+            self.store_follower.evacuations,
+            self.store_follower.publisher,
+        )
+        self.records, self.feeds = self.store_follower.records, self.store_follower.feeds
+        self.subscription = self.store_follower.subscription
         self.link.scheduler, self.link.client = self.scheduler, self.client
-        self.link.subscription, self.link.crashes = self.subscription, self.sharing
+        self.link.subscription, self.link.crash_sharing = self.subscription, self.sharing
         self.link.notices = self.notices
         self.sharing.waiting_boxes = self.unaware_boxes
-        self.executor = ExchangeExecutor(context=self.new_context(exchanges))
+        self.executor = ExchangeExecutor(context=self.new_context(replica_client))
 
-    def new_context(self, exchanges: ReplicaClient) -> ExchangeContext:
-        """Return what this box's exchanges share."""
+    def new_context(self, replica_client: ReplicaClient) -> ExchangeContext:
+        """Return the context that all exchanges of this box share."""
         return ExchangeContext(
             clock=self.clock,
             view=self.view,
@@ -204,46 +208,46 @@
             retry_budgets=RetryBudgets(terms=self.settings.retry_budget),
             election=self.election,
             scheduler=self.client,
-            replica_client=exchanges,
+            replica_client=replica_client,
             observer=self.observer,
             crashes=self.crashes,
-            new_job_id=self.new_job,
-            may_serve=self.serves,
+            new_job_id=self.new_job_id,
+            may_serve=self.may_serve,
             failure_domain=self.settings.failure_domain,
         )
 
-    def random_board(self, spec: EngineSpec) -> EnginePool:
-        """Return a board of the naive baseline."""
+    def random_engine_pool(self, spec: EngineSpec) -> EnginePool:
+        """Return an engine pool of the baseline, which picks engines at random."""
         return RandomEnginePool(slots=spec.slots, kv_tokens=spec.kv_tokens, rng=self.rng)
 
-    def new_job(self) -> str:
-        """Return an identifier that no other job has, of this or another life."""
-        return f'{self.life}-{next(self.job_numbers)}'
+    def new_job_id(self) -> str:
+        """Return a job ID that is unique over all incarnations of this box."""
+        return f'{self.incarnation}-{next(self.job_numbers)}'
 
     def config_version(self) -> int:
-        """Return the version of the configuration in force here, 0 for none."""
+        """Return the version of the configuration in force, 0 if there is none."""
         return self.view.current.version if self.view.current is not None else 0
 
-    def held_position(self, kind: RecordKind) -> Position:
-        """Return the store's position up to which this box knows a kind."""
+    def known_position(self, kind: RecordKind) -> Position:
+        """Return the store position up to which this box has records of a kind."""
         return self.subscription.positions().get(kind, NO_POSITION)
 
     def contact(self) -> StoreContact:
-        """Return how the store answers this box, or the relay that it hears."""
+        """Return how recently the store answered this box or the relay that it follows."""
         return self.subscription.contact()
 
     def connection_share(self, address: str) -> int:
-        """Return how many connections to a replica are this box's part of what it accepts."""
+        """Return how many connections this box may open to a replica."""
         replica = self.replicas.by_address.get(address)
         deployment = self.view.current
         service = deployment.services.get(replica.service) if deployment and replica else None
         if service is None:
-            return LEAST_CONNECTIONS
-        share = service.max_connections * CONNECTIONS_USED / self.election.box_count()
-        return max(LEAST_CONNECTIONS, int(share))
+            return MIN_CONNECTIONS
+        share = service.max_connections * USABLE_CONNECTIONS_SHARE / self.election.box_count()
+        return max(MIN_CONNECTIONS, int(share))
 
     def cold_rate_of(self, service: str) -> float | None:
-        """Return how many requests a second this box may send to a service's cold replica."""
+        """Return the requests per second for a cold replica of a service, `None` for no limit."""
         deployment = self.view.current
         spec = deployment.services.get(service) if deployment is not None else None
         if spec is None or spec.warmup is None:
@@ -251,30 +255,32 @@
         return spec.warmup.per_s / max(1, self.election.box_count())
 
     def limits(self) -> ClientLimits:
-        """Return what callers may send at the moment."""
+        """Return the limits on requests that are in force."""
         return self.view.current.limits if self.view.current is not None else DEFAULT_LIMITS
 
-    def keeps_blocked(self) -> bool:
-        """Tell whether this box is the one that keeps blocked requests in the store."""
+    def persists_blocked_requests(self) -> bool:
+        """Return whether this box persists blocked requests: only the first relay does."""
         return (
-            self.subscription.relay_selection.is_first_relay and self.synced() and not self.leaving
+            self.subscription.relay_selection.is_first_relay
+            and self.is_synced()
+            and not self.leaving
         )
 
-    def synced(self) -> bool:
-        """Tell whether all that says where requests may go was read once."""
+    def is_synced(self) -> bool:
+        """Return whether all records that routing needs have been read once."""
         needed = (kind for kind in self.feeds if kind is not RecordKind.BOX)
         return self.view.current is not None and all(self.feeds[kind].synced for kind in needed)
 
-    def ready(self) -> bool:
-        """Tell whether callers should be sent here."""
-        return self.serves() and bool(self.replicas.replicas) and not self.leaving
+    def is_ready(self) -> bool:
+        """Return whether load balancers should send callers to this box."""
+        return self.may_serve() and bool(self.replicas.replicas) and not self.leaving
 
-    def serves(self) -> bool:
-        """Tell whether what callers ask is sent on."""
-        return self.synced() and self.knows_blocked()
+    def may_serve(self) -> bool:
+        """Return whether requests of callers are sent to replicas."""
+        return self.is_synced() and self.knows_blocked_requests()
 
     def unaware_boxes(self) -> set[str]:
-        """Return the boxes that hear the store through this one, and the other relays."""
+        """Return the subscribers of this box and, if it is a relay, the other relays."""
         relays = (
             self.subscription.relay_selection.candidates
             if self.subscription.relay_selection.is_relay
@@ -282,52 +288,53 @@
         )
         return {*self.publisher.subscribers, *relays}
 
-    def knows_blocked(self) -> bool:
-        """Tell whether the box has heard which requests are blocked, or has waited long enough.
+    def knows_blocked_requests(self) -> bool:
+        """Return whether the box has the list of blocked requests, or has waited long enough.
 
-        Callers who waited while all boxes restarted come at once, and with them what ends replicas.
+        After a restart of all boxes, waiting callers send their requests at once, and some of
+        these may crash replicas; hence boxes should know the list before they serve.
         """
         if self.sharing.complete:
             return True
         now = self.clock.monotonic()
         if self.synced_at is None:
             self.synced_at = now
-        return now - self.synced_at >= KNOWN_WAIT_S
+        return now - self.synced_at >= BLOCKED_NEWS_WAIT_S
 
-    def on_boxes(self, now: float) -> None:
-        """Take in which boxes there are."""
+    def on_boxes_changed(self, now: float) -> None:
+        """Update the election and the relays after a change of the listed boxes."""
         self.election.on_listed(self.records.boxes.values(), now)
-        self.follow_group()
+        self.update_group()
         self.subscription.on_listed(self.records.boxes.values())
 
-    def follow_group(self) -> None:
-        """Schedule for the group that this box is in now, if it schedules."""
-        mine = (self.election.group, self.election.groups)
-        if mine != self.group:
-            self.group = mine
-            self.observer.on_group(*mine)
+    def update_group(self) -> None:
+        """Inform the scheduler if this box belongs to another group now."""
+        current = (self.election.group, self.election.groups)
+        if current != self.group:
+            self.group = current
+            self.observer.on_group_changed(*current)
             self.scheduler.on_replicas()
 
     async def measure_lag(self) -> None:
-        """Measure how late this box's event loop is while it schedules, until cancelled."""
+        """Measure the lag of the event loop while this box is the scheduler, until cancelled."""
         while True:
             if self.client.scheduler_address == self.own.address:
-                await self.group_rule.lag.measure()
+                await self.group_policy.lag.measure()
             else:
-                await asyncio.sleep(UNMEASURED_S)
+                await asyncio.sleep(SCHEDULING_CHECK_INTERVAL_S)
 
-    def judge_groups(self, now: float) -> None:
-        """Have the fleet split, or joined, if this box schedules and finds that it should be."""
+    def adjust_group_count(self, now: float) -> None:
+        """Split or merge groups by the scheduler's load; only a box that schedules decides."""
         if self.client.scheduler_address != self.own.address or self.leaving:
-            self.group_rule.reset()
+            self.group_policy.reset()
             return
-        leads = self.election.is_leader(now)
+        is_leader = self.election.is_leader(now)
         self.election.on_group_count(
-            self.group_rule.next_count(self.election.group_count, is_leader=leads, now=now)
+            self.group_policy.next_count(self.election.group_count, is_leader=is_leader, now=now)
         )
 
-    def on_applied(self, deployment: Deployment) -> None:
-        """Note that a newer configuration is in force."""
+    def on_deployment_applied(self, deployment: Deployment) -> None:
+        """Pass a newer configuration to the scheduler and log it."""
         self.config_since = self.clock.wall()
         self.scheduler.on_deployment(deployment)
         events.emit(
@@ -340,58 +347,58 @@
         )
 
     def send(self, address: str, message: msgspec.Struct) -> None:
-        """Send a message to another box, or to this one."""
+        """Send a message to a box, which may be this one."""
         self.link.send(address, message)
 
     def hubs(self) -> list[str]:
-        """Return the boxes that all others ping, which hear first of what a box has seen."""
+        """Return the addresses of the scheduler candidates, which are notified first."""
         return self.election.candidate_addresses(self.clock.monotonic())
 
     def on_replica_backoff(self, replica: Replica) -> None:
-        """Tell the box that schedules which engine wants nothing from this one."""
+        """Inform the scheduler that a replica asked this box to back off, if it is an engine."""
         if replica.service in self.scheduler.engine_pools:
-            lefts = {replica.id: self.gate.backoffs.remaining_s(replica)}
-            self.tell_backoffs(lefts)
+            remaining_by_replica = {replica.id: self.gate.backoffs.remaining_s(replica)}
+            self.send_backoffs(remaining_by_replica)
 
-    def tell_backoffs(self, lefts: dict[str, float]) -> None:
-        """Tell the box that schedules of engines that want nothing from this one."""
-        if lefts:
-            news = BackoffNotice(address=self.own.address, backoffs=lefts)
-            self.link.send(self.client.scheduler_address, news)
+    def send_backoffs(self, remaining_by_replica: dict[str, float]) -> None:
+        """Send the scheduler the engines that asked for backoffs and the seconds left of each."""
+        if remaining_by_replica:
+            notice = BackoffNotice(address=self.own.address, backoffs=remaining_by_replica)
+            self.link.send(self.client.scheduler_address, notice)
 
-    def on_scheduler(self, address: str, asked_again: int) -> None:
-        """Note that another box schedules now."""
+    def on_scheduler_changed(self, address: str, asked_again: int) -> None:
+        """Start or stop scheduling after a change of the scheduler, and send it the backoffs."""
         for service in self.scheduler.engine_pools:
-            self.tell_backoffs(self.gate.remaining_backoffs(service))
+            self.send_backoffs(self.gate.remaining_backoffs(service))
         if address == self.own.address:
             self.scheduler.succession.activate()
             self.scheduler.stages.on_take_over(has_work=asked_again > 0)
         else:
             self.scheduler.stages.release.on_hand_over()
             self.scheduler.succession.step_down(address)
-        self.notices.on_lender(own=address == self.own.address)
-        self.observer.on_scheduler(address, asked_again)
+        self.notices.on_issuer_changed(is_own=address == self.own.address)
+        self.observer.on_scheduler_changed(address, asked_again)
 
     def tick(self) -> None:
-        """Do what is due by time."""
+        """Run the periodic work: expire entries and adjust groups."""
         now = self.clock.monotonic()
-        self.following.restored.expire()
+        self.store_follower.restore_filter.expire()
         for name in self.replicas.expire(now):
             events.emit(log, events.REPLICA_DROPPED, replica=name, held_s=True)
-        self.judge_groups(now)
-        self.follow_group()
+        self.adjust_group_count(now)
+        self.update_group()
         self.ledger.expire()
         self.notices.expire()
 
     def leave(self) -> None:
-        """Ask for no more callers and hand scheduling over."""
+        """Announce to other boxes that this one leaves, and hand scheduling over."""
         self.leaving = True
         self.election.leaving = True
         self.subscription.announce_leaving()
         self.link.ping_all()
         for candidate in self.election.candidates.values():
             if candidate.last_heard_at is not None:
-                # Boxes that see this one as a candidate learn at once that it leaves.
+                # Tells boxes that see this one as a candidate at once that it leaves.
                 self.link.send(candidate.box.address, self.link.presence(Pong, 0))
         successor = self.election.scheduler(self.clock.monotonic(), self.contact()).address
         if successor != self.own.address:
--- a/packages/daemon/calicopathd/gateway/records.py
+++ b/packages/daemon/calicopathd/gateway/records.py
@@ -1,4 +1,4 @@
-"""Take in what feeds bring of the store's records, and hand it on to boxes that follow this one."""
+"""Apply the records of the store's feeds, and publish them to boxes that follow this one."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     from calicopath_core.fleet.store import Change, Listing
 
 
-class RecordIntake(FeedHandler):
-    """Hold the boxes listed, and fill the tables of replicas, failure domains and the
-    configuration.
+class RecordHandler(FeedHandler):
+    """Hold the listed boxes, and update the replicas, evacuations and the configuration.
 
-    `on_boxes` is told when boxes have changed, `on_applied` of a newer configuration in force.
+    `on_boxes_changed` is called with the monotonic time when the listed boxes have changed, and
+    `on_deployment_applied` with a newer configuration.
     """
 
     def __init__(
@@ -38,24 +38,24 @@
         replicas: ReplicaTable,
         evacuations: Evacuations,
         publisher: Publisher,
-        on_boxes: Callable[[float], None],
-        on_applied: Callable[[Deployment], None],
+        on_boxes_changed: Callable[[float], None],
+        on_deployment_applied: Callable[[Deployment], None],
     ) -> None:
         self.clock = clock
         self.view = view
         self.replicas = replicas
         self.evacuations = evacuations
         self.publisher = publisher
-        self.on_boxes = on_boxes
-        self.on_applied = on_applied
+        self.on_boxes_changed = on_boxes_changed
+        self.on_deployment_applied = on_deployment_applied
         self.boxes: dict[str, BoxAddress] = {}
 
     def on_disrupted(self) -> None:
-        """Note that the store does not tell everything."""
+        """Record that updates from the store may be missing."""
         self.replicas.on_disrupted(self.clock.monotonic())
 
     def on_listing(self, kind: RecordKind, listing: Listing) -> None:
-        """Take a whole kind in."""
+        """Replace all records of a kind."""
         now = self.clock.monotonic()
         records = listing.records
         if kind is RecordKind.REPLICA:
@@ -66,7 +66,7 @@
             self.boxes = {
                 name: item for name, item in records.items() if isinstance(item, BoxAddress)
             }
-            self.on_boxes(now)
+            self.on_boxes_changed(now)
         elif kind is RecordKind.EVACUATION:
             self.evacuations.replace_all(
                 [item for item in records.values() if isinstance(item, Evacuation)]
@@ -78,16 +78,16 @@
         self.publisher.on_listed(kind, listing.position)
 
     def on_changes(self, kind: RecordKind, position: Position, changes: list[Change]) -> None:
-        """Take records in together, and hand them on to boxes that hear the store through this."""
+        """Apply changes as one batch, and publish them to boxes that follow this one."""
         with self.replicas.batch():
             for change in changes:
                 self.on_change(kind, change)
         if kind is RecordKind.BOX:
-            self.on_boxes(self.clock.monotonic())
+            self.on_boxes_changed(self.clock.monotonic())
         self.publisher.on_changed(kind, position, [change.name for change in changes])
 
     def on_change(self, kind: RecordKind, change: Change) -> None:
-        """Take one record's change in."""
+        """Apply the change or removal of one record."""
         now = self.clock.monotonic()
         record = change.record
         if isinstance(record, Deployment):
@@ -106,6 +106,6 @@
             self.replicas.remove(change.name, now)
 
     def on_deployment(self, deployment: Deployment) -> None:
-        """Apply a configuration if it is newer."""
+        """Apply a configuration if it is newer than the one in force."""
         if self.view.apply_if_newer(deployment, self.clock.monotonic()):
-            self.on_applied(deployment)
+            self.on_deployment_applied(deployment)
--- a/packages/daemon/calicopathd/gateway/settings.py
+++ b/packages/daemon/calicopathd/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Define what a box that passes exchanges through must be told."""
+"""Define the settings of a gateway box."""
 
 from __future__ import annotations
 
@@ -11,40 +11,41 @@
     from calicopath_core.exchanges.budget import RetryBudgetTerms
 
 
-CALLERS_SHARE = 0.6
-"""The part of the descriptors that connections of callers may take; the rest are for replicas,
-peers, the store and files."""
+CALLER_DESCRIPTORS_SHARE = 0.6
+"""Share of the file descriptors for connections of callers; the rest are for replicas, peers, the
+store and files."""
 
 SMALL_CORES = 0.8
 SMALL_LINK_MBPS = 50.0
-"""A box with less than this works for others only if no other box can: scheduling took 0.2 to 0.3
-of a core at 74 boxes, and handing a configuration of 350 routes on to 18 boxes some 2 Mbit."""
+"""A box below either limit schedules or relays only if no other box can. Scheduling takes 0.2 to
+0.3 of a core with 74 boxes; relaying a configuration of 350 routes to 18 boxes takes about
+2 Mbit."""
 
 
-DEFAULT_BEAT_S = 1.2
-BEATS_TO_LAPSE = 4
-"""An entry goes after three beats of silence, and something in between."""
+DEFAULT_HEARTBEAT_S = 1.2
+HEARTBEATS_TO_EXPIRY = 4
+"""A replica's entry expires after three missed heartbeats and some tolerance."""
 
 
 class HostPort(NamedTuple):
-    """Hold an address to listen on or to call."""
+    """Hold a host and port to listen on or to connect to."""
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """Return the form in which it is written."""
+        """Return `host:port`."""
         return f'{self.host}:{self.port}'
 
 
 class GatewaySettings(NamedTuple):
-    """Hold the settings of one box; spans are in seconds.
+    """Hold the settings of one box.
 
-    `drain_s` is how long a replica that leaves goes on serving, `stop_grace_s` how long a box may
-    take to stop before it is killed, `evacuate_s` how soon nothing more may reach a failure domain
-    that is taken out; there is none where operators do not take failure domains out. A replica
-    writes its entry each `replica_beat_s`. `warmup` says how far the rate may be passed that a cold
-    replica bears.
+    `drain_s` is how long a leaving replica keeps serving, and `stop_grace_s` how long a box may
+    take to stop before it is killed. `evacuate_s` is the time within which requests must stop
+    reaching a failure domain that is taken out, `None` if evacuations are not used. A replica
+    renews its entry every `replica_heartbeat_s`. `warmup` limits how far the rate of a cold replica
+    may be exceeded.
     """
 
     box: str
@@ -62,27 +63,27 @@
     link_mbps: float
     max_descriptors: int
     evacuate_s: float | None = None
-    replica_beat_s: float = DEFAULT_BEAT_S
+    replica_heartbeat_s: float = DEFAULT_HEARTBEAT_S
     warmup: WarmupTerms = NO_OVERAGE
 
     @property
-    def followed(self) -> tuple[RecordKind, ...]:
-        """Return the kinds of records that a box follows: a watch each at every relay."""
+    def followed_kinds(self) -> tuple[RecordKind, ...]:
+        """Return the kinds of records that a box follows; each costs one watch at every relay."""
         if self.evacuate_s is not None:
             return tuple(RecordKind)
         return tuple(kind for kind in RecordKind if kind is not RecordKind.EVACUATION)
 
     @property
-    def replica_lapse_s(self) -> float:
-        """Return how long the entry of a replica stands that has ended."""
-        return BEATS_TO_LAPSE * self.replica_beat_s
+    def replica_entry_ttl_s(self) -> float:
+        """Return how long the entry of a replica stays after its last heartbeat."""
+        return HEARTBEATS_TO_EXPIRY * self.replica_heartbeat_s
 
     @property
-    def max_callers(self) -> int:
-        """Return how many connections of callers a box holds at once."""
-        return int(self.max_descriptors * CALLERS_SHARE)
+    def max_caller_connections(self) -> int:
+        """Return the limit of open connections of callers."""
+        return int(self.max_descriptors * CALLER_DESCRIPTORS_SHARE)
 
     @property
-    def small(self) -> bool:
-        """Tell whether the box has too little to work for others."""
+    def is_small(self) -> bool:
+        """Return whether the box is too small to schedule or relay for others."""
         return self.cpu_cores < SMALL_CORES or self.link_mbps < SMALL_LINK_MBPS
--- a/packages/daemon/calicopathd/http/parsing.py
+++ b/packages/daemon/calicopathd/http/parsing.py
@@ -95,12 +95,12 @@
     return PipelineRequest(
         id=arrival.request_id,
         text=body.input,
-        arrived=arrival.arrived_s,
+        arrived_at=arrival.arrived_s,
         deadline=arrival.arrived_s + deadline_s,
         priority=priority,
         repeatable=body.repeatable,
         key=arrival.key,
-        body=body_digest(msgspec.json.encode(fingerprint_fields)),
+        body_digest=body_digest(msgspec.json.encode(fingerprint_fields)),
     )
 
 
