--- a/packages/core/calicopath_core/exchanges/budget.py
+++ b/packages/core/calicopath_core/exchanges/budget.py
@@ -9,7 +9,7 @@
 """Part of the fleet's budget that is used; a restarted box loses its count of retries."""
 
 
-class RetryBudgetTerms(NamedTuple):
+class BudgetTerms(NamedTuple):
     """Define the fleet's budget: retries in `window_s` <= `ratio` x requests + `slack`."""
 
     ratio: float
@@ -20,7 +20,7 @@
 class WindowRetryBudget:
     """Count one service's requests and retries on this box over a sliding window."""
 
-    def __init__(self, *, terms: RetryBudgetTerms) -> None:
+    def __init__(self, *, terms: BudgetTerms) -> None:
         self.terms = terms
         self.requests: deque[float] = deque()
         self.retries: deque[float] = deque()
@@ -45,7 +45,7 @@
 class RetryBudgets:
     """Hold one retry budget per service."""
 
-    def __init__(self, *, terms: RetryBudgetTerms) -> None:
+    def __init__(self, *, terms: BudgetTerms) -> None:
         self.terms = terms
         self.by_service: dict[str, WindowRetryBudget] = {}
 
@@ -56,7 +56,7 @@
             found = self.by_service[service] = WindowRetryBudget(terms=self.terms)
         return found
 
-    def set_terms(self, terms: RetryBudgetTerms) -> None:
+    def set_terms(self, terms: BudgetTerms) -> None:
         """Apply changed terms to all services; the counts are kept."""
         self.terms = terms
         for budget in self.by_service.values():
--- a/packages/core/calicopath_core/exchanges/tests/parts_tests.py
+++ b/packages/core/calicopath_core/exchanges/tests/parts_tests.py
@@ -12,7 +12,7 @@
 from calicopath_core.exchanges.balancer import FAILURES_TO_EJECT, Balancer, LoadReport
 from calicopath_core.exchanges.budget import (
     USABLE_BUDGET_RATIO,
-    RetryBudgetTerms,
+    BudgetTerms,
     WindowRetryBudget,
 )
 from calicopath_core.exchanges.events import MAX_EVENT_BYTES, EventSplitter
@@ -46,14 +46,14 @@
 
 class Budget(testtools.TestCase):
     def test_repeats_come_back_as_the_window_slides(self) -> None:
-        budget = WindowRetryBudget(terms=RetryBudgetTerms(0.2, 40.0, 10.0))
+        budget = WindowRetryBudget(terms=BudgetTerms(0.2, 40.0, 10.0))
         spent = sum(budget.try_spend(0.0, 4) for _ in range(100))
         self.assertEqual(int(USABLE_BUDGET_RATIO * 40 / 4), spent)
         self.assertFalse(budget.try_spend(9.9, 4))
         self.assertTrue(budget.try_spend(10.1, 4))
 
     def test_requests_earn_repeats(self) -> None:
-        budget = WindowRetryBudget(terms=RetryBudgetTerms(0.2, 0.0, 10.0))
+        budget = WindowRetryBudget(terms=BudgetTerms(0.2, 0.0, 10.0))
         self.assertFalse(budget.try_spend(0.0, 1))
         for _ in range(10):
             budget.on_request(0.0)
--- a/packages/daemon/calicopathd/gateway/settings.py
+++ b/packages/daemon/calicopathd/gateway/settings.py
@@ -8,7 +8,7 @@
 from calicopath_core.scheduling.starts import NO_OVERAGE, WarmupTerms
 
 if TYPE_CHECKING:
-    from calicopath_core.exchanges.budget import RetryBudgetTerms
+    from calicopath_core.exchanges.budget import BudgetTerms
 
 
 CALLER_DESCRIPTORS_SHARE = 0.6
@@ -58,7 +58,7 @@
     store: HostPort
     drain_s: float
     stop_grace_s: float
-    retry_budget: RetryBudgetTerms
+    retry_budget: BudgetTerms
     cpu_cores: float
     link_mbps: float
     max_descriptors: int
--- a/testkit/gateway_world.py
+++ b/testkit/gateway_world.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from calicopath_core.exchanges.budget import RetryBudgetTerms
+from calicopath_core.exchanges.budget import BudgetTerms
 from calicopath_core.exchanges.messages import (
     Exchange,
 )
@@ -25,7 +25,7 @@
 FAILURE_DOMAINS = ('north', 'south')
 HOST = 'example.test'
 KEY = 'key-1'
-TERMS = RetryBudgetTerms(0.2, 50.0, 10.0)
+TERMS = BudgetTerms(0.2, 50.0, 10.0)
 STAGE = StageSpec(
     concurrency=1,
     batch=4,
