--- a/bench/load.py
+++ b/bench/load.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from calicopath_clients.calls import HttpPlainService, HttpReach, HttpStagePool
+from calicopath_clients.calls import HttpPlainService, HttpEndpointProber, HttpStagePool
 from calicopath_clients.engine import HttpEngine
 from calicopath_clients.sessions import new_session
 from calicopath_core.backends.base import Backends
@@ -180,7 +180,7 @@
                 engine=HttpEngine(session=self.session),
                 pool=HttpStagePool(session=self.session),
                 service=HttpPlainService(session=self.session),
-                prober=HttpReach(),
+                prober=HttpEndpointProber(),
             ),
             rng=self.rng,
         )
--- a/packages/cli/calicopath_cli/__main__.py
+++ b/packages/cli/calicopath_cli/__main__.py
@@ -89,7 +89,7 @@
 
 
 @app.callback()
-def shared(
+def set_shared_options(
     context: typer.Context,
     platform: Annotated[str, typer.Option(envvar='CALICOPATH_PLATFORM', help=PLATFORM_HELP)] = '',
     who: Annotated[str, typer.Option(envvar='CALICOPATH_WHO', help=WHO_HELP)] = '',
@@ -101,16 +101,16 @@
     context.obj = Options(platform, who or getpass.getuser(), output)
 
 
-def run(work: Coroutine[Any, Any, None]) -> None:
+def run_command(command: Coroutine[Any, Any, None]) -> None:
     """Run a command that talks to the platform."""
     try:
-        uvloop.run(work)
+        uvloop.run(command)
     except KeyboardInterrupt:
         print('calicopath: interrupted', file=sys.stderr)
         raise typer.Exit(EXIT_INTERRUPTED) from None
 
 
-def options_of(context: typer.Context) -> Options:
+def platform_options(context: typer.Context) -> Options:
     """Return the shared options of a command that needs the platform."""
     options: Options = context.obj
     if not options.platform:
@@ -127,13 +127,13 @@
 @app.command(help=APPLY_HELP)
 def apply(context: typer.Context, paths: Paths, wait: Wait = None) -> None:
     """Apply files."""
-    run(apply_command.apply(options_of(context), paths, wait))
+    run_command(apply_command.apply(platform_options(context), paths, wait))
 
 
 @app.command(help=STATUS_HELP)
 def status(context: typer.Context, last: Last = 10) -> None:
     """Show boxes and changes."""
-    run(status_command.status(options_of(context), last))
+    run_command(status_command.status(platform_options(context), last))
 
 
 @app.command('gateways', help=GATEWAYS_HELP)
@@ -142,7 +142,7 @@
     address: Annotated[str, typer.Argument(help=GATEWAY_ADDRESS_HELP)],
 ) -> None:
     """Show what is in force on boxes before callers."""
-    run(gateways.gateways(address, context.obj.output))
+    run_command(gateways.gateways(address, context.obj.output))
 
 
 @app.command('replicas', help=REPLICAS_HELP)
@@ -151,7 +151,7 @@
     address: Annotated[str, typer.Argument(help=GATEWAY_ADDRESS_HELP)],
 ) -> None:
     """Show the replicas that boxes do not call, and why."""
-    run(replicas.replicas(address, context.obj.output))
+    run_command(replicas.replicas(address, context.obj.output))
 
 
 @app.command('blocked', help=BLOCKED_HELP)
@@ -162,9 +162,9 @@
 ) -> None:
     """Show the requests under which replicas end, or let one go."""
     if release:
-        run(blocked.release(address, release, context.obj.who))
+        run_command(blocked.release(address, release, context.obj.who))
         return
-    run(blocked.blocked(address, context.obj.output))
+    run_command(blocked.blocked(address, context.obj.output))
 
 
 @app.command(help=AUDIT_HELP)
@@ -174,49 +174,49 @@
     last: Last = 50,
 ) -> None:
     """Show the audit trail."""
-    run(audit_command.audit(options_of(context), key, last))
+    run_command(audit_command.audit(platform_options(context), key, last))
 
 
 @template_app.command('list')
 def template_list(context: typer.Context) -> None:
     """List the templates."""
-    run(objects.list_objects(options_of(context), TEMPLATE_PREFIX))
+    run_command(objects.list_objects(platform_options(context), TEMPLATE_PREFIX))
 
 
 @template_app.command('show')
 def template_show(context: typer.Context, name: str) -> None:
     """Print a template."""
-    run(objects.show_object(options_of(context), template_key(name)))
+    run_command(objects.show_object(platform_options(context), template_key(name)))
 
 
 @template_app.command('delete')
 def template_delete(context: typer.Context, name: str, wait: Wait = None) -> None:
     """Delete a template that no pipeline uses."""
-    run(objects.delete_object(options_of(context), template_key(name), wait))
+    run_command(objects.delete_object(platform_options(context), template_key(name), wait))
 
 
 @pipeline_app.command('list')
 def pipeline_list(context: typer.Context) -> None:
     """List the pipelines of all workspaces."""
-    run(objects.list_objects(options_of(context), PIPELINE_PREFIX))
+    run_command(objects.list_objects(platform_options(context), PIPELINE_PREFIX))
 
 
 @pipeline_app.command('show')
 def pipeline_show(context: typer.Context, workspace: str, name: str) -> None:
     """Print a workspace's pipeline."""
-    run(objects.show_object(options_of(context), pipeline_key(workspace, name)))
+    run_command(objects.show_object(platform_options(context), pipeline_key(workspace, name)))
 
 
 @pipeline_app.command('delete')
 def pipeline_delete(context: typer.Context, workspace: str, name: str, wait: Wait = None) -> None:
     """Delete a workspace's pipeline."""
-    run(objects.delete_object(options_of(context), pipeline_key(workspace, name), wait))
+    run_command(objects.delete_object(platform_options(context), pipeline_key(workspace, name), wait))
 
 
 @endpoint_app.command('list')
 def endpoint_list(context: typer.Context) -> None:
     """List the endpoints."""
-    run(endpoints.list_endpoints(options_of(context)))
+    run_command(endpoints.list_endpoints(platform_options(context)))
 
 
 @endpoint_app.command('add', help=ADD_HELP)
@@ -241,19 +241,19 @@
         'concurrency': concurrency,
         'state': EndpointState.ACTIVE.value,
     }
-    run(endpoints.add_endpoint(options_of(context), spec, wait))
+    run_command(endpoints.add_endpoint(platform_options(context), spec, wait))
 
 
 @endpoint_app.command('drain', help=DRAIN_HELP)
 def endpoint_drain(context: typer.Context, name: str, wait: Wait = None) -> None:
     """Drain an endpoint."""
-    run(endpoints.set_state(options_of(context), name, EndpointState.DRAINING, wait))
+    run_command(endpoints.set_state(platform_options(context), name, EndpointState.DRAINING, wait))
 
 
 @endpoint_app.command('stop', help=STOP_HELP)
 def endpoint_stop(context: typer.Context, name: str, wait: Wait = None) -> None:
     """Stop an endpoint."""
-    run(endpoints.set_state(options_of(context), name, EndpointState.STOPPED, wait))
+    run_command(endpoints.set_state(platform_options(context), name, EndpointState.STOPPED, wait))
 
 
 def main() -> None:
--- a/packages/cli/calicopath_cli/commands/apply.py
+++ b/packages/cli/calicopath_cli/commands/apply.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from calicopath_cli.commands.check import load_documents
-from calicopath_cli.utils.inforce import wait_in_force
+from calicopath_cli.utils.inforce import wait_until_in_force
 from calicopath_cli.utils.operator import Operator, Options, open_operator
 from calicopath_cli.utils.output import OutputFormat, print_json
 from calicopath_core.store.records import ChangeAction
@@ -19,7 +19,7 @@
     from calicopath_core.store.changes import Accepted
 
 
-class Current(NamedTuple):
+class CurrentObject(NamedTuple):
     """Hold what the platform has under a key."""
 
     version: int
@@ -33,26 +33,26 @@
         in_force = {key: item.spec for key, item in current.items() if item.spec is not None}
         documents = load_documents(paths, in_force)
         changed = [item for item in documents if in_force.get(item.key) != item.spec]
-        report(options, await apply_all(operator, changed, current, wait_s), documents)
+        print_summary(options, await apply_all(operator, changed, current, wait_s), documents)
 
 
-async def read_current(operator: Operator) -> dict[str, Current]:
+async def read_current(operator: Operator) -> dict[str, CurrentObject]:
     """Read all configuration, deleted objects too."""
     objects = await operator.store.list(CONFIG_PREFIX)
-    return {item.key: Current(item.version, item.value['spec']) for item in objects}
+    return {item.key: CurrentObject(item.version, item.value['spec']) for item in objects}
 
 
 async def apply_all(
     operator: Operator,
     documents: Sequence[Document],
-    current: dict[str, Current],
+    current: dict[str, CurrentObject],
     wait_s: float | None,
 ) -> list[Accepted]:
     """Write documents one by one; a conflict stops before the next."""
     accepted = []
     for document in documents:
-        known = current.get(document.key, Current(0, None))
-        change = await operator.change(
+        known = current.get(document.key, CurrentObject(0, None))
+        change = await operator.make_change(
             document.key, document.spec, ChangeAction.APPLY, known.version
         )
         if operator.options.output is OutputFormat.TEXT:
@@ -60,13 +60,13 @@
         accepted.append(change)
     if wait_s is not None:
         for change in accepted:
-            found = await wait_in_force(operator, change, wait_s)
+            in_force = await wait_until_in_force(operator, change, wait_s)
             if operator.options.output is OutputFormat.TEXT:
-                print(f'{found.key}: in force on {found.in_force} of {found.boxes} boxes')
+                print(f'{in_force.key}: in force on {in_force.in_force} of {in_force.boxes} boxes')
     return accepted
 
 
-def report(options: Options, accepted: list[Accepted], documents: Sequence[Document]) -> None:
+def print_summary(options: Options, accepted: list[Accepted], documents: Sequence[Document]) -> None:
     """Sum up what was done."""
     unchanged = len(documents) - len(accepted)
     if options.output is OutputFormat.JSON:
--- a/packages/cli/calicopath_cli/commands/blocked.py
+++ b/packages/cli/calicopath_cli/commands/blocked.py
@@ -6,9 +6,9 @@
 
 import aiohttp
 
-from calicopath_cli.commands.gateways import moment
+from calicopath_cli.commands.gateways import format_time
 from calicopath_cli.exceptions import CommandError
-from calicopath_cli.utils.gateways import ask_gateways, grouped
+from calicopath_cli.utils.gateways import query_gateways, group_items
 from calicopath_cli.utils.output import OutputFormat, print_json, print_table
 
 HEADERS = ('request', 'service', 'since', 'until', 'replicas ended', 'boxes')
@@ -30,19 +30,19 @@
 async def blocked(address: str, output: OutputFormat) -> None:
     """Ask one box for all, each for what it blocks, and show that."""
     async with aiohttp.ClientSession() as session:
-        answers = await ask_gateways(session, address, '/blocked')
-    rows = joined(list(answers.values()))
+        answers = await query_gateways(session, address, '/blocked')
+    rows = rows_of(list(answers.values()))
     if output is OutputFormat.JSON:
         print_json([row._asdict() for row in rows])
         return
-    print_table(HEADERS, [cells(row) for row in rows])
+    print_table(HEADERS, [table_cells(row) for row in rows])
 
 
-def joined(answers: list[Any]) -> list[BlockedRow]:
+def rows_of(answers: list[Any]) -> list[BlockedRow]:
     """Return a row a request, those blocked last first."""
-    found = grouped(answers, 'content', 'service')
+    grouped = group_items(answers, 'content', 'service')
     rows = []
-    for (content, service), items in found.items.items():
+    for (content, service), items in grouped.items.items():
         first = min(items, key=lambda item: float(item['since']))
         rows.append(
             BlockedRow(
@@ -52,19 +52,19 @@
                 until=max(float(item['until']) for item in items),
                 replicas=first['replicas'],
                 boxes=len(items),
-                asked=found.asked,
+                asked=grouped.answered_boxes,
             )
         )
     return sorted(rows, key=lambda row: (-row.since, row.content, row.service))
 
 
-def cells(row: BlockedRow) -> tuple[Any, ...]:
+def table_cells(row: BlockedRow) -> tuple[Any, ...]:
     """Return a row as it is shown."""
     return (
         row.content,
         row.service,
-        moment(row.since),
-        moment(row.until),
+        format_time(row.since),
+        format_time(row.until),
         ', '.join(row.replicas),
         f'{row.boxes} of {row.asked}',
     )
--- a/packages/cli/calicopath_cli/commands/endpoints.py
+++ b/packages/cli/calicopath_cli/commands/endpoints.py
@@ -6,9 +6,9 @@
 
 from returns.result import Failure
 
-from calicopath_cli.commands.objects import find
+from calicopath_cli.commands.objects import get_existing
 from calicopath_cli.exceptions import InvalidInput
-from calicopath_cli.utils.inforce import wait_in_force
+from calicopath_cli.utils.inforce import wait_until_in_force
 from calicopath_cli.utils.operator import Operator, Options, open_operator
 from calicopath_cli.utils.output import OutputFormat, print_json, print_rows
 from calicopath_core.config.parsers import parse_endpoint
@@ -47,8 +47,8 @@
         if found is not None and is_active(found):
             raise InvalidInput(f'{key}: exists already')
         version = found.version if found else ABSENT
-        accepted = await operator.change(key, spec, ChangeAction.ADD, version)
-        await report(operator, accepted, 'active', wait_s)
+        accepted = await operator.make_change(key, spec, ChangeAction.ADD, version)
+        await print_change(operator, accepted, 'active', wait_s)
 
 
 def is_active(found: StoredObject) -> bool:
@@ -63,18 +63,18 @@
     """Drain an endpoint (no new work, calls in progress end) or stop it (out of service)."""
     key = endpoint_key(name)
     async with open_operator(options) as operator:
-        found = await find(operator, key)
+        found = await get_existing(operator, key)
         spec = {**found.value['spec'], 'state': state.value}
-        accepted = await operator.change(key, spec, ACTIONS[state], found.version)
-        await report(operator, accepted, state.value, wait_s)
+        accepted = await operator.make_change(key, spec, ACTIONS[state], found.version)
+        await print_change(operator, accepted, state.value, wait_s)
 
 
-async def report(operator: Operator, accepted: Accepted, state: str, wait_s: float | None) -> None:
+async def print_change(operator: Operator, accepted: Accepted, state: str, wait_s: float | None) -> None:
     """Say what was accepted and, if asked, where it is in force."""
     result = {**accepted._asdict(), 'state': state}
     if wait_s is not None:
-        found = await wait_in_force(operator, accepted, wait_s)
-        result.update(boxes=found.boxes, in_force=found.in_force)
+        in_force = await wait_until_in_force(operator, accepted, wait_s)
+        result.update(boxes=in_force.boxes, in_force=in_force.in_force)
     if operator.options.output is OutputFormat.JSON:
         print_json(result)
         return
--- a/packages/cli/calicopath_cli/commands/objects.py
+++ b/packages/cli/calicopath_cli/commands/objects.py
@@ -7,7 +7,7 @@
 import yaml
 
 from calicopath_cli.exceptions import InvalidInput
-from calicopath_cli.utils.inforce import wait_in_force
+from calicopath_cli.utils.inforce import wait_until_in_force
 from calicopath_cli.utils.operator import Operator, Options, open_operator
 from calicopath_cli.utils.output import OutputFormat, print_json, print_rows
 from calicopath_core.store.records import ChangeAction
@@ -29,7 +29,7 @@
     print_rows(options.output, ('name', 'version', 'changed by'), rows)
 
 
-async def find(operator: Operator, key: str) -> StoredObject:
+async def get_existing(operator: Operator, key: str) -> StoredObject:
     """Return an object; raise `InvalidInput` if there is none."""
     found = await operator.store.get(key)
     if found is None or found.value['spec'] is None:
@@ -40,7 +40,7 @@
 async def show_object(options: Options, key: str) -> None:
     """Print one object as a configuration file would have it."""
     async with open_operator(options) as operator:
-        found = await find(operator, key)
+        found = await get_existing(operator, key)
     if options.output is OutputFormat.JSON:
         print_json({'key': key, 'version': found.version, **found.value})
         return
@@ -50,16 +50,16 @@
 async def delete_object(options: Options, key: str, wait_s: float | None) -> None:
     """Delete one object, leaving a tombstone; templates in use cannot be deleted."""
     async with open_operator(options) as operator:
-        found = await find(operator, key)
-        await refuse_if_used(operator, found)
-        accepted = await operator.change(key, None, ChangeAction.DELETE, found.version)
+        found = await get_existing(operator, key)
+        await check_unused(operator, found)
+        accepted = await operator.make_change(key, None, ChangeAction.DELETE, found.version)
         print(f'{key}: deleted as version {accepted.version}')
         if wait_s is not None:
-            state = await wait_in_force(operator, accepted, wait_s)
-            print(f'{key}: in force on {state.in_force} of {state.boxes} boxes')
+            in_force = await wait_until_in_force(operator, accepted, wait_s)
+            print(f'{key}: in force on {in_force.in_force} of {in_force.boxes} boxes')
 
 
-async def refuse_if_used(operator: Operator, found: StoredObject) -> None:
+async def check_unused(operator: Operator, found: StoredObject) -> None:
     """Raise `InvalidInput` if pipelines need a template."""
     spec = found.value['spec']
     if spec['kind'] != 'template':
--- a/packages/cli/calicopath_cli/commands/replicas.py
+++ b/packages/cli/calicopath_cli/commands/replicas.py
@@ -6,8 +6,8 @@
 
 import aiohttp
 
-from calicopath_cli.commands.gateways import moment
-from calicopath_cli.utils.gateways import ask_gateways, grouped
+from calicopath_cli.commands.gateways import format_time
+from calicopath_cli.utils.gateways import query_gateways, group_items
 from calicopath_cli.utils.output import OutputFormat, print_json, print_table
 
 HEADERS = (
@@ -23,7 +23,7 @@
 )
 
 
-class BarredRow(NamedTuple):
+class ExcludedReplicaRow(NamedTuple):
     """Hold why replicas are not called as the box tells that knows it longest.
 
     `boxes` counts those that know it, of those that answered. `per_s` is the lowest limit that is
@@ -45,31 +45,31 @@
 async def replicas(address: str, output: OutputFormat) -> None:
     """Ask one box for all, each for the replicas that it does not call, and show that."""
     async with aiohttp.ClientSession() as session:
-        answers = await ask_gateways(session, address, '/replicas')
-    rows = joined(list(answers.values()))
+        answers = await query_gateways(session, address, '/replicas')
+    rows = rows_of(list(answers.values()))
     if output is OutputFormat.JSON:
         print_json([row._asdict() for row in rows])
         return
-    print_table(HEADERS, [cells(row) for row in rows])
+    print_table(HEADERS, [table_cells(row) for row in rows])
 
 
-def joined(answers: list[Any]) -> list[BarredRow]:
+def rows_of(answers: list[Any]) -> list[ExcludedReplicaRow]:
     """Return a row a replica and reason, by service and name."""
-    found = grouped(answers, 'service', 'replica', 'bar')
+    grouped = group_items(answers, 'service', 'replica', 'bar')
     rows = []
-    for (service, replica, bar), items in sorted(found.items.items()):
-        known = [item for item in items if item['since']] or items
-        first = min(known, key=lambda item: float(item['since']))
+    for (service, replica, exclusion), items in sorted(grouped.items.items()):
+        dated = [item for item in items if item['since']] or items
+        first = min(dated, key=lambda item: float(item['since']))
         rows.append(
-            BarredRow(
+            ExcludedReplicaRow(
                 replica=replica,
                 service=service,
-                bar=bar,
+                bar=exclusion,
                 source=first['source'],
                 since=first['since'],
                 until=max(float(item['until']) for item in items),
                 boxes=len(items),
-                asked=found.asked,
+                asked=grouped.answered_boxes,
                 per_s=min((item['per_s'] for item in items if item.get('per_s')), default=None),
                 sent=sum(item.get('sent', 0) for item in items),
             )
@@ -77,15 +77,15 @@
     return rows
 
 
-def cells(row: BarredRow) -> tuple[Any, ...]:
+def table_cells(row: ExcludedReplicaRow) -> tuple[Any, ...]:
     """Return a row as it is shown."""
     return (
         row.replica,
         row.service,
         row.bar,
         row.source,
-        moment(row.since),
-        moment(row.until),
+        format_time(row.since),
+        format_time(row.until),
         f'{row.boxes} of {row.asked}',
         '' if row.per_s is None else f'{row.per_s:g}',
         '' if row.per_s is None else row.sent,
--- a/packages/cli/calicopath_cli/commands/status.py
+++ b/packages/cli/calicopath_cli/commands/status.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from calicopath_cli.utils.inforce import InForce, ask_boxes
+from calicopath_cli.utils.inforce import InForce, query_boxes
 from calicopath_cli.utils.operator import Operator, Options, open_operator
 from calicopath_cli.utils.output import OutputFormat, print_json, print_table
 from calicopath_core.structure.keys import CONFIG_PREFIX
@@ -15,9 +15,9 @@
 async def status(options: Options, last: int) -> None:
     """Show every box and, for the last changes, on how many boxes each is in force."""
     async with open_operator(options) as operator:
-        boxes = await ask_boxes(operator, '/admin/v1/status')
-        versions = await ask_boxes(operator, '/admin/v1/versions')
-        changes = await last_changes(operator, versions, last)
+        boxes = await query_boxes(operator, '/admin/v1/status')
+        versions = await query_boxes(operator, '/admin/v1/versions')
+        changes = await latest_changes(operator, versions, last)
     if options.output is OutputFormat.JSON:
         print_json({'boxes': boxes, 'changes': [change._asdict() for change in changes]})
         return
@@ -41,7 +41,7 @@
     )
 
 
-async def last_changes(
+async def latest_changes(
     operator: Operator, versions: dict[str, dict[str, int] | None], last: int
 ) -> list[InForce]:
     """Return where each of the last changes is in force, newest first."""
--- a/packages/cli/calicopath_cli/tests/blocked_tests.py
+++ b/packages/cli/calicopath_cli/tests/blocked_tests.py
@@ -32,12 +32,12 @@
     async def boxes(request: web.Request) -> web.Response:
         return web.json_response(listed)
 
-    async def tell(request: web.Request) -> web.Response:
+    async def list_blocked(request: web.Request) -> web.Response:
         if items is None:
             raise web.HTTPServiceUnavailable
         return web.json_response([item for item in items if item['content'] not in released])
 
-    async def let_go(request: web.Request) -> web.Response:
+    async def release_request(request: web.Request) -> web.Response:
         content = request.query['content']
         found = [item for item in items or () if item['content'] == content]
         released.append(content)
@@ -46,13 +46,13 @@
         )
 
     app.router.add_get('/boxes', boxes)
-    app.router.add_get('/blocked', tell)
-    app.router.add_post('/blocked/release', let_go)
+    app.router.add_get('/blocked', list_blocked)
+    app.router.add_post('/blocked/release', release_request)
     return app
 
 
 class Blocked(testtools.TestCase):
-    def printed(self, *words: str) -> str:
+    def run_command(self, *released: str) -> str:
         """Return what the command prints, after letting go what is named."""
 
         async def scenario() -> str:
@@ -63,7 +63,7 @@
                     url = await stack.enter_async_context(served(box(items, listed)))
                     listed.append({'box': name, 'address': url.removeprefix('http://')})
                 with contextlib.redirect_stdout(printed):
-                    for word in words:
+                    for word in released:
                         await release(listed[0]['address'], word, 'me')
                     await blocked(listed[0]['address'], OutputFormat.JSON)
             return printed.getvalue()
@@ -71,21 +71,21 @@
         return asyncio.run(scenario())
 
     def test_each_request_has_a_row_and_says_on_how_many_boxes_it_is_blocked(self) -> None:
-        rows = json.loads(self.printed())
-        self.assertEqual([('c2', 1, 2), ('c1', 2, 2)], [shown(row) for row in rows])
+        rows = json.loads(self.run_command())
+        self.assertEqual([('c2', 1, 2), ('c1', 2, 2)], [row_summary(row) for row in rows])
         self.assertEqual((100.0, 950.0), (rows[1]['since'], rows[1]['until']))
 
     def test_one_is_let_go_and_what_is_not_blocked_is_said_so(self) -> None:
-        words, _, rest = self.printed('c2').partition('\n')
+        words, _, rest = self.run_command('c2').partition('\n')
         self.assertEqual('c2 is let go: engine', words)
-        self.assertEqual([('c1', 2, 2)], [shown(row) for row in json.loads(rest)])
-        self.assertRaises(CommandError, self.printed, 'c9')
+        self.assertEqual([('c1', 2, 2)], [row_summary(row) for row in json.loads(rest)])
+        self.assertRaises(CommandError, self.run_command, 'c9')
 
     def test_where_no_box_answers_it_fails(self) -> None:
         work = blocked('127.0.0.1:9', OutputFormat.JSON)
         self.assertRaises(CommandError, asyncio.run, work)
 
 
-def shown(row: dict[str, Any]) -> tuple[str, int, int]:
+def row_summary(row: dict[str, Any]) -> tuple[str, int, int]:
     """Return what tells rows apart."""
     return row['content'], row['boxes'], row['asked']
--- a/packages/cli/calicopath_cli/tests/commands_tests.py
+++ b/packages/cli/calicopath_cli/tests/commands_tests.py
@@ -35,7 +35,7 @@
 
 
 class Commands(testtools.TestCase):
-    def operate(
+    def run_steps(
         self,
         *steps: Callable[[Options], Awaitable[None]],
         platform: PlatformStandIn | None = None,
@@ -60,14 +60,14 @@
 
     def test_applying_twice_changes_nothing_the_second_time(self) -> None:
         platform = PlatformStandIn()
-        self.operate(self.apply, platform=platform)
-        printed = self.operate(self.apply, platform=platform)
+        self.run_steps(self.apply, platform=platform)
+        printed = self.run_steps(self.apply, platform=platform)
         self.assertEqual({'accepted': [], 'unchanged': 21}, json.loads(printed))
 
     def test_wrong_files_change_nothing(self) -> None:
         platform = PlatformStandIn()
         with self.assertRaises(InvalidInput):
-            self.operate(
+            self.run_steps(
                 lambda options: apply.apply(options, [CONFIG / 'pipelines.yaml'], None),
                 platform=platform,
             )
@@ -75,14 +75,14 @@
 
     def test_a_drain_is_a_change_with_its_record(self) -> None:
         platform = PlatformStandIn()
-        self.operate(
+        self.run_steps(
             self.apply,
             lambda options: endpoints.set_state(
                 options, 'drafting-1', EndpointState.DRAINING, None
             ),
             platform=platform,
         )
-        printed = self.operate(
+        printed = self.run_steps(
             lambda options: audit.audit(options, 'endpoints/drafting-1', 50), platform=platform
         )
         records = json.loads(printed)
@@ -94,32 +94,32 @@
     def test_a_deleted_object_stays_as_a_tombstone_and_can_come_back(self) -> None:
         platform = PlatformStandIn()
         key = pipeline_key('towpath', 'answer')
-        self.operate(
+        self.run_steps(
             self.apply,
             lambda options: objects.delete_object(options, key, None),
             platform=platform,
         )
         self.assertIsNone(platform.objects[key]['value']['spec'])
-        self.operate(self.apply, platform=platform)
+        self.run_steps(self.apply, platform=platform)
         self.assertEqual(3, platform.objects[key]['value']['change']['sequence'])
 
     def test_a_template_in_use_cannot_be_deleted(self) -> None:
         with self.assertRaises(InvalidInput):
-            self.operate(
+            self.run_steps(
                 self.apply,
                 lambda options: objects.delete_object(options, template_key('deposit'), None),
             )
 
     def test_an_endpoint_that_exists_cannot_be_added_again_but_a_stopped_one_can(self) -> None:
         platform = PlatformStandIn()
-        self.operate(self.apply, platform=platform)
+        self.run_steps(self.apply, platform=platform)
         spec = dict(platform.objects[endpoint_key('drafting-1')]['value']['spec'], state='active')
         add: Callable[[Options], Awaitable[None]] = lambda options: endpoints.add_endpoint(  # noqa: E731
             options, spec, None
         )
         with self.assertRaises(InvalidInput):
-            self.operate(add, platform=platform)
-        self.operate(
+            self.run_steps(add, platform=platform)
+        self.run_steps(
             lambda options: endpoints.set_state(options, 'drafting-1', EndpointState.STOPPED, None),
             add,
             platform=platform,
@@ -130,20 +130,20 @@
     def test_a_lost_answer_is_settled_and_recorded_once(self) -> None:
         platform = PlatformStandIn()
         platform.faults.lose_answers = 1
-        self.operate(self.apply, platform=platform)
-        printed = self.operate(lambda options: audit.audit(options, '', 100), platform=platform)
+        self.run_steps(self.apply, platform=platform)
+        printed = self.run_steps(lambda options: audit.audit(options, '', 100), platform=platform)
         self.assertEqual(21, len(json.loads(printed)))
 
     def test_a_platform_that_is_down_is_one_line_and_nothing_is_changed(self) -> None:
         platform = PlatformStandIn()
         platform.faults.down = True
         with self.assertRaises(Exception) as raised:
-            self.operate(self.apply, platform=platform)
+            self.run_steps(self.apply, platform=platform)
         self.assertIn('object API', str(raised.exception))
 
     def test_a_change_is_not_called_in_force_where_no_box_is_listed(self) -> None:
         with self.assertRaises(NotInForce):
-            self.operate(lambda options: apply.apply(options, [CONFIG], 0.0))
+            self.run_steps(lambda options: apply.apply(options, [CONFIG], 0.0))
 
     def test_a_change_not_in_force_on_a_silent_box_is_reported_so(self) -> None:
         platform = PlatformStandIn()
@@ -155,7 +155,7 @@
             'leaving': False,
         }
         with self.assertRaises(NotInForce) as raised:
-            self.operate(
+            self.run_steps(
                 self.apply,
                 lambda options: endpoints.set_state(
                     options, 'drafting-1', EndpointState.DRAINING, 0.0
@@ -163,7 +163,7 @@
                 platform=platform,
             )
         self.assertIn('0 of 1 boxes; no answer from box-1', str(raised.exception))
-        printed = self.operate(lambda options: status.status(options, 1), platform=platform)
+        printed = self.run_steps(lambda options: status.status(options, 1), platform=platform)
         change = json.loads(printed)['changes'][0]
         self.assertEqual(
             (endpoint_key('drafting-1'), 0, 1), (change['key'], change['in_force'], change['boxes'])
--- a/packages/cli/calicopath_cli/tests/gateways_tests.py
+++ b/packages/cli/calicopath_cli/tests/gateways_tests.py
@@ -38,7 +38,7 @@
 
 
 class Gateways(testtools.TestCase):
-    def table(self, output: OutputFormat) -> str:
+    def run_command(self, output: OutputFormat) -> str:
         """Return what the command prints for boxes that differ."""
 
         async def scenario() -> str:
@@ -55,7 +55,7 @@
         return asyncio.run(scenario())
 
     def test_boxes_that_are_behind_come_first_and_say_in_what(self) -> None:
-        rows = json.loads(self.table(OutputFormat.JSON))
+        rows = json.loads(self.run_command(OutputFormat.JSON))
         found = {row['box']: row['behind'] for row in rows}
         self.assertEqual('', found.pop('fresh'))
         self.assertEqual('fresh', rows[-1]['box'])
@@ -71,7 +71,7 @@
         )
 
     def test_people_read_since_when_and_why(self) -> None:
-        table = self.table(OutputFormat.TEXT)
+        table = self.run_command(OutputFormat.TEXT)
         self.assertIn('1970-01-01 00:03:20', table)
         self.assertIn('graceS: missing', table)
         self.assertIn('b since 1970-01-01 00:05:00 (r9)', table)
--- a/packages/cli/calicopath_cli/tests/replicas_tests.py
+++ b/packages/cli/calicopath_cli/tests/replicas_tests.py
@@ -15,7 +15,7 @@
 from calicopath_cli.utils.output import OutputFormat
 from testkit.servers import served
 
-LEAVES = {
+LEAVING = {
     'replica': 'r1',
     'service': 'engine',
     'bar': 'leaving',
@@ -23,11 +23,11 @@
     'since': 200.0,
     'until': 0.0,
 }
-PAUSE = LEAVES | {'replica': 'r2', 'bar': 'backoff', 'since': 300.0, 'until': 303.0}
-DRAINS = LEAVES | {'replica': 'r3', 'bar': 'draining', 'source': 'store', 'since': 0.0}
-TOLD: tuple[list[dict[str, Any]] | None, ...] = (
-    [LEAVES, PAUSE],
-    [LEAVES | {'source': 'box-1:7', 'since': 201.0}, DRAINS],
+BACKOFF = LEAVING | {'replica': 'r2', 'bar': 'backoff', 'since': 300.0, 'until': 303.0}
+DRAINING = LEAVING | {'replica': 'r3', 'bar': 'draining', 'source': 'store', 'since': 0.0}
+ANSWERS: tuple[list[dict[str, Any]] | None, ...] = (
+    [LEAVING, BACKOFF],
+    [LEAVING | {'source': 'box-1:7', 'since': 201.0}, DRAINING],
     None,
 )
 
@@ -39,25 +39,25 @@
     async def boxes(request: web.Request) -> web.Response:
         return web.json_response(listed)
 
-    async def tell(request: web.Request) -> web.Response:
+    async def list_replicas(request: web.Request) -> web.Response:
         if items is None:
             raise web.HTTPServiceUnavailable
         return web.json_response(items)
 
     app.router.add_get('/boxes', boxes)
-    app.router.add_get('/replicas', tell)
+    app.router.add_get('/replicas', list_replicas)
     return app
 
 
 class Replicas(testtools.TestCase):
-    def printed(self, output: OutputFormat) -> str:
+    def run_command(self, output: OutputFormat) -> str:
         """Return what the command prints."""
 
         async def scenario() -> str:
             printed = io.StringIO()
             listed: list[dict[str, str]] = []
             async with contextlib.AsyncExitStack() as stack:
-                for number, items in enumerate(TOLD):
+                for number, items in enumerate(ANSWERS):
                     url = await stack.enter_async_context(served(box(items, listed)))
                     listed.append({'box': f'b{number}', 'address': url.removeprefix('http://')})
                 with contextlib.redirect_stdout(printed):
@@ -67,7 +67,7 @@
         return asyncio.run(scenario())
 
     def test_each_has_a_row_with_who_told_first_and_how_many_boxes_know(self) -> None:
-        rows = json.loads(self.printed(OutputFormat.JSON))
+        rows = json.loads(self.run_command(OutputFormat.JSON))
         shown = [(row['replica'], row['bar'], row['source'], row['boxes']) for row in rows]
         self.assertEqual(
             [
@@ -80,6 +80,6 @@
         self.assertEqual({2}, {row['asked'] for row in rows})
 
     def test_the_table_leaves_out_times_that_nobody_knows(self) -> None:
-        lines = self.printed(OutputFormat.TEXT).splitlines()
+        lines = self.run_command(OutputFormat.TEXT).splitlines()
         self.assertIn('1970-01-01 00:05:03', lines[2])
         self.assertNotIn('1970', lines[3])
--- a/packages/cli/calicopath_cli/utils/inforce.py
+++ b/packages/cli/calicopath_cli/utils/inforce.py
@@ -17,7 +17,7 @@
 
 POLL_S = 0.1
 BOX_TIMEOUT_S = 2.0
-MAX_PARALLEL = 64
+MAX_PARALLEL_REQUESTS = 64
 
 
 class InForce(NamedTuple):
@@ -30,7 +30,7 @@
     silent: tuple[str, ...]
 
 
-async def ask_box(session: aiohttp.ClientSession, address: str, path: str) -> Any:
+async def query_box(session: aiohttp.ClientSession, address: str, path: str) -> Any:
     """Return a box's JSON answer, or nothing if it gives none."""
     timeout = aiohttp.ClientTimeout(total=BOX_TIMEOUT_S)
     try:
@@ -40,22 +40,22 @@
         return None
 
 
-async def ask_boxes(operator: Operator, path: str) -> dict[str, Any]:
+async def query_boxes(operator: Operator, path: str) -> dict[str, Any]:
     """Ask every box that is not leaving; silent ones give nothing."""
     boxes = [box for box in await operator.boxes.boxes() if not box.leaving]
-    slots = asyncio.Semaphore(MAX_PARALLEL)
+    slots = asyncio.Semaphore(MAX_PARALLEL_REQUESTS)
 
-    async def ask(box: BoxRecord) -> Any:
+    async def query(box: BoxRecord) -> Any:
         async with slots:
-            return await ask_box(operator.session, box.address, path)
+            return await query_box(operator.session, box.address, path)
 
-    answers = await asyncio.gather(*(ask(box) for box in boxes))
+    answers = await asyncio.gather(*(query(box) for box in boxes))
     return {box.name: answer for box, answer in zip(boxes, answers, strict=True)}
 
 
-async def in_force(operator: Operator, key: str, version: int) -> InForce:
+async def count_in_force(operator: Operator, key: str, version: int) -> InForce:
     """Count the boxes on which at least `version` of `key` is in force."""
-    answers = await ask_boxes(operator, f'/admin/v1/config/{key}')
+    answers = await query_boxes(operator, f'/admin/v1/config/{key}')
     silent = tuple(name for name, answer in answers.items() if answer is None)
     count = sum(
         1 for answer in answers.values() if answer is not None and answer['version'] >= version
@@ -63,18 +63,18 @@
     return InForce(key, version, len(answers), count, silent)
 
 
-async def wait_in_force(operator: Operator, accepted: Accepted, wait_s: float) -> InForce:
+async def wait_until_in_force(operator: Operator, accepted: Accepted, wait_s: float) -> InForce:
     """Wait until a change is in force on every live box; raise `NotInForce`."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + wait_s
     while True:
-        found = await in_force(operator, accepted.key, accepted.version)
-        if found.boxes and found.in_force == found.boxes:
-            return found
+        counted = await count_in_force(operator, accepted.key, accepted.version)
+        if counted.boxes and counted.in_force == counted.boxes:
+            return counted
         if loop.time() >= deadline:
-            silent = f'; no answer from {", ".join(found.silent)}' if found.silent else ''
+            silent = f'; no answer from {", ".join(counted.silent)}' if counted.silent else ''
             raise NotInForce(
-                f'{found.key}: accepted as version {found.version}, in force on '
-                f'{found.in_force} of {found.boxes} boxes{silent}'
+                f'{counted.key}: accepted as version {counted.version}, in force on '
+                f'{counted.in_force} of {counted.boxes} boxes{silent}'
             )
         await asyncio.sleep(POLL_S)
--- a/packages/cli/calicopath_cli/utils/operator.py
+++ b/packages/cli/calicopath_cli/utils/operator.py
@@ -59,7 +59,7 @@
         self.session = session
         self.writer = ChangeWriter(store=store, clock=LoopClock())
 
-    async def change(
+    async def make_change(
         self,
         key: str,
         spec: dict[str, Any] | None,
--- a/packages/clients/calicopath_clients/calls.py
+++ b/packages/clients/calicopath_clients/calls.py
@@ -42,7 +42,7 @@
     aiohttp.ClientOSError,
     aiohttp.ClientPayloadError,
 )
-REACH_S = 0.3
+PROBE_TIMEOUT_S = 0.3
 """How long a port may take to open or refuse a connection."""
 
 NO_TIMEOUT = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
@@ -61,8 +61,8 @@
     try:
         async with session.post(url, data=msgspec.json.encode(body), timeout=NO_TIMEOUT) as answer:
             if answer.status == STATUS_DECLINED:
-                text, wait_s = f'{url} declined', retry_after(answer)
-                raise Declined(text, turned_away=True, retry_after_s=wait_s)
+                text, retry_after_s = f'{url} declined', retry_after_of(answer)
+                raise Declined(text, turned_away=True, retry_after_s=retry_after_s)
             if answer.status != STATUS_OK:
                 raise MayHaveRun(f'{url} answered {answer.status}')
             try:
@@ -78,7 +78,7 @@
         raise MayHaveRun(f'the call to {url} broke: {error!r}') from error
 
 
-def retry_after(answer: aiohttp.ClientResponse) -> float | None:
+def retry_after_of(answer: aiohttp.ClientResponse) -> float | None:
     """Return the seconds for which a declining endpoint wants nothing, if it says so."""
     try:
         seconds = float(answer.headers.get('Retry-After', ''))
@@ -91,9 +91,9 @@
     session: aiohttp.ClientSession, endpoint: Endpoint, call: StageCall
 ) -> StageOutput:
     """Make one call and check that the answer is its own."""
-    identity = str(call.id)
+    call_id = str(call.id)
     body: dict[str, Any] = {
-        'call': identity,
+        'call': call_id,
         'stage': call.id.stage,
         'params': call.params,
         'input': call.input,
@@ -105,34 +105,34 @@
         data = await answer.read()
     try:
         decoded = msgspec.json.decode(data)
-        answered = decoded['call']
+        answered_id = decoded['call']
         output = msgspec.convert(decoded['output'], StageOutput)
     except (msgspec.MsgspecError, KeyError, TypeError) as error:
         raise WrongAnswer(f'{endpoint.name} gave no valid answer: {error!r}') from error
-    if answered != identity:
-        raise WrongAnswer(f'{endpoint.name} answered {answered} instead of {identity}')
+    if answered_id != call_id:
+        raise WrongAnswer(f'{endpoint.name} answered {answered_id} instead of {call_id}')
     return output
 
 
-class HttpReach(EndpointProber):
+class HttpEndpointProber(EndpointProber):
     """Look whether endpoints take connections."""
 
     async def probe(self, endpoint: Endpoint, watch_s: float) -> ProbeResult:
         """Return what attempts to connect show, until one is refused or the watch is over."""
         url = urlsplit(endpoint.address)
         loop = asyncio.get_running_loop()
-        ends_at = loop.time() + watch_s
+        deadline = loop.time() + watch_s
         while True:
-            found = await try_to_connect(url.hostname or '', url.port or HTTP_PORT)
-            if found is not ProbeResult.OPEN or loop.time() >= ends_at:
-                return found
-            await asyncio.sleep(REACH_S)
+            result = await probe_port(url.hostname or '', url.port or HTTP_PORT)
+            if result is not ProbeResult.OPEN or loop.time() >= deadline:
+                return result
+            await asyncio.sleep(PROBE_TIMEOUT_S)
 
 
-async def try_to_connect(host: str, port: int) -> ProbeResult:
+async def probe_port(host: str, port: int) -> ProbeResult:
     """Return what one attempt to connect shows."""
     try:
-        async with asyncio.timeout(REACH_S):
+        async with asyncio.timeout(PROBE_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, port)
     except ConnectionRefusedError:
         return ProbeResult.REFUSED
--- a/packages/clients/calicopath_clients/engine.py
+++ b/packages/clients/calicopath_clients/engine.py
@@ -69,9 +69,9 @@
 def parse_line(line: bytes, endpoint: Endpoint) -> Token | GenerationEnd:
     """Return what one line of a stream says."""
     try:
-        found = LINE_DECODER.decode(line)
-        if 'end' in found:
-            return GenerationEnd(found['call'], found['end'])
-        return Token(found['call'], found['offset'], found['data'])
+        decoded = LINE_DECODER.decode(line)
+        if 'end' in decoded:
+            return GenerationEnd(decoded['call'], decoded['end'])
+        return Token(decoded['call'], decoded['offset'], decoded['data'])
     except (msgspec.MsgspecError, KeyError) as error:
         raise WrongAnswer(f'{endpoint.name} sent an invalid line: {error!r}') from error
--- a/packages/clients/calicopath_clients/http1/answers.py
+++ b/packages/clients/calicopath_clients/http1/answers.py
@@ -9,7 +9,7 @@
 """Body bytes that wait unread before the connection stops reading."""
 
 
-class Head(NamedTuple):
+class ResponseHead(NamedTuple):
     """Hold an answer's status and headers, in order."""
 
     status: int
@@ -29,38 +29,38 @@
         return [value for key, value in self.headers if key.lower() == wanted]
 
 
-class Inbound:
+class InboundResponse:
     """Hold what has come of one answer; `ended` tells whether it is whole."""
 
     def __init__(self) -> None:
         self.status = 0
         self.headers: list[tuple[str, str]] = []
-        self.head: asyncio.Future[Head] = asyncio.get_running_loop().create_future()
+        self.head: asyncio.Future[ResponseHead] = asyncio.get_running_loop().create_future()
         self.chunks: list[bytes] = []
-        self.size = 0
-        self.ended = False
+        self.unread_bytes = 0
+        self.is_complete = False
         self.error: Exception | None = None
         self.changed = asyncio.Event()
 
     def on_head(self) -> None:
         """Take the end of the headers in."""
         if not self.head.done():
-            self.head.set_result(Head(self.status, tuple(self.headers)))
+            self.head.set_result(ResponseHead(self.status, tuple(self.headers)))
 
     def on_body(self, data: bytes) -> None:
         """Take some of the body in."""
         self.chunks.append(data)
-        self.size += len(data)
+        self.unread_bytes += len(data)
         self.changed.set()
 
     def on_end(self) -> None:
         """Note that the answer is whole."""
-        self.ended = True
+        self.is_complete = True
         self.changed.set()
 
     def on_error(self, error: Exception) -> None:
         """Note that no more will come."""
-        if self.ended or self.error is not None:
+        if self.is_complete or self.error is not None:
             return
         self.error = error
         if not self.head.done():
@@ -75,7 +75,7 @@
         It is a `ConnectionBroken` where the connection was lost.
         """
         while not self.chunks:
-            if self.ended:
+            if self.is_complete:
                 return None
             if self.error is not None:
                 # As it is: whether the connection broke tells whether the replica may have ended.
@@ -84,5 +84,5 @@
             await self.changed.wait()
         data = b''.join(self.chunks)
         self.chunks.clear()
-        self.size = 0
+        self.unread_bytes = 0
         return data
--- a/packages/clients/calicopath_clients/http1/connections.py
+++ b/packages/clients/calicopath_clients/http1/connections.py
@@ -8,15 +8,15 @@
 
 import httptools
 
-from calicopath_clients.http1.answers import PAUSE_BYTES, Inbound
+from calicopath_clients.http1.answers import PAUSE_BYTES, InboundResponse
 from calicopath_core.backends.base import ConnectionBroken, MayHaveRun
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from calicopath_clients.http1.answers import Head
+    from calicopath_clients.http1.answers import ResponseHead
 
-UNACKED_MS = 1000
+UNACKED_TIMEOUT_MS = 1000
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_COUNT = 2
@@ -24,7 +24,7 @@
 behind a cut, and says nothing of it."""
 
 FIRST_FINAL_STATUS = 200
-MAX_SURPLUS_ANSWERS = 2
+MAX_SKIPPED_RESPONSES = 2
 """Answers to earlier calls that are passed over while the own one is awaited."""
 
 
@@ -34,18 +34,18 @@
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
-        self.inbound: Inbound | None = None
-        self.current: Inbound | None = None
-        self.accepts: Callable[[Head], bool] = lambda head: True
-        self.surplus = 0
-        self.clean = True
-        self.closed = False
-        self.keep = True
+        self.inbound: InboundResponse | None = None
+        self.current: InboundResponse | None = None
+        self.accepts: Callable[[ResponseHead], bool] = lambda head: True
+        self.skipped_responses = 0
+        self.is_clean = True
+        self.is_closed = False
+        self.is_kept_alive = True
         self.has_length = False
         self.no_body = False
-        self.used_at = 0.0
+        self.last_used_at = 0.0
         self.idle_limit_s: float | None = None
-        self.paused = False
+        self.is_reading_paused = False
         self.on_closed: Callable[[], None] = lambda: None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -54,25 +54,25 @@
         self.transport = cast('asyncio.Transport', transport)
         sock = self.transport.get_extra_info('socket')
         if sock is not None:
-            watch_silence(sock)
+            set_socket_timeouts(sock)
 
-    def begin(
-        self, data: list[bytes], accepts: Callable[[Head], bool], *, no_body: bool
-    ) -> Inbound:
+    def send(
+        self, chunks: list[bytes], accepts: Callable[[ResponseHead], bool], *, no_body: bool
+    ) -> InboundResponse:
         """Send a call and return what comes of its answer."""
         assert self.transport is not None
-        self.inbound = Inbound()
+        self.inbound = InboundResponse()
         self.accepts = accepts
-        self.surplus = 0
+        self.skipped_responses = 0
         self.no_body = no_body
-        self.transport.writelines(data)
+        self.transport.writelines(chunks)
         return self.inbound
 
     @property
-    def usable(self) -> bool:
+    def is_reusable(self) -> bool:
         """Tell whether another call may be sent: nothing of this one is still on its way."""
-        free = not self.closed and self.clean and self.keep and self.inbound is None
-        return free and self.transport is not None and not self.transport.get_write_buffer_size()
+        is_free = not self.is_closed and self.is_clean and self.is_kept_alive and self.inbound is None
+        return is_free and self.transport is not None and not self.transport.get_write_buffer_size()
 
     def data_received(self, data: bytes) -> None:
         """Parse what comes; bytes that nobody waits for make the connection useless."""
@@ -84,25 +84,25 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self.fail(MayHaveRun(f'the answer is no HTTP: {error}'))
             return
-        if self.inbound is not None and self.inbound.size > PAUSE_BYTES and not self.paused:
-            self.paused = True
+        if self.inbound is not None and self.inbound.unread_bytes > PAUSE_BYTES and not self.is_reading_paused:
+            self.is_reading_paused = True
             assert self.transport is not None
             self.transport.pause_reading()
 
     def resume(self) -> None:
         """Go on reading once what had come was taken."""
-        if self.paused and not self.closed:
-            self.paused = False
+        if self.is_reading_paused and not self.is_closed:
+            self.is_reading_paused = False
             assert self.transport is not None
             self.transport.resume_reading()
 
     def on_message_begin(self) -> None:
         """Begin an answer."""
         if self.inbound is None:
-            self.clean = False
+            self.is_clean = False
             self.current = None
             return
-        self.current = Inbound()
+        self.current = InboundResponse()
         self.has_length = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -125,22 +125,22 @@
             return
         current.on_head()
         if not self.accepts(current.head.result()):
-            self.pass_over()
+            self.skip_response()
             return
-        self.keep = self.parser.should_keep_alive() and self.has_length
+        self.is_kept_alive = self.parser.should_keep_alive() and self.has_length
         inbound.status, inbound.headers = current.status, current.headers
         inbound.on_head()
         self.current = inbound
         if self.no_body:
-            self.keep = False
+            self.is_kept_alive = False
             self.finish()
 
-    def pass_over(self) -> None:
+    def skip_response(self) -> None:
         """Leave an answer aside that belongs to another call."""
         self.current = None
-        self.surplus += 1
-        self.clean = False
-        if self.surplus > MAX_SURPLUS_ANSWERS or not self.has_length:
+        self.skipped_responses += 1
+        self.is_clean = False
+        if self.skipped_responses > MAX_SKIPPED_RESPONSES or not self.has_length:
             self.fail(MayHaveRun('only answers to other calls came'))
 
     def on_body(self, data: bytes) -> None:
@@ -169,28 +169,28 @@
     def eof_received(self) -> bool:
         """Take the end of an answer without a length for what it is."""
         current = self.current
-        bodiless = current is None or current is not self.inbound
-        if not bodiless and current is not None and current.head.done() and not self.has_length:
+        is_unmatched = current is None or current is not self.inbound
+        if not is_unmatched and current is not None and current.head.done() and not self.has_length:
             self.finish()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
         """End the call that was waiting."""
-        self.closed = True
+        self.is_closed = True
         self.on_closed()
         self.fail(ConnectionBroken(f'the connection was lost: {error!r}'))
 
     def abort(self) -> None:
         """Close at once; unsent bytes are dropped."""
-        self.closed = True
+        self.is_closed = True
         if self.transport is not None:
             self.transport.abort()
 
 
-def watch_silence(sock: socket.socket) -> None:
+def set_socket_timeouts(sock: socket.socket) -> None:
     """Have the kernel give up a peer that acknowledges nothing."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
--- a/packages/clients/calicopath_clients/platform.py
+++ b/packages/clients/calicopath_clients/platform.py
@@ -24,7 +24,7 @@
 
 CONNECT_TIMEOUT_S = 1.0
 REQUEST_TIMEOUT_S = 2.0
-WATCH_SILENCE_S = 30.0
+WATCH_SILENCE_TIMEOUT_S = 30.0
 """A watch that sends nothing, not even its keep-alive line, for this long is given up."""
 
 STATUS_CONFLICT = 409
@@ -52,7 +52,7 @@
         """Return the URL of an object."""
         return f'{self.url}/v1/objects/{quote(key)}'
 
-    async def read(self, url: str, params: dict[str, str] | None = None) -> Any:
+    async def read_json(self, url: str, params: dict[str, str] | None = None) -> Any:
         """Return the JSON answer to a read, or nothing if there is no such object."""
         try:
             async with self.session.get(url, params=params, timeout=self.timeout) as response:
@@ -66,15 +66,15 @@
 
     async def get(self, key: str) -> StoredObject | None:
         """Return an object, or nothing."""
-        data = await self.read(self.object_url(key))
-        return None if data is None else stored_object(data)
+        data = await self.read_json(self.object_url(key))
+        return None if data is None else to_stored_object(data)
 
     async def list(self, prefix: str) -> list[StoredObject]:
         """Return every object below `prefix`."""
-        data = await self.read(f'{self.url}/v1/objects', {'prefix': prefix})
+        data = await self.read_json(f'{self.url}/v1/objects', {'prefix': prefix})
         if data is None:
             raise StoreUnavailable('the object API has no list')
-        return [stored_object(item) for item in data['objects']]
+        return [to_stored_object(item) for item in data['objects']]
 
     async def put(self, key: str, value: dict[str, Any], expected_version: int) -> StoredObject:
         """Write if the version is still the expected one.
@@ -99,12 +99,12 @@
             raise VersionConflict(f'{key} is no longer at version {expected_version}')
         if response.status != STATUS_OK:
             raise WriteUnknown(f'the object API answered {response.status}')
-        return stored_object(msgspec.json.decode(body))
+        return to_stored_object(msgspec.json.decode(body))
 
     async def watch(self, prefix: str) -> AsyncIterator[StoredObject]:
         """Yield objects below `prefix` as they change."""
         timeout = aiohttp.ClientTimeout(
-            total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=WATCH_SILENCE_S
+            total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=WATCH_SILENCE_TIMEOUT_S
         )
         try:
             async with self.session.get(
@@ -114,7 +114,7 @@
                     raise StoreUnavailable(f'the object API answered {response.status}')
                 while line := await response.content.readline():
                     if line.strip():
-                        yield stored_object(msgspec.json.decode(line))
+                        yield to_stored_object(msgspec.json.decode(line))
         except (aiohttp.ClientError, TimeoutError, ValueError) as error:
             raise StoreUnavailable(f'the watch ended: {error!r}') from error
 
@@ -141,7 +141,7 @@
         return [BoxRecord(**item) for item in data['boxes']]
 
 
-def stored_object(data: dict[str, Any]) -> StoredObject:
+def to_stored_object(data: dict[str, Any]) -> StoredObject:
     """Return an object from its JSON form."""
-    written = versions.StoreVersion(data.get('era', 0), data['version'])
-    return StoredObject(data['key'], versions.join(written), data['value'])
+    store_version = versions.StoreVersion(data.get('era', 0), data['version'])
+    return StoredObject(data['key'], versions.join(store_version), data['value'])
--- a/packages/clients/calicopath_clients/tests/ended_answers_tests.py
+++ b/packages/clients/calicopath_clients/tests/ended_answers_tests.py
@@ -29,17 +29,17 @@
 
 
 class BrokenAfterTheHead(HttpCase):
-    def check_broken(self, data: bytes, *, by_reset: bool = False) -> None:
+    def check_broken(self, data: bytes, *, with_reset: bool = False) -> None:
         """Check what is told of an answer that breaks off after some bytes."""
 
         async def script(reader: Any, writer: Any) -> None:
             await read_request(reader)
             writer.write(data)
             await asyncio.sleep(0.02)
-            if by_reset:
+            if with_reset:
                 reset(writer)
 
-        self.assertRaises(ConnectionBroken, self.play, script, get)
+        self.assertRaises(ConnectionBroken, self.run_against, script, get)
 
     def test_a_stream_of_which_no_event_has_come(self) -> None:
         self.check_broken(CHUNKED)
@@ -54,7 +54,7 @@
         self.check_broken(LENGTH + b'half')
 
     def test_an_answer_without_a_length_that_is_reset(self) -> None:
-        self.check_broken(PLAIN + b'half', by_reset=True)
+        self.check_broken(PLAIN + b'half', with_reset=True)
 
     def test_bytes_that_are_no_http_after_a_head_are_no_broken_connection(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
@@ -62,5 +62,5 @@
             writer.write(CHUNKED + b'no length\r\n')
             await asyncio.sleep(0.05)
 
-        error = self.assertRaises(MayHaveRun, self.play, script, get)
+        error = self.assertRaises(MayHaveRun, self.run_against, script, get)
         self.assertNotIsInstance(error, ConnectionBroken)
--- a/packages/daemon/calicopathd/box/box.py
+++ b/packages/daemon/calicopathd/box/box.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-from calicopath_clients.calls import HttpPlainService, HttpReach, HttpStagePool
+from calicopath_clients.calls import HttpPlainService, HttpEndpointProber, HttpStagePool
 from calicopath_clients.engine import HttpEngine
 from calicopath_clients.platform import HttpBoxList, HttpObjectStore
 from calicopath_core.backends.base import Backends
@@ -86,7 +86,7 @@
             engine=HttpEngine(session=session),
             pool=HttpStagePool(session=session),
             service=HttpPlainService(session=session),
-            prober=HttpReach(),
+            prober=HttpEndpointProber(),
         )
         self.local_claims = self.new_local_claims()
         peers = GossipShardOwners(gossip=self.gossip, local=self.local_claims, clock=self.clock)
--- a/tools/mutants/catalogue.py
+++ b/tools/mutants/catalogue.py
@@ -25,7 +25,7 @@
     Mutant(
         'own answers',
         'packages/clients/calicopath_clients/calls.py',
-        'if answered != identity:',
+        'if answered_id != call_id:',
         'if False:',
         'packages/clients/calicopath_clients/tests/calls_tests.py::Calls',
     ),
