--- a/packages/cli/calicopath_cli/__init__.py
+++ b/packages/cli/calicopath_cli/__init__.py
@@ -1,1 +1,1 @@
-"""Let operators check, apply and follow configuration from a terminal."""
+"""Provide the command line by which operators check, apply and monitor configuration."""
--- a/packages/cli/calicopath_cli/__main__.py
+++ b/packages/cli/calicopath_cli/__main__.py
@@ -38,40 +38,40 @@
 
 APP_HELP = (
     'Check and apply configuration, drain and stop endpoints, and see what is in force.\n\n'
-    'Exit codes: 0 done; 1 failed, nothing changed; 2 wrong arguments or configuration, nothing '
-    'changed; 3 somebody else changed the same object; 4 not known whether the change was '
-    'accepted; 5 accepted, but not in force on every box in the time given; 130 interrupted.'
+    'Exit codes: 0 done; 1 failed, nothing changed; 2 invalid arguments or configuration, nothing '
+    'changed; 3 another operator changed the same object; 4 unknown whether the change was '
+    'accepted; 5 accepted, but not in force on every box within the wait; 130 interrupted.'
 )
 PLATFORM_HELP = "URL of the platform's object API."
-WHO_HELP = 'Name that the audit trail records; the login name if not given.'
-OUTPUT_HELP = 'Form of the output: text for people, json for scripts.'
-CHECK_HELP = 'Check files or folders without a platform; report every problem at once.'
-APPLY_HELP = 'Check files or folders and write what differs from what is in force.'
-STATUS_HELP = 'Show the boxes, and on how many of them each of the last changes is in force.'
+WHO_HELP = 'Name that the audit trail records; by default the login name.'
+OUTPUT_HELP = 'Output format: text for people, json for scripts.'
+CHECK_HELP = 'Check files or folders without contacting the platform; report all problems.'
+APPLY_HELP = 'Check files or folders and write the objects that differ from those in force.'
+STATUS_HELP = 'Show the boxes, and on how many of them each of the latest changes is in force.'
 GATEWAYS_HELP = (
-    'Show which settings and configuration are in force on every box of the second front door, '
-    'those behind first.'
+    'Show the settings and configuration in force on every box that runs the HTTP gateway; boxes '
+    'that are behind come first.'
 )
 REPLICAS_HELP = (
-    'Show which replicas the boxes of the second front door do not call, why, who has told them '
-    'and how many of them know it.'
+    'Show which replicas are excluded by the boxes that run the HTTP gateway, the reason, its '
+    'source, and on how many boxes the exclusion is known.'
 )
 BLOCKED_HELP = (
-    'Show the requests that boxes of the second front door do not send on since replicas end under '
-    'them; with --release, let one go.'
+    'Show the requests that the boxes that run the HTTP gateway block because replicas crashed '
+    'during them; with --release, unblock one.'
 )
-RELEASE_HELP = 'Let this request go, as the list names it.'
-GATEWAY_ADDRESS_HELP = 'IP:PORT at which any of those boxes tells its figures.'
-AUDIT_HELP = 'Show who changed what and when.'
+RELEASE_HELP = 'Unblock this request, by its name in the list.'
+GATEWAY_ADDRESS_HELP = 'IP:PORT of the metrics listener of any of those boxes.'
+AUDIT_HELP = 'Show the audit trail: who changed which object, and when.'
 TEMPLATE_HELP = 'List, show and delete templates.'
 PIPELINE_HELP = "List, show and delete workspaces' pipelines."
 ENDPOINT_HELP = 'Add, drain, stop and list endpoints.'
-ADD_HELP = 'Add an endpoint, or take one back that was drained, stopped or deleted.'
-DRAIN_HELP = 'Give an endpoint no new work; calls in progress end as usual.'
-STOP_HELP = 'Take an endpoint out of service; calls in progress end as usual.'
-WAIT_HELP = 'Wait so many seconds until the change is in force on every live box.'
-LAST_HELP = 'How many of the newest to show.'
-KEY_HELP = 'Only changes below this key, as in endpoints/drafting-1.'
+ADD_HELP = 'Add an endpoint, or reactivate one that was drained, stopped or deleted.'
+DRAIN_HELP = 'Send an endpoint no new calls; calls in progress are completed.'
+STOP_HELP = 'Take an endpoint out of service; calls in progress are completed.'
+WAIT_HELP = 'Wait up to this many seconds until the change is in force on every live box.'
+LAST_HELP = 'Number of the newest entries to show.'
+KEY_HELP = 'Show only changes below this key, for example endpoints/drafting-1.'
 
 app = typer.Typer(
     help=APP_HELP, no_args_is_help=True, add_completion=False, pretty_exceptions_enable=False
@@ -83,7 +83,7 @@
 app.add_typer(pipeline_app, name='pipeline')
 app.add_typer(endpoint_app, name='endpoint')
 
-Paths = Annotated[list[Path], typer.Argument(help='YAML files, or folders of them.')]
+Paths = Annotated[list[Path], typer.Argument(help='YAML files, or folders of YAML files.')]
 Wait = Annotated[float | None, typer.Option('--wait', help=WAIT_HELP, min=0.0)]
 Last = Annotated[int, typer.Option('--last', help=LAST_HELP, min=1)]
 
@@ -97,12 +97,12 @@
         OutputFormat, typer.Option(envvar='CALICOPATH_OUTPUT', help=OUTPUT_HELP)
     ] = OutputFormat.TEXT,
 ) -> None:
-    """Take the options that all commands share."""
+    """Store the options that all commands share in the context."""
     context.obj = Options(platform, who or getpass.getuser(), output)
 
 
 def run_command(command: Coroutine[Any, Any, None]) -> None:
-    """Run a command that talks to the platform."""
+    """Run the coroutine of a command; exit with `EXIT_INTERRUPTED` on Ctrl+C."""
     try:
         uvloop.run(command)
     except KeyboardInterrupt:
@@ -111,7 +111,7 @@
 
 
 def platform_options(context: typer.Context) -> Options:
-    """Return the shared options of a command that needs the platform."""
+    """Return the shared options; raise `InvalidInput` if they name no platform."""
     options: Options = context.obj
     if not options.platform:
         raise InvalidInput('--platform or CALICOPATH_PLATFORM is required')
@@ -141,7 +141,7 @@
     context: typer.Context,
     address: Annotated[str, typer.Argument(help=GATEWAY_ADDRESS_HELP)],
 ) -> None:
-    """Show what is in force on boxes before callers."""
+    """Show the settings and configuration in force on the gateway boxes."""
     run_command(gateways.gateways(address, context.obj.output))
 
 
@@ -150,7 +150,7 @@
     context: typer.Context,
     address: Annotated[str, typer.Argument(help=GATEWAY_ADDRESS_HELP)],
 ) -> None:
-    """Show the replicas that boxes do not call, and why."""
+    """Show the replicas that the gateway boxes exclude, and the reasons."""
     run_command(replicas.replicas(address, context.obj.output))
 
 
@@ -160,7 +160,7 @@
     address: Annotated[str, typer.Argument(help=GATEWAY_ADDRESS_HELP)],
     release: Annotated[str, typer.Option(help=RELEASE_HELP)] = '',
 ) -> None:
-    """Show the requests under which replicas end, or let one go."""
+    """Show the requests blocked by the gateway boxes, or unblock one."""
     if release:
         run_command(blocked.release(address, release, context.obj.who))
         return
@@ -210,7 +210,9 @@
 @pipeline_app.command('delete')
 def pipeline_delete(context: typer.Context, workspace: str, name: str, wait: Wait = None) -> None:
     """Delete a workspace's pipeline."""
-    run_command(objects.delete_object(platform_options(context), pipeline_key(workspace, name), wait))
+    run_command(
+        objects.delete_object(platform_options(context), pipeline_key(workspace, name), wait)
+    )
 
 
 @endpoint_app.command('list')
@@ -223,11 +225,13 @@
 def endpoint_add(
     context: typer.Context,
     name: str,
-    service: Annotated[str, typer.Option(help='Service that it answers for.')],
-    stage: Annotated[StageKind, typer.Option(help='Kind of stage that it runs.')],
-    address: Annotated[str, typer.Option(help='URL, as in http://127.0.0.1:9000.')],
-    failure_domain: Annotated[str, typer.Option(help='Failure domain where it stands.')],
-    concurrency: Annotated[int, typer.Option(help='Calls that it serves at once.')],
+    service: Annotated[str, typer.Option(help='Service that the endpoint belongs to.')],
+    stage: Annotated[StageKind, typer.Option(help='Kind of stage that the endpoint runs.')],
+    address: Annotated[str, typer.Option(help='URL, for example http://127.0.0.1:9000.')],
+    failure_domain: Annotated[str, typer.Option(help='Failure domain of the endpoint.')],
+    concurrency: Annotated[
+        int, typer.Option(help='Number of calls that the endpoint serves at a time.')
+    ],
     wait: Wait = None,
 ) -> None:
     """Add an endpoint."""
@@ -257,7 +261,7 @@
 
 
 def main() -> None:
-    """Run the command line; every error is a message and an exit code."""
+    """Run the command line; print errors to stderr and exit with their codes."""
     try:
         app()
     except CalicopathError as error:
--- a/packages/cli/calicopath_cli/commands/apply.py
+++ b/packages/cli/calicopath_cli/commands/apply.py
@@ -20,14 +20,14 @@
 
 
 class CurrentObject(NamedTuple):
-    """Hold what the platform has under a key."""
+    """Hold the version and spec of an object on the platform; a deleted one has no spec."""
 
     version: int
     spec: dict[str, Any] | None
 
 
 async def apply(options: Options, paths: Sequence[Path], wait_s: float | None) -> None:
-    """Check files against what is in force and write what differs, each conditionally."""
+    """Check files and write the objects that differ, each only if unchanged since it was read."""
     async with open_operator(options) as operator:
         current = await read_current(operator)
         in_force = {key: item.spec for key, item in current.items() if item.spec is not None}
@@ -37,7 +37,7 @@
 
 
 async def read_current(operator: Operator) -> dict[str, CurrentObject]:
-    """Read all configuration, deleted objects too."""
+    """Return all configuration objects by key, including deleted ones."""
     objects = await operator.store.list(CONFIG_PREFIX)
     return {item.key: CurrentObject(item.version, item.value['spec']) for item in objects}
 
@@ -48,7 +48,7 @@
     current: dict[str, CurrentObject],
     wait_s: float | None,
 ) -> list[Accepted]:
-    """Write documents one by one; a conflict stops before the next."""
+    """Write documents one by one, stopping at the first error."""
     accepted = []
     for document in documents:
         known = current.get(document.key, CurrentObject(0, None))
@@ -66,8 +66,10 @@
     return accepted
 
 
-def print_summary(options: Options, accepted: list[Accepted], documents: Sequence[Document]) -> None:
-    """Sum up what was done."""
+def print_summary(
+    options: Options, accepted: list[Accepted], documents: Sequence[Document]
+) -> None:
+    """Print how many objects were changed and how many were not."""
     unchanged = len(documents) - len(accepted)
     if options.output is OutputFormat.JSON:
         print_json({'accepted': [item._asdict() for item in accepted], 'unchanged': unchanged})
--- a/packages/cli/calicopath_cli/commands/audit.py
+++ b/packages/cli/calicopath_cli/commands/audit.py
@@ -11,7 +11,7 @@
 
 
 async def audit(options: Options, key: str, last: int) -> None:
-    """Show who changed what and when; JSON has what each change replaced and wrote."""
+    """Print the latest changes below `key`; JSON also has the specs before and after each."""
     prefix = key if key.startswith(CONFIG_PREFIX) else CONFIG_PREFIX + key
     async with open_operator(options) as operator:
         records = (await read_audit_trail(operator.store, prefix))[-last:]
--- a/packages/cli/calicopath_cli/commands/blocked.py
+++ b/packages/cli/calicopath_cli/commands/blocked.py
@@ -1,4 +1,4 @@
-"""Show which requests are blocked since replicas end under them, and let one go."""
+"""Show the requests blocked because replicas crashed during them, and unblock one."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from calicopath_cli.commands.gateways import format_time
 from calicopath_cli.exceptions import CommandError
-from calicopath_cli.utils.gateways import query_gateways, group_items
+from calicopath_cli.utils.gateways import group_items, query_gateways
 from calicopath_cli.utils.output import OutputFormat, print_json, print_table
 
 HEADERS = ('request', 'service', 'since', 'until', 'replicas ended', 'boxes')
@@ -16,7 +16,11 @@
 
 
 class BlockedRow(NamedTuple):
-    """Hold a blocked request as the box tells that knows it longest, and how many boxes know it."""
+    """Hold one blocked request.
+
+    `since` and `replicas` come from the box that blocked it first, `until` is the latest of all
+    boxes. `boxes` counts the boxes that block it, `asked` those that responded.
+    """
 
     content: str
     service: str
@@ -28,7 +32,7 @@
 
 
 async def blocked(address: str, output: OutputFormat) -> None:
-    """Ask one box for all, each for what it blocks, and show that."""
+    """Query all boxes, as listed by the one at `address`, and print the blocked requests."""
     async with aiohttp.ClientSession() as session:
         answers = await query_gateways(session, address, '/blocked')
     rows = rows_of(list(answers.values()))
@@ -39,7 +43,7 @@
 
 
 def rows_of(answers: list[Any]) -> list[BlockedRow]:
-    """Return a row a request, those blocked last first."""
+    """Return one row per request and service, the most recently blocked first."""
     grouped = group_items(answers, 'content', 'service')
     rows = []
     for (content, service), items in grouped.items.items():
@@ -59,7 +63,7 @@
 
 
 def table_cells(row: BlockedRow) -> tuple[Any, ...]:
-    """Return a row as it is shown."""
+    """Return the cells of a table row."""
     return (
         row.content,
         row.service,
@@ -71,7 +75,7 @@
 
 
 async def release(address: str, content: str, who: str) -> None:
-    """Have one box let a request go; it tells the others."""
+    """Unblock a request at one box, which notifies the others."""
     timeout = aiohttp.ClientTimeout(total=RELEASE_TIMEOUT_S)
     url = f'http://{address}/blocked/release'
     try:
@@ -81,7 +85,9 @@
         ):
             released = await response.json()
     except (aiohttp.ClientError, TimeoutError) as error:
-        raise CommandError(f'{address}: not known whether it was let go: {error!r}') from error
+        raise CommandError(
+            f'{address}: unknown whether the request was unblocked: {error!r}'
+        ) from error
     if not released:
-        raise CommandError(f'{address}: {content} is not blocked there')
-    print(f'{content} is let go: {", ".join(item["service"] for item in released)}')
+        raise CommandError(f'{address}: request {content} is not blocked at this box')
+    print(f'{content} is unblocked: {", ".join(item["service"] for item in released)}')
--- a/packages/cli/calicopath_cli/commands/check.py
+++ b/packages/cli/calicopath_cli/commands/check.py
@@ -1,4 +1,4 @@
-"""Check configuration files without a platform."""
+"""Check configuration files without contacting the platform."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 def load_documents(
     paths: Sequence[Path], in_force: Mapping[str, dict[str, Any]] | None = None
 ) -> list[Document]:
-    """Read and check files; raise `InvalidInput` with every problem, one a line."""
+    """Read and check files; raise `InvalidInput` that lists all problems, one per line.
+
+    `in_force` holds the specs in force by key, which the files may refer to.
+    """
     raw = read_files(paths)
     if isinstance(raw, Failure):
         raise InvalidInput('\n'.join(str(problem) for problem in raw.failure()))
@@ -29,7 +32,7 @@
 
 
 def check(paths: Sequence[Path], output: OutputFormat) -> None:
-    """Check files and say what they hold."""
+    """Check files and print which objects they define."""
     documents = load_documents(paths)
     if output is OutputFormat.JSON:
         print_json({'valid': True, 'objects': [document.key for document in documents]})
--- a/packages/cli/calicopath_cli/commands/endpoints.py
+++ b/packages/cli/calicopath_cli/commands/endpoints.py
@@ -27,7 +27,7 @@
 
 
 async def list_endpoints(options: Options) -> None:
-    """List the endpoints with what operators want of them."""
+    """Print the endpoints with their configured states."""
     async with open_operator(options) as operator:
         objects = await operator.store.list(ENDPOINT_PREFIX)
     specs = [item.value['spec'] for item in sorted(objects) if item.value['spec'] is not None]
@@ -37,7 +37,7 @@
 
 
 async def add_endpoint(options: Options, spec: dict[str, Any], wait_s: float | None) -> None:
-    """Add an endpoint, or take a deleted or stopped one back."""
+    """Add an endpoint, or reactivate a drained, stopped or deleted one."""
     checked = parse_endpoint(spec, spec['name'])
     if isinstance(checked, Failure):
         raise InvalidInput('\n'.join(str(problem) for problem in checked.failure()))
@@ -45,14 +45,14 @@
     async with open_operator(options) as operator:
         found = await operator.store.get(key)
         if found is not None and is_active(found):
-            raise InvalidInput(f'{key}: exists already')
+            raise InvalidInput(f'{key}: endpoint already exists')
         version = found.version if found else ABSENT
         accepted = await operator.make_change(key, spec, ChangeAction.ADD, version)
         await print_change(operator, accepted, 'active', wait_s)
 
 
 def is_active(found: StoredObject) -> bool:
-    """Tell whether an endpoint is in service; one without a state is."""
+    """Tell whether an endpoint is in service, which is the default state."""
     parsed = parse_endpoint(found.value['spec'], found.key)
     return parsed.map(lambda item: item.state is EndpointState.ACTIVE).value_or(False)
 
@@ -60,7 +60,10 @@
 async def set_state(
     options: Options, name: str, state: EndpointState, wait_s: float | None
 ) -> None:
-    """Drain an endpoint (no new work, calls in progress end) or stop it (out of service)."""
+    """Drain an endpoint (no new calls) or stop it (out of service).
+
+    Calls in progress are completed.
+    """
     key = endpoint_key(name)
     async with open_operator(options) as operator:
         found = await get_existing(operator, key)
@@ -69,8 +72,10 @@
         await print_change(operator, accepted, state.value, wait_s)
 
 
-async def print_change(operator: Operator, accepted: Accepted, state: str, wait_s: float | None) -> None:
-    """Say what was accepted and, if asked, where it is in force."""
+async def print_change(
+    operator: Operator, accepted: Accepted, state: str, wait_s: float | None
+) -> None:
+    """Print an accepted change; unless `wait_s` is `None`, wait until it is in force."""
     result = {**accepted._asdict(), 'state': state}
     if wait_s is not None:
         in_force = await wait_until_in_force(operator, accepted, wait_s)
--- a/packages/cli/calicopath_cli/commands/gateways.py
+++ b/packages/cli/calicopath_cli/commands/gateways.py
@@ -1,4 +1,4 @@
-"""Show which settings and which configuration are in force on the boxes before callers."""
+"""Show the settings and configuration in force on the boxes that run the HTTP gateway."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class GatewayRow(NamedTuple):
-    """Hold what one box tells; nothing but its name if it is silent."""
+    """Hold the state of one box; `answer` is `None` if it did not respond."""
 
     box: str
     answer: dict[str, Any] | None
@@ -33,7 +33,7 @@
 
 
 async def gateways(address: str, output: OutputFormat) -> None:
-    """Ask one box for all, each for its state, and show those that are behind first."""
+    """Query all boxes, as listed by the one at `address`, and print their states."""
     async with aiohttp.ClientSession() as session:
         answers = await query_gateways(session, address, '/state')
     rows = rows_of(answers)
@@ -44,7 +44,7 @@
 
 
 def rows_of(answers: dict[str, dict[str, Any] | None]) -> list[GatewayRow]:
-    """Return a row a box, those behind the newest settings or configuration first."""
+    """Return one row per box, those behind the newest settings or configuration first."""
     answered = [answer for answer in answers.values() if answer is not None]
     version = max((answer['configuration'] for answer in answered), default=0)
     newest = max(answered, key=lambda answer: float(answer['settings_since']), default=None)
@@ -58,25 +58,25 @@
 
 
 def latest_taken_out(answers: list[dict[str, Any]]) -> frozenset[str]:
-    """Return the failure domains taken out, as the box knows that has read the store last."""
+    """Return the failure domains taken out, from the box with the newest position in the store."""
     newest = max(answers, key=taken_out_position, default=None)
     return taken_out_by(newest) if newest is not None else frozenset()
 
 
 def taken_out_position(answer: dict[str, Any]) -> tuple[int, int]:
-    """Return up to where in the store a box knows what is taken out; eras count first."""
+    """Return the position (era, revision) in the store up to which a box knows evacuations."""
     return (int(answer.get('taken_out_era', 0)), int(answer['taken_out_revision']))
 
 
 def taken_out_by(answer: dict[str, Any]) -> frozenset[str]:
-    """Return the failure domains that a box holds for taken out."""
+    """Return the failure domains that a box treats as taken out."""
     return frozenset(item['failure_domain'] for item in answer['taken_out'])
 
 
 def describe_lag(
     answer: dict[str, Any] | None, version: int, settings: str, failure_domains: frozenset[str]
 ) -> str:
-    """Return in what a box is behind, nothing if it is not."""
+    """Return the parts of its state in which a box is behind, an empty string if in none."""
     if answer is None:
         return NO_ANSWER
     parts = []
@@ -90,7 +90,7 @@
 
 
 def table_cells(row: GatewayRow) -> tuple[Any, ...]:
-    """Return a row as it is shown."""
+    """Return the cells of a table row."""
     if row.answer is None:
         return (row.box, '', row.behind, '', '', '', '', '', '')
     answer = row.answer
@@ -108,10 +108,10 @@
 
 
 def format_taken_out(item: dict[str, Any]) -> str:
-    """Return a failure domain that is taken out as it is shown."""
+    """Format a failure domain that is taken out for the table."""
     return f'{item["failure_domain"]} since {format_time(item["since"])} (r{item["revision"]})'
 
 
 def format_time(timestamp: float) -> str:
-    """Return a point in time as people read it, in UTC."""
+    """Format seconds since 1970 in UTC, 0 as an empty string."""
     return datetime.fromtimestamp(timestamp, UTC).strftime('%Y-%m-%d %H:%M:%S') if timestamp else ''
--- a/packages/cli/calicopath_cli/commands/objects.py
+++ b/packages/cli/calicopath_cli/commands/objects.py
@@ -30,15 +30,15 @@
 
 
 async def get_existing(operator: Operator, key: str) -> StoredObject:
-    """Return an object; raise `InvalidInput` if there is none."""
+    """Return an object; raise `InvalidInput` if it does not exist or is deleted."""
     found = await operator.store.get(key)
     if found is None or found.value['spec'] is None:
-        raise InvalidInput(f'{key}: there is no such object')
+        raise InvalidInput(f'{key}: object does not exist')
     return found
 
 
 async def show_object(options: Options, key: str) -> None:
-    """Print one object as a configuration file would have it."""
+    """Print one object in the form of a configuration file."""
     async with open_operator(options) as operator:
         found = await get_existing(operator, key)
     if options.output is OutputFormat.JSON:
@@ -48,7 +48,7 @@
 
 
 async def delete_object(options: Options, key: str, wait_s: float | None) -> None:
-    """Delete one object, leaving a tombstone; templates in use cannot be deleted."""
+    """Replace one object by a tombstone; raise `InvalidInput` if it is a template in use."""
     async with open_operator(options) as operator:
         found = await get_existing(operator, key)
         await check_unused(operator, found)
@@ -60,7 +60,7 @@
 
 
 async def check_unused(operator: Operator, found: StoredObject) -> None:
-    """Raise `InvalidInput` if pipelines need a template."""
+    """Raise `InvalidInput` if an object is a template that pipelines use."""
     spec = found.value['spec']
     if spec['kind'] != 'template':
         return
@@ -71,4 +71,4 @@
         if item.value['spec'] is not None and item.value['spec']['template'] == spec['name']
     ]
     if users:
-        raise InvalidInput(f'{found.key}: used by {", ".join(sorted(users))}')
+        raise InvalidInput(f'{found.key}: in use by pipelines {", ".join(sorted(users))}')
--- a/packages/cli/calicopath_cli/commands/replicas.py
+++ b/packages/cli/calicopath_cli/commands/replicas.py
@@ -1,4 +1,4 @@
-"""Show which replicas the boxes before callers do not call, or hold to a limit, and why."""
+"""Show which replicas the boxes that run the HTTP gateway exclude or limit, and why."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import aiohttp
 
 from calicopath_cli.commands.gateways import format_time
-from calicopath_cli.utils.gateways import query_gateways, group_items
+from calicopath_cli.utils.gateways import group_items, query_gateways
 from calicopath_cli.utils.output import OutputFormat, print_json, print_table
 
 HEADERS = (
@@ -24,10 +24,11 @@
 
 
 class ExcludedReplicaRow(NamedTuple):
-    """Hold why replicas are not called as the box tells that knows it longest.
+    """Hold one exclusion or limit of a replica; `bar` is its reason.
 
-    `boxes` counts those that know it, of those that answered. `per_s` is the lowest limit that is
-    known, `sent` what all have sent since it was named.
+    `source` and `since` come from the box that learned of it first, `until` is the latest of all
+    boxes. `boxes` counts the boxes that know it, `asked` those that responded. `per_s` is the
+    lowest known limit in calls per second, `sent` the calls by all boxes since it was set.
     """
 
     replica: str
@@ -43,7 +44,7 @@
 
 
 async def replicas(address: str, output: OutputFormat) -> None:
-    """Ask one box for all, each for the replicas that it does not call, and show that."""
+    """Query all boxes, as listed by the one at `address`, and print their exclusions and limits."""
     async with aiohttp.ClientSession() as session:
         answers = await query_gateways(session, address, '/replicas')
     rows = rows_of(list(answers.values()))
@@ -54,7 +55,7 @@
 
 
 def rows_of(answers: list[Any]) -> list[ExcludedReplicaRow]:
-    """Return a row a replica and reason, by service and name."""
+    """Return one row per replica and reason, sorted by service and replica."""
     grouped = group_items(answers, 'service', 'replica', 'bar')
     rows = []
     for (service, replica, exclusion), items in sorted(grouped.items.items()):
@@ -78,7 +79,7 @@
 
 
 def table_cells(row: ExcludedReplicaRow) -> tuple[Any, ...]:
-    """Return a row as it is shown."""
+    """Return the cells of a table row."""
     return (
         row.replica,
         row.service,
--- a/packages/cli/calicopath_cli/commands/status.py
+++ b/packages/cli/calicopath_cli/commands/status.py
@@ -1,4 +1,4 @@
-"""Show the boxes and where changes are in force."""
+"""Show the boxes and on how many of them changes are in force."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def status(options: Options, last: int) -> None:
-    """Show every box and, for the last changes, on how many boxes each is in force."""
+    """Print all boxes and, for the latest changes, on how many boxes each is in force."""
     async with open_operator(options) as operator:
         boxes = await query_boxes(operator, '/admin/v1/status')
         versions = await query_boxes(operator, '/admin/v1/versions')
@@ -28,7 +28,7 @@
 
 
 def box_row(name: str, answer: dict[str, Any] | None) -> tuple[Any, ...]:
-    """Return the row of one box."""
+    """Return the table row of a box, with empty cells if it did not respond."""
     if answer is None:
         return (name, '', 'no answer', '', '', '')
     return (
@@ -44,7 +44,7 @@
 async def latest_changes(
     operator: Operator, versions: dict[str, dict[str, int] | None], last: int
 ) -> list[InForce]:
-    """Return where each of the last changes is in force, newest first."""
+    """Return on how many boxes each of the latest `last` changes is in force, newest first."""
     objects = await operator.store.list(CONFIG_PREFIX)
     newest = sorted(objects, key=lambda item: item.value['change']['when'], reverse=True)[:last]
     silent = tuple(name for name, held in versions.items() if held is None)
--- a/packages/cli/calicopath_cli/exceptions.py
+++ b/packages/cli/calicopath_cli/exceptions.py
@@ -13,30 +13,30 @@
 
 
 class CommandError(CalicopathError):
-    """End a command with a message and an exit code."""
+    """Report an error that ends a command with a message and an exit code."""
 
     exit_code = EXIT_FAILED
 
 
 class InvalidInput(CommandError):
-    """Report configuration or arguments that cannot be used; nothing was changed."""
+    """Report invalid configuration or arguments; nothing was changed."""
 
     exit_code = EXIT_INVALID
 
 
 class ChangeConflict(CommandError):
-    """Report that somebody else changed the same object."""
+    """Report that another operator changed the same object."""
 
     exit_code = EXIT_CONFLICT
 
 
 class ChangeUnsettled(CommandError):
-    """Report that a change may or may not have been accepted."""
+    """Report that it is unknown whether a change was accepted."""
 
     exit_code = EXIT_UNSETTLED
 
 
 class NotInForce(CommandError):
-    """Report that a change was accepted but is not in force everywhere yet."""
+    """Report that a change was accepted but is not yet in force on all boxes."""
 
     exit_code = EXIT_NOT_IN_FORCE
--- a/packages/cli/calicopath_cli/utils/__init__.py
+++ b/packages/cli/calicopath_cli/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Hold small helpers of the command line."""
+"""Provide helpers for the commands."""
--- a/packages/cli/calicopath_cli/utils/gateways.py
+++ b/packages/cli/calicopath_cli/utils/gateways.py
@@ -1,4 +1,4 @@
-"""Ask the boxes before callers, which any one of them lists."""
+"""Query the boxes that run the HTTP gateway; any of them lists all."""
 
 from __future__ import annotations
 
@@ -18,10 +18,13 @@
 async def query_gateways(
     session: aiohttp.ClientSession, address: str, path: str
 ) -> dict[str, Any | None]:
-    """Return each box's answer by its name, nothing for one that is silent."""
+    """Return the response of each box by name, `None` if it sent none.
+
+    Raise `CommandError` if the box at `address` does not return the list of boxes.
+    """
     listed = await query_box(session, address, '/boxes')
     if listed is None:
-        raise CommandError(f'{address}: no box of calicopath answers there')
+        raise CommandError(f'{address}: no response from a calicopath box')
     slots = asyncio.Semaphore(MAX_PARALLEL_REQUESTS)
 
     async def query(item: dict[str, str]) -> Any:
@@ -33,14 +36,14 @@
 
 
 class GroupedItems(NamedTuple):
-    """Hold what boxes have told by what it is about, and how many boxes have answered."""
+    """Hold the items of all boxes by their key fields, and the number of boxes that responded."""
 
     items: dict[tuple[str, ...], list[dict[str, Any]]]
     answered_boxes: int
 
 
 def group_items(answers: Iterable[list[dict[str, Any]] | None], *fields: str) -> GroupedItems:
-    """Join the lists that boxes answered with, by the fields that say what an item is about."""
+    """Group the items that boxes returned by the values of `fields`."""
     answered = [answer for answer in answers if answer is not None]
     groups: dict[tuple[str, ...], list[dict[str, Any]]] = {}
     for item in itertools.chain.from_iterable(answered):
--- a/packages/cli/calicopath_cli/utils/inforce.py
+++ b/packages/cli/calicopath_cli/utils/inforce.py
@@ -1,4 +1,4 @@
-"""Ask the boxes which versions are in force."""
+"""Query the boxes for the versions in force."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class InForce(NamedTuple):
-    """Say on how many of the live boxes a change is in force, and which did not answer."""
+    """Hold on how many of the live boxes a change is in force, and which sent no response."""
 
     key: str
     version: int
@@ -31,7 +31,7 @@
 
 
 async def query_box(session: aiohttp.ClientSession, address: str, path: str) -> Any:
-    """Return a box's JSON answer, or nothing if it gives none."""
+    """Return the decoded JSON response of a box, `None` if it sends no valid one in time."""
     timeout = aiohttp.ClientTimeout(total=BOX_TIMEOUT_S)
     try:
         async with session.get(f'http://{address}{path}', timeout=timeout) as answer:
@@ -41,7 +41,7 @@
 
 
 async def query_boxes(operator: Operator, path: str) -> dict[str, Any]:
-    """Ask every box that is not leaving; silent ones give nothing."""
+    """Return the response of each box that is not leaving by name, `None` if it sent none."""
     boxes = [box for box in await operator.boxes.boxes() if not box.leaving]
     slots = asyncio.Semaphore(MAX_PARALLEL_REQUESTS)
 
@@ -64,7 +64,7 @@
 
 
 async def wait_until_in_force(operator: Operator, accepted: Accepted, wait_s: float) -> InForce:
-    """Wait until a change is in force on every live box; raise `NotInForce`."""
+    """Wait until a change is in force on all live boxes; raise `NotInForce` after `wait_s`."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + wait_s
     while True:
--- a/packages/cli/calicopath_cli/utils/operator.py
+++ b/packages/cli/calicopath_cli/utils/operator.py
@@ -1,4 +1,4 @@
-"""Hold what every command needs to reach the platform and the boxes."""
+"""Connect commands to the platform and the boxes."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Options(NamedTuple):
-    """Hold the options that all commands share."""
+    """Hold the options that all commands share; `who` is recorded in the audit trail."""
 
     platform: str
     who: str
@@ -43,7 +43,7 @@
 
 
 class Operator:
-    """Reach the platform on behalf of one operator."""
+    """Read and change configuration on behalf of one operator."""
 
     def __init__(
         self,
@@ -66,14 +66,14 @@
         action: ChangeAction,
         expected_version: int | None = None,
     ) -> Accepted:
-        """Make one change; raise the error that says what became of it."""
+        """Make one change; raise `ChangeConflict`, `ChangeUnsettled` or `CommandError`."""
         change = Change(str(uuid.uuid4()), key, spec, self.options.who, action)
         result = await self.writer.make(change, expected_version)
         return accepted_or_raise(result)
 
 
 def accepted_or_raise(result: Result[Accepted, ChangeError]) -> Accepted:
-    """Return an accepted change or raise what happened instead."""
+    """Return an accepted change, or raise the error that matches the failure."""
     accepted = result.value_or(None)
     if accepted is not None:
         return accepted
@@ -82,16 +82,16 @@
         raise ChangeConflict(describe_conflict(error))
     if isinstance(error, Unsettled):
         raise ChangeUnsettled(
-            f'{error.key}: change {error.change_id} may or may not have been accepted '
-            f'({error.detail}); look for it with: calicopath audit --key {error.key}'
+            f'{error.key}: unknown whether change {error.change_id} was accepted '
+            f'({error.detail}); to find out, run: calicopath audit --key {error.key}'
         )
-    raise CommandError(f'{error.key}: not accepted: {error.detail}')
+    raise CommandError(f'{error.key}: change not accepted: {error.detail}')
 
 
 def describe_conflict(conflict: Conflict) -> str:
-    """Show both sides of a conflict."""
+    """Return a message with both sides of a conflict."""
     lines = [
-        f'{conflict.key}: changed by somebody else: expected version '
+        f'{conflict.key}: changed by another operator: expected version '
         f'{conflict.expected_version}, found {conflict.found_version}'
     ]
     if conflict.found_change is not None:
@@ -102,7 +102,7 @@
 
 @contextlib.asynccontextmanager
 async def open_operator(options: Options) -> AsyncIterator[Operator]:
-    """Open the connections of a command."""
+    """Yield an operator whose HTTP session is open while the command runs."""
     async with new_session() as session:
         yield Operator(
             options=options,
--- a/packages/cli/calicopath_cli/utils/output.py
+++ b/packages/cli/calicopath_cli/utils/output.py
@@ -1,4 +1,4 @@
-"""Print results for people or for scripts."""
+"""Print results as tables or JSON."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class OutputFormat(enum.StrEnum):
-    """Name the forms of output."""
+    """Name the output formats: text for people, JSON for scripts."""
 
     TEXT = 'text'
     JSON = 'json'
 
 
 def print_json(data: Any) -> None:
-    """Print one JSON document."""
+    """Print data as one indented JSON document."""
     print(msgspec.json.format(msgspec.json.encode(data), indent=2).decode())
 
 
 def print_table(headers: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
-    """Print rows under headers, in columns."""
+    """Print headers and rows in aligned columns."""
     table = [list(headers), *[[str(cell) for cell in row] for row in rows]]
     widths = [max(len(row[column]) for row in table) for column in range(len(headers))]
     for row in table:
@@ -33,7 +33,7 @@
 
 
 def print_rows(output: OutputFormat, headers: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
-    """Print rows as a table or as a list of JSON objects."""
+    """Print rows as a table, or as a JSON list of objects whose keys are the headers."""
     if output is OutputFormat.JSON:
         print_json([dict(zip(headers, row, strict=True)) for row in rows])
         return
--- a/packages/clients/calicopath_clients/__init__.py
+++ b/packages/clients/calicopath_clients/__init__.py
@@ -1,1 +1,1 @@
-"""Speak HTTP with the platform and with endpoints, one adapter a module."""
+"""Provide the HTTP adapters to the platform and to endpoints, one module each."""
--- a/packages/clients/calicopath_clients/calls.py
+++ b/packages/clients/calicopath_clients/calls.py
@@ -1,4 +1,4 @@
-"""Adapt stage pools and plain services."""
+"""Provide the HTTP adapters to stage pools and plain services."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 HTTP_PORT = 80
 STATUS_OK = 200
 STATUS_DECLINED = 429
-"""An endpoint that answers so has not started the call."""
+"""The status of an endpoint that did not start the call."""
 
 CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 BROKEN_ERRORS = (
@@ -43,25 +43,25 @@
     aiohttp.ClientPayloadError,
 )
 PROBE_TIMEOUT_S = 0.3
-"""How long a port may take to open or refuse a connection."""
+"""Timeout of one connection attempt, and the pause between two."""
 
 NO_TIMEOUT = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
-"""The executor bounds every call; here only connecting is bounded."""
+"""Only connecting has a timeout here: the executor limits the duration of every call."""
 
 
 @contextlib.asynccontextmanager
 async def open_call(
     session: aiohttp.ClientSession, url: str, body: dict[str, Any]
 ) -> AsyncIterator[aiohttp.ClientResponse]:
-    """Send a call and yield its answer, turning failures into what they prove.
+    """Send a call and yield its response.
 
-    A call abandoned half-way closes its connection, so that no late answer can be taken for
-    another call's.
+    Raise `NotStarted` if the call certainly did not run, otherwise `MayHaveRun`. A cancelled call
+    closes its connection, so that its late response cannot be taken for that of another call.
     """
     try:
         async with session.post(url, data=msgspec.json.encode(body), timeout=NO_TIMEOUT) as answer:
             if answer.status == STATUS_DECLINED:
-                text, retry_after_s = f'{url} declined', retry_after_of(answer)
+                text, retry_after_s = f'{url} declined the call', retry_after_of(answer)
                 raise Declined(text, turned_away=True, retry_after_s=retry_after_s)
             if answer.status != STATUS_OK:
                 raise MayHaveRun(f'{url} answered {answer.status}')
@@ -79,7 +79,7 @@
 
 
 def retry_after_of(answer: aiohttp.ClientResponse) -> float | None:
-    """Return the seconds for which a declining endpoint wants nothing, if it says so."""
+    """Return the `Retry-After` of a declined call in seconds, `None` if missing or invalid."""
     try:
         seconds = float(answer.headers.get('Retry-After', ''))
     except ValueError:
@@ -90,7 +90,7 @@
 async def call_stage(
     session: aiohttp.ClientSession, endpoint: Endpoint, call: StageCall
 ) -> StageOutput:
-    """Make one call and check that the answer is its own."""
+    """Make one call; raise `WrongAnswer` if the response is invalid or of another call."""
     call_id = str(call.id)
     body: dict[str, Any] = {
         'call': call_id,
@@ -108,17 +108,20 @@
         answered_id = decoded['call']
         output = msgspec.convert(decoded['output'], StageOutput)
     except (msgspec.MsgspecError, KeyError, TypeError) as error:
-        raise WrongAnswer(f'{endpoint.name} gave no valid answer: {error!r}') from error
+        raise WrongAnswer(f'{endpoint.name} sent an invalid response: {error!r}') from error
     if answered_id != call_id:
-        raise WrongAnswer(f'{endpoint.name} answered {answered_id} instead of {call_id}')
+        raise WrongAnswer(f'{endpoint.name} answered call {answered_id} instead of {call_id}')
     return output
 
 
 class HttpEndpointProber(EndpointProber):
-    """Look whether endpoints take connections."""
+    """Probe whether endpoints accept connections."""
 
     async def probe(self, endpoint: Endpoint, watch_s: float) -> ProbeResult:
-        """Return what attempts to connect show, until one is refused or the watch is over."""
+        """Return the result of the last connection attempt.
+
+        Attempts are repeated for `watch_s` seconds, or until one does not open.
+        """
         url = urlsplit(endpoint.address)
         loop = asyncio.get_running_loop()
         deadline = loop.time() + watch_s
@@ -130,7 +133,7 @@
 
 
 async def probe_port(host: str, port: int) -> ProbeResult:
-    """Return what one attempt to connect shows."""
+    """Return the result of one connection attempt."""
     try:
         async with asyncio.timeout(PROBE_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, port)
@@ -143,7 +146,7 @@
 
 
 class HttpStagePool(StagePool):
-    """Reach encoders, retrievers and rerankers over HTTP."""
+    """Call encoders, retrievers and rerankers over HTTP."""
 
     def __init__(self, *, session: aiohttp.ClientSession) -> None:
         self.session = session
@@ -154,7 +157,7 @@
 
 
 class HttpPlainService(PlainService):
-    """Reach plain services over HTTP."""
+    """Call plain services over HTTP."""
 
     def __init__(self, *, session: aiohttp.ClientSession) -> None:
         self.session = session
--- a/packages/clients/calicopath_clients/engine.py
+++ b/packages/clients/calicopath_clients/engine.py
@@ -1,4 +1,4 @@
-"""Adapt model engines, which stream tokens as lines of JSON."""
+"""Provide the HTTP adapter to model engines, which stream tokens as lines of JSON."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class EngineLine(TypedDict):
-    """Hold one line of an engine's stream: a token, or the end with the total of tokens."""
+    """Hold one line of an engine's stream: a token, or the end with the total number of tokens."""
 
     call: str
     offset: NotRequired[int]
@@ -36,7 +36,7 @@
 
 
 class HttpEngine(Engine):
-    """Reach model engines over HTTP."""
+    """Call model engines over HTTP."""
 
     def __init__(self, *, session: aiohttp.ClientSession) -> None:
         self.session = session
@@ -44,7 +44,7 @@
     async def generate(
         self, endpoint: Endpoint, call: GenerationCall
     ) -> AsyncIterator[Token | GenerationEnd]:
-        """Yield the tokens that an engine sends, then the end."""
+        """Yield the tokens from `call.offset` on, then the end."""
         body: dict[str, Any] = {
             'call': str(call.id),
             'params': call.params,
@@ -58,7 +58,7 @@
                 yield parse_line(line, endpoint)
 
     async def cancel(self, endpoint: Endpoint, call: GenerationCall) -> None:
-        """Ask an engine to stop a generation."""
+        """Ask an engine to stop a generation; errors and timeouts are ignored."""
         url = f'{endpoint.address}/v1/generate/{quote(str(call.id), safe="")}'
         timeout = aiohttp.ClientTimeout(total=CANCEL_TIMEOUT_S)
         with contextlib.suppress(aiohttp.ClientError, TimeoutError):
@@ -67,7 +67,7 @@
 
 
 def parse_line(line: bytes, endpoint: Endpoint) -> Token | GenerationEnd:
-    """Return what one line of a stream says."""
+    """Parse one line of a stream; raise `WrongAnswer` if it is invalid."""
     try:
         decoded = LINE_DECODER.decode(line)
         if 'end' in decoded:
--- a/packages/clients/calicopath_clients/http1/__init__.py
+++ b/packages/clients/calicopath_clients/http1/__init__.py
@@ -1,5 +1,5 @@
-"""Make HTTP/1.1 calls whose bytes, connections and failures are all in view.
+"""Provide an HTTP/1.1 client that sends exactly the given bytes and reports every failure.
 
-A library's client repeats requests by itself, reuses connections that hold surplus bytes, or
-rewrites headers; here the parser is a library's (httptools) and what is decided is ours.
+Client libraries may retry requests on their own, reuse connections that hold surplus bytes, or
+rewrite headers. This client uses a library only for parsing (httptools).
 """
--- a/packages/clients/calicopath_clients/http1/answers.py
+++ b/packages/clients/calicopath_clients/http1/answers.py
@@ -1,4 +1,4 @@
-"""Receive one HTTP/1.1 answer on a connection."""
+"""Receive one HTTP/1.1 response on a connection."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from typing import NamedTuple
 
 PAUSE_BYTES = 256 * 1024
-"""Body bytes that wait unread before the connection stops reading."""
+"""Number of unread body bytes above which the connection pauses reading."""
 
 
 class ResponseHead(NamedTuple):
-    """Hold an answer's status and headers, in order."""
+    """Hold the status and the ordered headers of a response."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
 
     def get(self, name: str) -> str | None:
-        """Return the value of a header, whatever the case of its name."""
+        """Return the first value of a header, or `None`; the case of the name is ignored."""
         wanted = name.lower()
         for key, value in self.headers:
             if key.lower() == wanted:
@@ -24,13 +24,13 @@
         return None
 
     def get_all(self, name: str) -> list[str]:
-        """Return every value of a header."""
+        """Return all values of a header in order; the case of the name is ignored."""
         wanted = name.lower()
         return [value for key, value in self.headers if key.lower() == wanted]
 
 
 class InboundResponse:
-    """Hold what has come of one answer; `ended` tells whether it is whole."""
+    """Buffer one response; `is_complete` is true once all of it was received."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -43,42 +43,43 @@
         self.changed = asyncio.Event()
 
     def on_head(self) -> None:
-        """Take the end of the headers in."""
+        """Complete the head after the last header."""
         if not self.head.done():
             self.head.set_result(ResponseHead(self.status, tuple(self.headers)))
 
     def on_body(self, data: bytes) -> None:
-        """Take some of the body in."""
+        """Buffer a part of the body."""
         self.chunks.append(data)
         self.unread_bytes += len(data)
         self.changed.set()
 
     def on_end(self) -> None:
-        """Note that the answer is whole."""
+        """Mark the response as complete."""
         self.is_complete = True
         self.changed.set()
 
     def on_error(self, error: Exception) -> None:
-        """Note that no more will come."""
+        """Record that the response failed, unless it is complete or failed before."""
         if self.is_complete or self.error is not None:
             return
         self.error = error
         if not self.head.done():
             self.head.set_exception(error)
-            # Whoever gave up waiting will not fetch it.
+            # Marks the exception as retrieved: a caller that was cancelled does not await it.
             self.head.exception()
         self.changed.set()
 
     async def read(self) -> bytes | None:
-        """Return the next bytes, nothing at the end; raise `MayHaveRun` if the answer was cut.
+        """Return the next bytes of the body, `None` at its end.
 
-        It is a `ConnectionBroken` where the connection was lost.
+        Raise `MayHaveRun` if the response is incomplete, its subclass `ConnectionBroken` if the
+        connection was lost.
         """
         while not self.chunks:
             if self.is_complete:
                 return None
             if self.error is not None:
-                # As it is: whether the connection broke tells whether the replica may have ended.
+                # Not wrapped: `ConnectionBroken` tells that the replica may have crashed.
                 raise self.error
             self.changed.clear()
             await self.changed.wait()
--- a/packages/clients/calicopath_clients/http1/pool.py
+++ b/packages/clients/calicopath_clients/http1/pool.py
@@ -1,4 +1,4 @@
-"""Share connections among calls, by address."""
+"""Reuse HTTP/1.1 connections among calls, by address."""
 
 from __future__ import annotations
 
@@ -13,39 +13,39 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from calicopath_clients.http1.answers import ResponseHead, InboundResponse
+    from calicopath_clients.http1.answers import InboundResponse, ResponseHead
 
 CONNECT_TIMEOUT_S = 1.2
-"""An opening packet that is lost is sent again after 1 s."""
+"""A lost SYN packet is sent again after 1 s, so this allows for one loss."""
 
 DEFAULT_MAX_IDLE_S = 4.0
-"""How long a connection may rest where the server names no limit."""
+"""Longest time that a connection may be idle before reuse if the server gives no `Keep-Alive`."""
 
 SERVER_IDLE_LIMIT_RATIO = 0.5
-"""The part of a server's own idle limit after which a connection is not used again."""
+"""Share of the server's `Keep-Alive` timeout after which a connection is not reused."""
 
 FRESH_MAX_IDLE_S = 1.0
-"""How long a connection may have rested to be good for what can't be repeated."""
+"""Longest idle time of a connection that carries a request which must not be repeated."""
 
 PROBE_TIMEOUT_S = 0.3
-"""How long a port may take to open or refuse a connection: some ms, unless the way there is cut."""
+"""Timeout of a probe. A port accepts or refuses within some ms unless the network is cut."""
 
 PROBE_POLL_S = 0.02
-"""How often it is looked whether a connection that opened is still there."""
+"""Interval at which a probe checks whether its connection is still open."""
 
 MAX_OPEN_CONNECTIONS = 256
-"""Connections to one server where nothing tells this box's share; a bound on descriptors."""
+"""Most connections to one server unless the pool has a limit for it; bounds descriptors."""
 
 MAX_IDLE_CONNECTIONS = 8
-"""Idle connections kept an address; a bound on descriptors and on a server's connections."""
+"""Most idle connections to one server; bounds descriptors here and connections there."""
 
 
 def no_check() -> None:
-    """Let a call be sent."""
+    """Allow every call."""
 
 
 class RequestHead(NamedTuple):
-    """Hold the request line and headers of a call."""
+    """Hold the request line and the ordered headers of a call."""
 
     method: str
     target: str
@@ -53,10 +53,16 @@
 
 
 class Call:
-    """Hold a call whose head has come; read to its end or close it."""
+    """Hold a call whose response head was received; read the body to its end or close the call."""
 
     def __init__(
-        self, *, pool: HttpPool, address: str, connection: Connection, inbound: InboundResponse, head: ResponseHead
+        self,
+        *,
+        pool: HttpPool,
+        address: str,
+        connection: Connection,
+        inbound: InboundResponse,
+        head: ResponseHead,
     ) -> None:
         self.pool = pool
         self.address = address
@@ -65,33 +71,34 @@
         self.head = head
 
     async def read(self) -> bytes | None:
-        """Return the next bytes of the body, nothing at its end."""
+        """Return the next bytes of the body, `None` at its end."""
         data = await self.inbound.read()
         self.connection.resume()
         return data
 
     async def read_all(self) -> bytes:
-        """Return the whole body."""
+        """Return the rest of the body."""
         parts = []
         while (data := await self.read()) is not None:
             parts.append(data)
         return b''.join(parts)
 
     def close(self) -> None:
-        """Give the connection back, or cut it if the answer is not whole."""
+        """Return the connection to the pool, which closes it if the response is incomplete."""
         self.pool.release(self.address, self.connection)
 
 
 def loop_time() -> float:
-    """Return the event loop's time."""
+    """Return the time of the event loop, in seconds."""
     return asyncio.get_running_loop().time()
 
 
 class HttpPool:
-    """Make calls; `share_of` bounds the connections to a server, in use and idle ones together.
+    """Make calls on pooled connections.
 
-    `now` tells the time by which idle connections grow old; one that counts suspensions keeps those
-    from being used that have died meanwhile.
+    `connection_limit` returns the most connections, in use and idle, to the server at an address.
+    `now` returns the time in seconds by which idle time is measured; with a clock that also counts
+    the time while the machine is suspended, connections that died meanwhile are not reused.
     """
 
     def __init__(
@@ -117,10 +124,12 @@
         fresh: bool = False,
         check: Callable[[], None] = no_check,
     ) -> Call:
-        """Send a call and return its answer's head.
+        """Send a request and return the call once the head of its response was received.
 
-        Raise `NotStarted` if it was not sent, `MayHaveRun` if no answer came. `check` is asked as
-        the first byte is to go, when a connection is there; what it raises leaves the call unsent.
+        `accepts` tells from a response head whether it belongs to this call. `fresh` restricts
+        reuse to connections that were used shortly before. `check` runs when a connection is
+        available, just before the first byte is sent; if it raises `NotStarted`, nothing is sent.
+        Raise `NotStarted` if the request was not sent, `MayHaveRun` if no response came.
         """
         connection = self.take_idle(address, DEFAULT_MAX_IDLE_S if not fresh else FRESH_MAX_IDLE_S)
         if connection is None:
@@ -142,10 +151,12 @@
             raise
         keep_alive = response_head.get('Keep-Alive')
         connection.idle_limit_s = parse_keep_alive_s(keep_alive) if keep_alive else None
-        return Call(pool=self, address=address, connection=connection, inbound=inbound, head=response_head)
+        return Call(
+            pool=self, address=address, connection=connection, inbound=inbound, head=response_head
+        )
 
     def take_idle(self, address: str, max_idle_s: float) -> Connection | None:
-        """Return an idle connection that is still good."""
+        """Return the idle connection used last if it is reusable, closing those that are not."""
         now = self.now()
         idle = self.idle_connections.get(address, [])
         while idle:
@@ -159,9 +170,11 @@
         return None
 
     async def connect(self, address: str) -> Connection:
-        """Open a connection; raise `NotStarted`, also if this box has its share of them."""
+        """Open a connection; raise `NotStarted` on failure or if the limit is reached."""
         if self.open_counts[address] >= self.connection_limit(address):
-            raise NotStarted(f'{address} has {self.open_counts[address]} connections of this box')
+            raise NotStarted(
+                f'{address} already has {self.open_counts[address]} connections from this box'
+            )
         host, _, port = address.rpartition(':')
         loop = asyncio.get_running_loop()
         self.opened_total += 1
@@ -178,9 +191,9 @@
         return connection
 
     async def probe(self, address: str, watch_s: float) -> ProbeResult:
-        """Return what an attempt to connect shows; a connection that opens is kept for use.
+        """Return the result of a connection attempt; a connection that opens goes to the pool.
 
-        It is watched for a while, and another one is tried if it closes meanwhile.
+        It is observed for `watch_s` seconds; if it closes in that time, another attempt is made.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + watch_s
@@ -200,13 +213,13 @@
                 return ProbeResult.OPEN
 
     def on_closed(self, address: str) -> None:
-        """Note that a connection is gone."""
+        """Update the number of open connections after one was closed."""
         self.open_counts[address] -= 1
         if not self.open_counts[address]:
             del self.open_counts[address]
 
     def release(self, address: str, connection: Connection) -> None:
-        """Keep a connection for the next call if it is good."""
+        """Keep a connection for the next call if it is reusable, otherwise close it."""
         if not connection.is_reusable:
             connection.abort()
             return
@@ -217,26 +230,26 @@
             idle.pop(0).abort()
 
     def close_idle_except(self, kept_addresses: set[str]) -> None:
-        """Close the idle connections of every server that is not among `addresses`."""
+        """Close the idle connections to all servers but those at `kept_addresses`."""
         for address in list(self.idle_connections):
             if address not in kept_addresses:
                 for connection in self.idle_connections.pop(address):
                     connection.abort()
 
     def close(self) -> None:
-        """Close every idle connection."""
+        """Close all idle connections."""
         self.close_idle_except(set())
 
 
 def encode_head(head: RequestHead) -> bytes:
-    """Return the bytes of a request's head."""
+    """Encode the request line and headers as they are sent."""
     lines = [f'{head.method} {head.target} HTTP/1.1']
     lines.extend(f'{name}: {value}' for name, value in head.headers)
     return '\r\n'.join([*lines, '', '']).encode('latin-1')
 
 
 def parse_keep_alive_s(text: str) -> float | None:
-    """Return the seconds that a `Keep-Alive` header gives."""
+    """Return the timeout of a `Keep-Alive` header in seconds, `None` if it has none."""
     for part in text.split(','):
         name, _, value = part.strip().partition('=')
         digits = value if name.lower() == 'timeout' else name
--- a/packages/clients/calicopath_clients/platform.py
+++ b/packages/clients/calicopath_clients/platform.py
@@ -1,4 +1,4 @@
-"""Adapt the platform's object API and box list."""
+"""Provide the HTTP adapters to the platform's object API and box list."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 CONNECT_TIMEOUT_S = 1.0
 REQUEST_TIMEOUT_S = 2.0
 WATCH_SILENCE_TIMEOUT_S = 30.0
-"""A watch that sends nothing, not even its keep-alive line, for this long is given up."""
+"""Timeout of a watch that sends nothing, not even its keep-alive line."""
 
 STATUS_CONFLICT = 409
 STATUS_NOT_FOUND = 404
@@ -35,7 +35,7 @@
 
 
 class HttpObjectStore(ObjectStore):
-    """Reach the object API over HTTP."""
+    """Access the object API over HTTP."""
 
     def __init__(
         self,
@@ -49,11 +49,11 @@
         self.timeout = aiohttp.ClientTimeout(total=timeout_s, sock_connect=CONNECT_TIMEOUT_S)
 
     def object_url(self, key: str) -> str:
-        """Return the URL of an object."""
+        """Return the URL of the object at a key."""
         return f'{self.url}/v1/objects/{quote(key)}'
 
     async def read_json(self, url: str, params: dict[str, str] | None = None) -> Any:
-        """Return the JSON answer to a read, or nothing if there is no such object."""
+        """Return the decoded JSON response, `None` for status 404; raise `StoreUnavailable`."""
         try:
             async with self.session.get(url, params=params, timeout=self.timeout) as response:
                 if response.status == STATUS_NOT_FOUND:
@@ -65,22 +65,22 @@
             raise StoreUnavailable(f'the object API cannot be read: {error!r}') from error
 
     async def get(self, key: str) -> StoredObject | None:
-        """Return an object, or nothing."""
+        """Return an object, `None` if there is none."""
         data = await self.read_json(self.object_url(key))
         return None if data is None else to_stored_object(data)
 
     async def list(self, prefix: str) -> list[StoredObject]:
-        """Return every object below `prefix`."""
+        """Return all objects below `prefix`."""
         data = await self.read_json(f'{self.url}/v1/objects', {'prefix': prefix})
         if data is None:
-            raise StoreUnavailable('the object API has no list')
+            raise StoreUnavailable('the object API answered 404 to a list request')
         return [to_stored_object(item) for item in data['objects']]
 
     async def put(self, key: str, value: dict[str, Any], expected_version: int) -> StoredObject:
         """Write if the version is still the expected one.
 
-        It is sent as a POST: a PUT counts as idempotent, and the HTTP library would repeat it by
-        itself after a lost answer.
+        The request is a POST: the HTTP library treats a PUT as idempotent and would retry it on its
+        own after a lost response.
         """
         expected = versions.split(expected_version)
         try:
@@ -94,7 +94,7 @@
         except CONNECT_ERRORS as error:
             raise StoreUnavailable(f'the object API cannot be reached: {error!r}') from error
         except (aiohttp.ClientError, TimeoutError) as error:
-            raise WriteUnknown(f'the answer to a write was lost: {error!r}') from error
+            raise WriteUnknown(f'the response to a write was lost: {error!r}') from error
         if response.status == STATUS_CONFLICT:
             raise VersionConflict(f'{key} is no longer at version {expected_version}')
         if response.status != STATUS_OK:
@@ -102,7 +102,7 @@
         return to_stored_object(msgspec.json.decode(body))
 
     async def watch(self, prefix: str) -> AsyncIterator[StoredObject]:
-        """Yield objects below `prefix` as they change."""
+        """Yield objects below `prefix` as they change; raise `StoreUnavailable` on errors."""
         timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=WATCH_SILENCE_TIMEOUT_S
         )
@@ -116,7 +116,7 @@
                     if line.strip():
                         yield to_stored_object(msgspec.json.decode(line))
         except (aiohttp.ClientError, TimeoutError, ValueError) as error:
-            raise StoreUnavailable(f'the watch ended: {error!r}') from error
+            raise StoreUnavailable(f'the watch of the object API failed: {error!r}') from error
 
 
 class HttpBoxList(BoxList):
@@ -130,7 +130,7 @@
         )
 
     async def boxes(self) -> list[BoxRecord]:
-        """Return the boxes that the platform believes to exist."""
+        """Return the boxes that the platform lists; raise `StoreUnavailable`."""
         try:
             async with self.session.get(f'{self.url}/v1/boxes', timeout=self.timeout) as response:
                 data = msgspec.json.decode(await response.read())
@@ -142,6 +142,6 @@
 
 
 def to_stored_object(data: dict[str, Any]) -> StoredObject:
-    """Return an object from its JSON form."""
+    """Convert an object from its decoded JSON form."""
     store_version = versions.StoreVersion(data.get('era', 0), data['version'])
     return StoredObject(data['key'], versions.join(store_version), data['value'])
--- a/packages/clients/calicopath_clients/sessions.py
+++ b/packages/clients/calicopath_clients/sessions.py
@@ -1,15 +1,15 @@
-"""Open HTTP client sessions with the limits that calicopath needs."""
+"""Open `aiohttp` client sessions with the limits that calicopath needs."""
 
 from __future__ import annotations
 
 import aiohttp
 
 READ_BUFFER_BYTES = 4 * 1024 * 1024
-"""A line of a watch holds a whole object, up to a megabyte."""
+"""Each line of a watch holds a whole object of up to 1 MB."""
 
 
 def new_session() -> aiohttp.ClientSession:
-    """Return a session whose connections are bounded by the pools, not by the library."""
+    """Return a session without a connection limit: the endpoint pools limit calls."""
     connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=30)
     return aiohttp.ClientSession(
         connector=connector,
--- a/packages/clients/calicopath_clients/tests/http1_tests.py
+++ b/packages/clients/calicopath_clients/tests/http1_tests.py
@@ -9,7 +9,7 @@
 
 import testtools
 
-from calicopath_clients.http1.pool import RequestHead, HttpPool, parse_keep_alive_s
+from calicopath_clients.http1.pool import HttpPool, RequestHead, parse_keep_alive_s
 from calicopath_core.backends.base import ConnectionBroken, MayHaveRun, NotStarted, ProbeResult
 from testkit.servers import read_request
 
