--- a/packages/cli/calicopath_cli/__main__.py
+++ b/packages/cli/calicopath_cli/__main__.py
@@ -40,7 +40,7 @@
     'Check and apply configuration, drain and stop endpoints, and see what is in force.\n\n'
     'Exit codes: 0 done; 1 failed, nothing changed; 2 invalid arguments or configuration, nothing '
     'changed; 3 another operator changed the same object; 4 unknown whether the change was '
-    'accepted; 5 accepted, but not in force on every box within the wait; 130 interrupted.'
+    'accepted; 5 accepted, but not in force on every box within --wait; 130 interrupted.'
 )
 PLATFORM_HELP = "URL of the platform's object API."
 WHO_HELP = 'Name that the audit trail records; by default the login name.'
--- a/packages/cli/calicopath_cli/tests/blocked_tests.py
+++ b/packages/cli/calicopath_cli/tests/blocked_tests.py
@@ -1,4 +1,4 @@
-"""Test the table of blocked requests, against boxes that tell what they block."""
+"""Test the commands that list and unblock requests, against simulated boxes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,10 @@
 
 
 def box(items: list[dict[str, Any]] | None, listed: list[dict[str, str]]) -> web.Application:
-    """Return a box that blocks some requests, or that only lists boxes."""
+    """Return a box that blocks `items`, or answers 503 if they are `None`.
+
+    `listed` holds the boxes that it lists.
+    """
     app = web.Application()
     released: list[str] = []
 
@@ -53,7 +56,7 @@
 
 class Blocked(testtools.TestCase):
     def run_command(self, *released: str) -> str:
-        """Return what the command prints, after letting go what is named."""
+        """Unblock the requests named in `released`; return what the commands print."""
 
         async def scenario() -> str:
             printed = io.StringIO()
@@ -63,8 +66,8 @@
                     url = await stack.enter_async_context(served(box(items, listed)))
                     listed.append({'box': name, 'address': url.removeprefix('http://')})
                 with contextlib.redirect_stdout(printed):
-                    for word in released:
-                        await release(listed[0]['address'], word, 'me')
+                    for content in released:
+                        await release(listed[0]['address'], content, 'me')
                     await blocked(listed[0]['address'], OutputFormat.JSON)
             return printed.getvalue()
 
@@ -75,9 +78,9 @@
         self.assertEqual([('c2', 1, 2), ('c1', 2, 2)], [row_summary(row) for row in rows])
         self.assertEqual((100.0, 950.0), (rows[1]['since'], rows[1]['until']))
 
-    def test_one_is_let_go_and_what_is_not_blocked_is_said_so(self) -> None:
-        words, _, rest = self.run_command('c2').partition('\n')
-        self.assertEqual('c2 is unblocked: engine', words)
+    def test_one_is_unblocked_and_one_that_is_not_blocked_is_an_error(self) -> None:
+        message, _, rest = self.run_command('c2').partition('\n')
+        self.assertEqual('c2 is unblocked: engine', message)
         self.assertEqual([('c1', 2, 2)], [row_summary(row) for row in json.loads(rest)])
         self.assertRaises(CommandError, self.run_command, 'c9')
 
@@ -87,5 +90,5 @@
 
 
 def row_summary(row: dict[str, Any]) -> tuple[str, int, int]:
-    """Return what tells rows apart."""
+    """Return the fields of a row that tests compare."""
     return row['content'], row['boxes'], row['asked']
--- a/packages/cli/calicopath_cli/tests/commands_tests.py
+++ b/packages/cli/calicopath_cli/tests/commands_tests.py
@@ -1,4 +1,4 @@
-"""Test operators' commands against the platform's stand-in."""
+"""Test the commands for configuration against the stand-in of the platform."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
         return asyncio.run(scenario())
 
     def apply(self, options: Options) -> Awaitable[None]:
-        """Apply the example."""
+        """Apply the example configuration."""
         return apply.apply(options, [CONFIG], None)
 
     def test_applying_twice_changes_nothing_the_second_time(self) -> None:
@@ -134,7 +134,7 @@
         printed = self.run_steps(lambda options: audit.audit(options, '', 100), platform=platform)
         self.assertEqual(21, len(json.loads(printed)))
 
-    def test_a_platform_that_is_down_is_one_line_and_nothing_is_changed(self) -> None:
+    def test_a_platform_that_is_down_is_named_in_the_error(self) -> None:
         platform = PlatformStandIn()
         platform.faults.down = True
         with self.assertRaises(Exception) as raised:
--- a/packages/cli/calicopath_cli/tests/gateways_tests.py
+++ b/packages/cli/calicopath_cli/tests/gateways_tests.py
@@ -1,4 +1,4 @@
-"""Test the table of boxes before callers, against boxes that tell what is in force there."""
+"""Test the command that shows the state of gateway boxes, against simulated boxes."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 class Gateways(testtools.TestCase):
     def run_command(self, output: OutputFormat) -> str:
-        """Return what the command prints for boxes that differ."""
+        """Return what the command prints for boxes in different states."""
 
         async def scenario() -> str:
             printed = io.StringIO()
@@ -70,7 +70,7 @@
             found,
         )
 
-    def test_people_read_since_when_and_why(self) -> None:
+    def test_the_table_shows_times_and_problems(self) -> None:
         table = self.run_command(OutputFormat.TEXT)
         self.assertIn('1970-01-01 00:03:20', table)
         self.assertIn('graceS: missing', table)
@@ -82,7 +82,10 @@
 
 
 def box(name: str, changes: dict[str, Any] | None, listed: list[dict[str, str]]) -> web.Application:
-    """Return a box that tells its state, or fails if it has none to tell."""
+    """Return a box with changes to the usual state, or one that answers 503 if they are `None`.
+
+    `listed` holds the boxes that it lists.
+    """
 
     async def state(request: web.Request) -> web.Response:
         if changes is None:
--- a/packages/cli/calicopath_cli/tests/replicas_tests.py
+++ b/packages/cli/calicopath_cli/tests/replicas_tests.py
@@ -1,4 +1,4 @@
-"""Test the table of replicas that are not called, against boxes that tell of theirs."""
+"""Test the command that shows excluded replicas, against simulated boxes."""
 
 from __future__ import annotations
 
@@ -33,7 +33,10 @@
 
 
 def box(items: list[dict[str, Any]] | None, listed: list[dict[str, str]]) -> web.Application:
-    """Return a box that tells which replicas it does not call, or that only lists boxes."""
+    """Return a box that excludes the replicas in `items`, or answers 503 if they are `None`.
+
+    `listed` holds the boxes that it lists.
+    """
     app = web.Application()
 
     async def boxes(request: web.Request) -> web.Response:
@@ -66,7 +69,7 @@
 
         return asyncio.run(scenario())
 
-    def test_each_has_a_row_with_who_told_first_and_how_many_boxes_know(self) -> None:
+    def test_each_exclusion_has_a_row_with_its_first_source_and_number_of_boxes(self) -> None:
         rows = json.loads(self.run_command(OutputFormat.JSON))
         shown = [(row['replica'], row['bar'], row['source'], row['boxes']) for row in rows]
         self.assertEqual(
@@ -79,7 +82,7 @@
         )
         self.assertEqual({2}, {row['asked'] for row in rows})
 
-    def test_the_table_leaves_out_times_that_nobody_knows(self) -> None:
+    def test_unknown_times_are_empty_in_the_table(self) -> None:
         lines = self.run_command(OutputFormat.TEXT).splitlines()
         self.assertIn('1970-01-01 00:05:03', lines[2])
         self.assertNotIn('1970', lines[3])
--- a/packages/clients/calicopath_clients/http1/connections.py
+++ b/packages/clients/calicopath_clients/http1/connections.py
@@ -151,7 +151,7 @@
     def skip_response(self) -> None:
         """Skip a response that belongs to another call.
 
-        The call fails after too many of them, or if one without a length cannot be delimited.
+        The call fails after too many of them, or if one has no length and cannot be delimited.
         """
         self.current = None
         self.skipped_responses += 1
--- a/packages/clients/calicopath_clients/http1/pool.py
+++ b/packages/clients/calicopath_clients/http1/pool.py
@@ -156,7 +156,7 @@
         )
 
     def take_idle(self, address: str, max_idle_s: float) -> Connection | None:
-        """Return the idle connection used last if it is reusable, closing those that are not."""
+        """Return the reusable idle connection used last, or `None`; close those tried first."""
         now = self.now()
         idle = self.idle_connections.get(address, [])
         while idle:
--- a/packages/clients/calicopath_clients/tests/calls_tests.py
+++ b/packages/clients/calicopath_clients/tests/calls_tests.py
@@ -1,4 +1,4 @@
-"""Test what adapters make of answers, and of their absence, on real connections."""
+"""Test how the adapters handle responses, and missing ones, on real connections."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 
 def endpoint(url: str) -> Endpoint:
-    """Return an endpoint at a URL."""
+    """Return an encoder endpoint at a URL."""
     return Endpoint('e', 's', StageKind.ENCODER, url, 'd', 8)
 
 
 def answer_to(call: str) -> bytes:
-    """Return a valid answer to a call."""
+    """Return the bytes of a valid response to a call."""
     return http_answer(json.dumps({'call': call, 'output': {'vector': [1.0]}}).encode())
 
 
@@ -61,7 +61,7 @@
 
         self.assertRaises(WrongAnswer, self.call, script)
 
-    def test_nonsense_is_a_wrong_answer(self) -> None:
+    def test_an_invalid_answer_is_a_wrong_answer(self) -> None:
         for body in (b'', b'[]', b'{"call": 1}', b'{"call": "r/s/1", "output": {"vector": "x"}}'):
 
             async def script(reader: Any, writer: Any, body: bytes = body) -> None:
@@ -80,7 +80,7 @@
 
         self.assertRaises(NotStarted, asyncio.run, scenario())
 
-    def test_a_declined_call_did_not_run_and_says_when_to_come_back(self) -> None:
+    def test_a_declined_call_did_not_run_and_says_when_to_retry(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
             await read_request(reader)
             writer.write(http_answer(b'', '429 Too Many Requests', 'Retry-After: 0.5\r\n'))
@@ -158,7 +158,7 @@
 
         asyncio.run(scenario())
 
-    def test_a_line_that_makes_no_sense_is_a_wrong_answer(self) -> None:
+    def test_an_invalid_line_is_a_wrong_answer(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
             await read_request(reader)
             writer.write(http_answer(b'{"call": "r/g/1", "offset": 0}\n'))
--- a/packages/clients/calicopath_clients/tests/ended_answers_tests.py
+++ b/packages/clients/calicopath_clients/tests/ended_answers_tests.py
@@ -1,17 +1,13 @@
-"""Test that an answer which breaks off after its head tells that its connection broke.
-
-A request ended each engine that began to run it, and came again and again. An engine gives the
-head of its answer at once and the first event some 100 ms later, so nearly each of them ended
-between the two. The client raised "the connection was lost" for it as any failure that may have
-run, and not as a broken connection; only the latter made a box look whether the engine had ended.
-So most ends were never counted: 34 engines ended under three requests in one day, of which boxes
-saw 15.
-
-The lines that settled it, of one engine's end, all of one digest of content: `"failure":"silent",
-"begun":false,"error":"the connection was lost: None"` at the box whose request ended it, and
-`"failure":"broken"` with the same words only where no head had come yet. Looking at every failed
-attempt hides the fault, some time later; telling it for what it is lets a box know the end before
-it sends the request once more.
+"""Test that a connection lost after the head of a response raises `ConnectionBroken`.
+
+An engine sends the head of its response at once and the first event some 100 ms later. If a
+request crashes it, the connection nearly always breaks between the two. The client raised a plain
+`MayHaveRun` for this (failure "silent"), and `ConnectionBroken` only if no head had come (failure
+"broken"). Only `ConnectionBroken` makes a box probe whether the engine crashed, so most crashes
+were not counted: boxes saw 15 of 34 engines that three requests crashed in one day.
+
+Probing after every failed attempt would only hide this fault, and detect the crash later. With the
+right error a box knows of the crash before it sends the request again.
 """
 
 from __future__ import annotations
@@ -30,7 +26,7 @@
 
 class BrokenAfterTheHead(HttpCase):
     def check_broken(self, data: bytes, *, with_reset: bool = False) -> None:
-        """Check what is told of an answer that breaks off after some bytes."""
+        """Check that a response cut off after these bytes raises `ConnectionBroken`."""
 
         async def script(reader: Any, writer: Any) -> None:
             await read_request(reader)
--- a/packages/clients/calicopath_clients/tests/http1_tests.py
+++ b/packages/clients/calicopath_clients/tests/http1_tests.py
@@ -1,4 +1,4 @@
-"""Test what the byte-exact HTTP client makes of answers that are cut, crossed or in surplus."""
+"""Test how the HTTP client handles truncated, mismatched and surplus responses."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 
 
 def answer(body: bytes, call_id: str = '1', extra: str = '') -> bytes:
-    """Return an answer with a length."""
+    """Return the bytes of a response with a length."""
     head = f'HTTP/1.1 200 OK\r\n{ID}: {call_id}\r\n{extra}Content-Length: {len(body)}\r\n\r\n'
     return head.encode() + body
 
 
 class Server:
-    """Serve each connection by a script, and count connections."""
+    """Serve each connection by a script, and count the connections."""
 
     def __init__(self, script: Callable[[Any, Any], Awaitable[None]]) -> None:
         self.script = script
         self.connections = 0
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Run the script."""
+        """Run the script on a new connection; ignore connections that the client closes."""
         self.connections += 1
         try:
             await self.script(reader, writer)
@@ -47,7 +47,7 @@
 
 
 def is_own_answer(head: ResponseHead) -> bool:
-    """Tell whether an answer is the call's own."""
+    """Tell whether a response belongs to the call."""
     return head.get(ID) == '1'
 
 
@@ -57,7 +57,7 @@
         script: Callable[[Any, Any], Awaitable[None]],
         work: Callable[[HttpPool, str], Awaitable[Any]],
     ) -> tuple[Any, int]:
-        """Run some work against a scripted server; return its result and the connections."""
+        """Run `work` against a scripted server; return its result and the connection count."""
 
         async def scenario() -> tuple[Any, int]:
             server = Server(script)
@@ -84,7 +84,7 @@
 
 
 async def get_twice(pool: HttpPool, address: str) -> list[bytes]:
-    """Make two calls one after the other."""
+    """Make two calls with a pause of 20 ms between them."""
     first = await get(pool, address)
     await asyncio.sleep(0.02)
     return [first, await get(pool, address)]
@@ -109,7 +109,7 @@
         self.run_against(script, get)
         self.assertEqual([b'GET /x?a=%20b HTTP/1.1\r\nHost: h\r\nX-Odd: Value\r\n\r\n'], seen)
 
-    def test_bytes_after_an_answer_belong_to_nobody(self) -> None:
+    def test_a_connection_with_surplus_bytes_is_not_reused(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
             await read_request(reader)
             writer.write(answer(b'one') + answer(b'surplus'))
@@ -127,7 +127,7 @@
 
         self.assertEqual(([b'one', b'one'], 2), self.run_against(script, get_twice))
 
-    def test_an_answer_to_an_earlier_call_is_passed_over(self) -> None:
+    def test_an_answer_to_an_earlier_call_is_skipped(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
             await read_request(reader)
             writer.write(answer(b'of another', '0') + answer(b'own'))
@@ -135,7 +135,7 @@
 
         self.assertEqual(([b'own', b'own'], 2), self.run_against(script, get_twice))
 
-    def test_only_answers_to_others_are_no_answer(self) -> None:
+    def test_a_call_fails_if_only_answers_to_others_come(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
             await read_request(reader)
             writer.write(answer(b'a', '0') * 5)
@@ -181,7 +181,7 @@
 
         self.assertRaises(MayHaveRun, self.run_against, script, get)
 
-    def test_an_interim_answer_is_passed_over(self) -> None:
+    def test_an_interim_answer_is_skipped(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
             await read_request(reader)
             writer.write(b'HTTP/1.1 100 Continue\r\n\r\n' + answer(b'own'))
@@ -207,7 +207,7 @@
 
         self.assertEqual(([b'early', b'early'], 2), self.run_against(script, work))
 
-    def test_the_wish_to_close_is_kept(self) -> None:
+    def test_a_connection_that_the_server_will_close_is_not_reused(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
             await read_request(reader)
             writer.write(answer(b'one', extra='Connection: close\r\n'))
@@ -215,7 +215,7 @@
 
         self.assertEqual(([b'one', b'one'], 2), self.run_against(script, get_twice))
 
-    def test_a_call_given_up_takes_its_connection_along(self) -> None:
+    def test_a_cancelled_call_closes_its_connection(self) -> None:
         closed: list[bytes] = []
 
         async def script(reader: Any, writer: Any) -> None:
@@ -243,9 +243,7 @@
 
         self.assertRaises(NotStarted, self.run_against, script, work)
 
-    def test_a_port_that_refuses_is_told_from_one_that_listens_and_its_connection_is_kept(
-        self,
-    ) -> None:
+    def test_a_probe_tells_closed_ports_from_open_ones_and_keeps_its_connection(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
             await read_request(reader)
             writer.write(answer(b'one'))
@@ -265,11 +263,11 @@
         async def scenario() -> ProbeResult:
             accepted = asyncio.Event()
 
-            async def end(reader: Any, writer: Any) -> None:
+            async def accept_once(reader: Any, writer: Any) -> None:
                 accepted.set()
                 writer.close()
 
-            listener = await asyncio.start_server(end, '127.0.0.1', 0)
+            listener = await asyncio.start_server(accept_once, '127.0.0.1', 0)
             port = listener.sockets[0].getsockname()[1]
             pool = HttpPool()
             found = asyncio.create_task(pool.probe(f'127.0.0.1:{port}', 1.0))
@@ -279,18 +277,18 @@
 
         self.assertEqual(ProbeResult.REFUSED, asyncio.run(scenario()))
 
-    def test_a_broken_connection_is_told_from_an_answer_that_makes_no_sense(self) -> None:
+    def test_a_broken_connection_is_told_from_an_invalid_answer(self) -> None:
         async def lost(reader: Any, writer: Any) -> None:
             await read_request(reader)
             reset(writer)
 
-        async def senseless(reader: Any, writer: Any) -> None:
+        async def invalid(reader: Any, writer: Any) -> None:
             await read_request(reader)
             writer.write(b'no answer at all\r\n\r\n')
             await asyncio.sleep(0.05)
 
         self.assertRaises(ConnectionBroken, self.run_against, lost, get)
-        error = self.assertRaises(MayHaveRun, self.run_against, senseless, get)
+        error = self.assertRaises(MayHaveRun, self.run_against, invalid, get)
         self.assertNotIsInstance(error, ConnectionBroken)
 
     def test_the_idle_limit_is_read_in_both_forms(self) -> None:
@@ -300,16 +298,14 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection by a reset."""
+    """Close a connection with a TCP reset."""
     sock = writer.get_extra_info('socket')
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0))
     writer.transport.abort()
 
 
-class Shares(HttpCase):
-    def test_no_more_connections_are_opened_than_this_box_may_and_closed_ones_count_no_more(
-        self,
-    ) -> None:
+class ConnectionLimits(HttpCase):
+    def test_open_connections_are_limited_and_closed_ones_do_not_count(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
             await read_request(reader)
             await asyncio.sleep(0.05)
@@ -329,7 +325,7 @@
         self.assertIn({}, found)
         self.assertEqual(3, connections)
 
-    def test_a_server_that_is_not_there_holds_no_share(self) -> None:
+    def test_failed_connections_do_not_count(self) -> None:
         async def work() -> dict[str, int]:
             pool = HttpPool(connection_limit=lambda _: 1)
             for _ in range(3):
--- a/packages/clients/calicopath_clients/tests/platform_tests.py
+++ b/packages/clients/calicopath_clients/tests/platform_tests.py
@@ -1,4 +1,4 @@
-"""Test the object API's adapter against the stand-in and against lost answers."""
+"""Test the adapter to the object API against the stand-in and with lost responses."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
 
         asyncio.run(scenario())
 
-    def test_a_platform_that_does_not_answer_is_given_up(self) -> None:
+    def test_requests_to_a_platform_that_does_not_answer_time_out(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
             await reader.read()
 
