--- a/packages/cli/calicopath_cli/__main__.py
+++ b/packages/cli/calicopath_cli/__main__.py
@@ -38,40 +38,40 @@
 
 APP_HELP = (
     'Check and apply configuration, drain and stop endpoints, and see what is in force.\n\n'
-    'Exit codes: 0 done; 1 failed, nothing changed; 2 wrong arguments or configuration, nothing '
-    'changed; 3 somebody else changed the same object; 4 not known whether the change was '
-    'accepted; 5 accepted, but not in force on every box in the time given; 130 interrupted.'
+    'Exit codes: 0 done; 1 failed, nothing changed; 2 invalid arguments or configuration, nothing '
+    'changed; 3 another operator changed the same object; 4 unknown whether the change was '
+    'accepted; 5 accepted, but not in force on every box within --wait; 130 interrupted.'
 )
 PLATFORM_HELP = "URL of the platform's object API."
-WHO_HELP = 'Name that the audit trail records; the login name if not given.'
-OUTPUT_HELP = 'Form of the output: text for people, json for scripts.'
-CHECK_HELP = 'Check files or folders without a platform; report every problem at once.'
-APPLY_HELP = 'Check files or folders and write what differs from what is in force.'
-STATUS_HELP = 'Show the boxes, and on how many of them each of the last changes is in force.'
+WHO_HELP = 'Name that the audit trail records; by default the login name.'
+OUTPUT_HELP = 'Output format: text for people, json for scripts.'
+CHECK_HELP = 'Check files or folders without contacting the platform; report all problems.'
+APPLY_HELP = 'Check files or folders and write the objects that differ from those in force.'
+STATUS_HELP = 'Show the boxes, and on how many of them each of the latest changes is in force.'
 GATEWAYS_HELP = (
-    'Show which settings and configuration are in force on every box of the second front door, '
-    'those behind first.'
+    'Show the settings and configuration in force on every box that runs the HTTP gateway; boxes '
+    'that are behind come first.'
 )
 REPLICAS_HELP = (
-    'Show which replicas the boxes of the second front door do not call, why, who has told them '
-    'and how many of them know it.'
+    'Show which replicas are excluded by the boxes that run the HTTP gateway, the reason, its '
+    'source, and on how many boxes the exclusion is known.'
 )
 BLOCKED_HELP = (
-    'Show the requests that boxes of the second front door do not send on since replicas end under '
-    'them; with --release, let one go.'
+    'Show the requests that the boxes that run the HTTP gateway block because replicas crashed '
+    'during them; with --release, unblock one.'
 )
-RELEASE_HELP = 'Let this request go, as the list names it.'
-GATEWAY_ADDRESS_HELP = 'IP:PORT at which any of those boxes tells its figures.'
-AUDIT_HELP = 'Show who changed what and when.'
+RELEASE_HELP = 'Unblock this request, by its name in the list.'
+GATEWAY_ADDRESS_HELP = 'IP:PORT of the metrics listener of any of those boxes.'
+AUDIT_HELP = 'Show the audit trail: who changed which object, and when.'
 TEMPLATE_HELP = 'List, show and delete templates.'
 PIPELINE_HELP = "List, show and delete workspaces' pipelines."
 ENDPOINT_HELP = 'Add, drain, stop and list endpoints.'
-ADD_HELP = 'Add an endpoint, or take one back that was drained, stopped or deleted.'
-DRAIN_HELP = 'Give an endpoint no new work; calls in progress end as usual.'
-STOP_HELP = 'Take an endpoint out of service; calls in progress end as usual.'
-WAIT_HELP = 'Wait so many seconds until the change is in force on every live box.'
-LAST_HELP = 'How many of the newest to show.'
-KEY_HELP = 'Only changes below this key, as in endpoints/drafting-1.'
+ADD_HELP = 'Add an endpoint, or reactivate one that was drained, stopped or deleted.'
+DRAIN_HELP = 'Send an endpoint no new calls; calls in progress are completed.'
+STOP_HELP = 'Take an endpoint out of service; calls in progress are completed.'
+WAIT_HELP = 'Wait up to this many seconds until the change is in force on every live box.'
+LAST_HELP = 'Number of the newest entries to show.'
+KEY_HELP = 'Show only changes below this key, for example endpoints/drafting-1.'
 
 app = typer.Typer(
     help=APP_HELP, no_args_is_help=True, add_completion=False, pretty_exceptions_enable=False
@@ -83,13 +83,13 @@
 app.add_typer(pipeline_app, name='pipeline')
 app.add_typer(endpoint_app, name='endpoint')
 
-Paths = Annotated[list[Path], typer.Argument(help='YAML files, or folders of them.')]
+Paths = Annotated[list[Path], typer.Argument(help='YAML files, or folders of YAML files.')]
 Wait = Annotated[float | None, typer.Option('--wait', help=WAIT_HELP, min=0.0)]
 Last = Annotated[int, typer.Option('--last', help=LAST_HELP, min=1)]
 
 
 @app.callback()
-def shared(
+def set_shared_options(
     context: typer.Context,
     platform: Annotated[str, typer.Option(envvar='CALICOPATH_PLATFORM', help=PLATFORM_HELP)] = '',
     who: Annotated[str, typer.Option(envvar='CALICOPATH_WHO', help=WHO_HELP)] = '',
@@ -97,21 +97,21 @@
         OutputFormat, typer.Option(envvar='CALICOPATH_OUTPUT', help=OUTPUT_HELP)
     ] = OutputFormat.TEXT,
 ) -> None:
-    """Take the options that all commands share."""
+    """Store the options that all commands share in the context."""
     context.obj = Options(platform, who or getpass.getuser(), output)
 
 
-def run(work: Coroutine[Any, Any, None]) -> None:
-    """Run a command that talks to the platform."""
+def run_command(command: Coroutine[Any, Any, None]) -> None:
+    """Run the coroutine of a command; exit with `EXIT_INTERRUPTED` on Ctrl+C."""
     try:
-        uvloop.run(work)
+        uvloop.run(command)
     except KeyboardInterrupt:
         print('calicopath: interrupted', file=sys.stderr)
         raise typer.Exit(EXIT_INTERRUPTED) from None
 
 
-def options_of(context: typer.Context) -> Options:
-    """Return the shared options of a command that needs the platform."""
+def platform_options(context: typer.Context) -> Options:
+    """Return the shared options; raise `InvalidInput` if they name no platform."""
     options: Options = context.obj
     if not options.platform:
         raise InvalidInput('--platform or CALICOPATH_PLATFORM is required')
@@ -127,13 +127,13 @@
 @app.command(help=APPLY_HELP)
 def apply(context: typer.Context, paths: Paths, wait: Wait = None) -> None:
     """Apply files."""
-    run(apply_command.apply(options_of(context), paths, wait))
+    run_command(apply_command.apply(platform_options(context), paths, wait))
 
 
 @app.command(help=STATUS_HELP)
 def status(context: typer.Context, last: Last = 10) -> None:
     """Show boxes and changes."""
-    run(status_command.status(options_of(context), last))
+    run_command(status_command.status(platform_options(context), last))
 
 
 @app.command('gateways', help=GATEWAYS_HELP)
@@ -141,8 +141,8 @@
     context: typer.Context,
     address: Annotated[str, typer.Argument(help=GATEWAY_ADDRESS_HELP)],
 ) -> None:
-    """Show what is in force on boxes before callers."""
-    run(gateways.gateways(address, context.obj.output))
+    """Show the settings and configuration in force on the gateway boxes."""
+    run_command(gateways.gateways(address, context.obj.output))
 
 
 @app.command('replicas', help=REPLICAS_HELP)
@@ -150,8 +150,8 @@
     context: typer.Context,
     address: Annotated[str, typer.Argument(help=GATEWAY_ADDRESS_HELP)],
 ) -> None:
-    """Show the replicas that boxes do not call, and why."""
-    run(replicas.replicas(address, context.obj.output))
+    """Show the replicas that the gateway boxes exclude, and the reasons."""
+    run_command(replicas.replicas(address, context.obj.output))
 
 
 @app.command('blocked', help=BLOCKED_HELP)
@@ -160,11 +160,11 @@
     address: Annotated[str, typer.Argument(help=GATEWAY_ADDRESS_HELP)],
     release: Annotated[str, typer.Option(help=RELEASE_HELP)] = '',
 ) -> None:
-    """Show the requests under which replicas end, or let one go."""
+    """Show the requests blocked by the gateway boxes, or unblock one."""
     if release:
-        run(blocked.release(address, release, context.obj.who))
+        run_command(blocked.release(address, release, context.obj.who))
         return
-    run(blocked.blocked(address, context.obj.output))
+    run_command(blocked.blocked(address, context.obj.output))
 
 
 @app.command(help=AUDIT_HELP)
@@ -174,60 +174,64 @@
     last: Last = 50,
 ) -> None:
     """Show the audit trail."""
-    run(audit_command.audit(options_of(context), key, last))
+    run_command(audit_command.audit(platform_options(context), key, last))
 
 
 @template_app.command('list')
 def template_list(context: typer.Context) -> None:
     """List the templates."""
-    run(objects.list_objects(options_of(context), TEMPLATE_PREFIX))
+    run_command(objects.list_objects(platform_options(context), TEMPLATE_PREFIX))
 
 
 @template_app.command('show')
 def template_show(context: typer.Context, name: str) -> None:
     """Print a template."""
-    run(objects.show_object(options_of(context), template_key(name)))
+    run_command(objects.show_object(platform_options(context), template_key(name)))
 
 
 @template_app.command('delete')
 def template_delete(context: typer.Context, name: str, wait: Wait = None) -> None:
     """Delete a template that no pipeline uses."""
-    run(objects.delete_object(options_of(context), template_key(name), wait))
+    run_command(objects.delete_object(platform_options(context), template_key(name), wait))
 
 
 @pipeline_app.command('list')
 def pipeline_list(context: typer.Context) -> None:
     """List the pipelines of all workspaces."""
-    run(objects.list_objects(options_of(context), PIPELINE_PREFIX))
+    run_command(objects.list_objects(platform_options(context), PIPELINE_PREFIX))
 
 
 @pipeline_app.command('show')
 def pipeline_show(context: typer.Context, workspace: str, name: str) -> None:
     """Print a workspace's pipeline."""
-    run(objects.show_object(options_of(context), pipeline_key(workspace, name)))
+    run_command(objects.show_object(platform_options(context), pipeline_key(workspace, name)))
 
 
 @pipeline_app.command('delete')
 def pipeline_delete(context: typer.Context, workspace: str, name: str, wait: Wait = None) -> None:
     """Delete a workspace's pipeline."""
-    run(objects.delete_object(options_of(context), pipeline_key(workspace, name), wait))
+    run_command(
+        objects.delete_object(platform_options(context), pipeline_key(workspace, name), wait)
+    )
 
 
 @endpoint_app.command('list')
 def endpoint_list(context: typer.Context) -> None:
     """List the endpoints."""
-    run(endpoints.list_endpoints(options_of(context)))
+    run_command(endpoints.list_endpoints(platform_options(context)))
 
 
 @endpoint_app.command('add', help=ADD_HELP)
 def endpoint_add(
     context: typer.Context,
     name: str,
-    service: Annotated[str, typer.Option(help='Service that it answers for.')],
-    stage: Annotated[StageKind, typer.Option(help='Kind of stage that it runs.')],
-    address: Annotated[str, typer.Option(help='URL, as in http://127.0.0.1:9000.')],
-    failure_domain: Annotated[str, typer.Option(help='Failure domain where it stands.')],
-    concurrency: Annotated[int, typer.Option(help='Calls that it serves at once.')],
+    service: Annotated[str, typer.Option(help='Service that the endpoint belongs to.')],
+    stage: Annotated[StageKind, typer.Option(help='Kind of stage that the endpoint runs.')],
+    address: Annotated[str, typer.Option(help='URL, for example http://127.0.0.1:9000.')],
+    failure_domain: Annotated[str, typer.Option(help='Failure domain of the endpoint.')],
+    concurrency: Annotated[
+        int, typer.Option(help='Number of calls that the endpoint serves at a time.')
+    ],
     wait: Wait = None,
 ) -> None:
     """Add an endpoint."""
@@ -241,23 +245,23 @@
         'concurrency': concurrency,
         'state': EndpointState.ACTIVE.value,
     }
-    run(endpoints.add_endpoint(options_of(context), spec, wait))
+    run_command(endpoints.add_endpoint(platform_options(context), spec, wait))
 
 
 @endpoint_app.command('drain', help=DRAIN_HELP)
 def endpoint_drain(context: typer.Context, name: str, wait: Wait = None) -> None:
     """Drain an endpoint."""
-    run(endpoints.set_state(options_of(context), name, EndpointState.DRAINING, wait))
+    run_command(endpoints.set_state(platform_options(context), name, EndpointState.DRAINING, wait))
 
 
 @endpoint_app.command('stop', help=STOP_HELP)
 def endpoint_stop(context: typer.Context, name: str, wait: Wait = None) -> None:
     """Stop an endpoint."""
-    run(endpoints.set_state(options_of(context), name, EndpointState.STOPPED, wait))
+    run_command(endpoints.set_state(platform_options(context), name, EndpointState.STOPPED, wait))
 
 
 def main() -> None:
-    """Run the command line; every error is a message and an exit code."""
+    """Run the command line; print errors to stderr and exit with their codes."""
     try:
         app()
     except CalicopathError as error:
--- a/packages/cli/calicopath_cli/commands/blocked.py
+++ b/packages/cli/calicopath_cli/commands/blocked.py
@@ -1,4 +1,4 @@
-"""Show which requests are blocked since replicas end under them, and let one go."""
+"""Show the requests blocked because replicas crashed during them, and unblock one."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 import aiohttp
 
-from calicopath_cli.commands.gateways import moment
+from calicopath_cli.commands.gateways import format_time
 from calicopath_cli.exceptions import CommandError
-from calicopath_cli.utils.gateways import ask_gateways, grouped
+from calicopath_cli.utils.gateways import group_items, query_gateways
 from calicopath_cli.utils.output import OutputFormat, print_json, print_table
 
 HEADERS = ('request', 'service', 'since', 'until', 'replicas ended', 'boxes')
@@ -16,7 +16,11 @@
 
 
 class BlockedRow(NamedTuple):
-    """Hold a blocked request as the box tells that knows it longest, and how many boxes know it."""
+    """Hold one blocked request.
+
+    `since` and `replicas` come from the box that blocked it first, `until` is the latest of all
+    boxes. `boxes` counts the boxes that block it, `asked` those that responded.
+    """
 
     content: str
     service: str
@@ -28,21 +32,21 @@
 
 
 async def blocked(address: str, output: OutputFormat) -> None:
-    """Ask one box for all, each for what it blocks, and show that."""
+    """Query all boxes, as listed by the one at `address`, and print the blocked requests."""
     async with aiohttp.ClientSession() as session:
-        answers = await ask_gateways(session, address, '/blocked')
-    rows = joined(list(answers.values()))
+        answers = await query_gateways(session, address, '/blocked')
+    rows = rows_of(list(answers.values()))
     if output is OutputFormat.JSON:
         print_json([row._asdict() for row in rows])
         return
-    print_table(HEADERS, [cells(row) for row in rows])
+    print_table(HEADERS, [table_cells(row) for row in rows])
 
 
-def joined(answers: list[Any]) -> list[BlockedRow]:
-    """Return a row a request, those blocked last first."""
-    found = grouped(answers, 'content', 'service')
+def rows_of(answers: list[Any]) -> list[BlockedRow]:
+    """Return one row per request and service, the most recently blocked first."""
+    grouped = group_items(answers, 'content', 'service')
     rows = []
-    for (content, service), items in found.items.items():
+    for (content, service), items in grouped.items.items():
         first = min(items, key=lambda item: float(item['since']))
         rows.append(
             BlockedRow(
@@ -52,26 +56,26 @@
                 until=max(float(item['until']) for item in items),
                 replicas=first['replicas'],
                 boxes=len(items),
-                asked=found.asked,
+                asked=grouped.answered_boxes,
             )
         )
     return sorted(rows, key=lambda row: (-row.since, row.content, row.service))
 
 
-def cells(row: BlockedRow) -> tuple[Any, ...]:
-    """Return a row as it is shown."""
+def table_cells(row: BlockedRow) -> tuple[Any, ...]:
+    """Return the cells of a table row."""
     return (
         row.content,
         row.service,
-        moment(row.since),
-        moment(row.until),
+        format_time(row.since),
+        format_time(row.until),
         ', '.join(row.replicas),
         f'{row.boxes} of {row.asked}',
     )
 
 
 async def release(address: str, content: str, who: str) -> None:
-    """Have one box let a request go; it tells the others."""
+    """Unblock a request at one box, which notifies the others."""
     timeout = aiohttp.ClientTimeout(total=RELEASE_TIMEOUT_S)
     url = f'http://{address}/blocked/release'
     try:
@@ -81,7 +85,9 @@
         ):
             released = await response.json()
     except (aiohttp.ClientError, TimeoutError) as error:
-        raise CommandError(f'{address}: not known whether it was let go: {error!r}') from error
+        raise CommandError(
+            f'{address}: unknown whether the request was unblocked: {error!r}'
+        ) from error
     if not released:
-        raise CommandError(f'{address}: {content} is not blocked there')
-    print(f'{content} is let go: {", ".join(item["service"] for item in released)}')
+        raise CommandError(f'{address}: request {content} is not blocked at this box')
+    print(f'{content} is unblocked: {", ".join(item["service"] for item in released)}')
