--- a/packages/cli/calicopath_cli/commands/objects.py
+++ b/packages/cli/calicopath_cli/commands/objects.py
@@ -7,7 +7,7 @@
 import yaml
 
 from calicopath_cli.exceptions import InvalidInput
-from calicopath_cli.utils.inforce import wait_in_force
+from calicopath_cli.utils.inforce import wait_until_in_force
 from calicopath_cli.utils.operator import Operator, Options, open_operator
 from calicopath_cli.utils.output import OutputFormat, print_json, print_rows
 from calicopath_core.store.records import ChangeAction
@@ -29,18 +29,18 @@
     print_rows(options.output, ('name', 'version', 'changed by'), rows)
 
 
-async def find(operator: Operator, key: str) -> StoredObject:
-    """Return an object; raise `InvalidInput` if there is none."""
+async def get_existing(operator: Operator, key: str) -> StoredObject:
+    """Return an object; raise `InvalidInput` if it does not exist or is deleted."""
     found = await operator.store.get(key)
     if found is None or found.value['spec'] is None:
-        raise InvalidInput(f'{key}: there is no such object')
+        raise InvalidInput(f'{key}: object does not exist')
     return found
 
 
 async def show_object(options: Options, key: str) -> None:
-    """Print one object as a configuration file would have it."""
+    """Print one object in the form of a configuration file."""
     async with open_operator(options) as operator:
-        found = await find(operator, key)
+        found = await get_existing(operator, key)
     if options.output is OutputFormat.JSON:
         print_json({'key': key, 'version': found.version, **found.value})
         return
@@ -48,19 +48,19 @@
 
 
 async def delete_object(options: Options, key: str, wait_s: float | None) -> None:
-    """Delete one object, leaving a tombstone; templates in use cannot be deleted."""
+    """Replace one object by a tombstone; raise `InvalidInput` if it is a template in use."""
     async with open_operator(options) as operator:
-        found = await find(operator, key)
-        await refuse_if_used(operator, found)
-        accepted = await operator.change(key, None, ChangeAction.DELETE, found.version)
+        found = await get_existing(operator, key)
+        await check_unused(operator, found)
+        accepted = await operator.make_change(key, None, ChangeAction.DELETE, found.version)
         print(f'{key}: deleted as version {accepted.version}')
         if wait_s is not None:
-            state = await wait_in_force(operator, accepted, wait_s)
-            print(f'{key}: in force on {state.in_force} of {state.boxes} boxes')
+            in_force = await wait_until_in_force(operator, accepted, wait_s)
+            print(f'{key}: in force on {in_force.in_force} of {in_force.boxes} boxes')
 
 
-async def refuse_if_used(operator: Operator, found: StoredObject) -> None:
-    """Raise `InvalidInput` if pipelines need a template."""
+async def check_unused(operator: Operator, found: StoredObject) -> None:
+    """Raise `InvalidInput` if an object is a template that pipelines use."""
     spec = found.value['spec']
     if spec['kind'] != 'template':
         return
@@ -71,4 +71,4 @@
         if item.value['spec'] is not None and item.value['spec']['template'] == spec['name']
     ]
     if users:
-        raise InvalidInput(f'{found.key}: used by {", ".join(sorted(users))}')
+        raise InvalidInput(f'{found.key}: in use by pipelines {", ".join(sorted(users))}')
--- a/packages/clients/calicopath_clients/http1/answers.py
+++ b/packages/clients/calicopath_clients/http1/answers.py
@@ -1,4 +1,4 @@
-"""Receive one HTTP/1.1 answer on a connection."""
+"""Receive one HTTP/1.1 response on a connection."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from typing import NamedTuple
 
 PAUSE_BYTES = 256 * 1024
-"""Body bytes that wait unread before the connection stops reading."""
+"""Number of unread body bytes above which the connection pauses reading."""
 
 
-class Head(NamedTuple):
-    """Hold an answer's status and headers, in order."""
+class ResponseHead(NamedTuple):
+    """Hold the status and the ordered headers of a response."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
 
     def get(self, name: str) -> str | None:
-        """Return the value of a header, whatever the case of its name."""
+        """Return the first value of a header, or `None`; the case of the name is ignored."""
         wanted = name.lower()
         for key, value in self.headers:
             if key.lower() == wanted:
@@ -24,65 +24,66 @@
         return None
 
     def get_all(self, name: str) -> list[str]:
-        """Return every value of a header."""
+        """Return all values of a header in order; the case of the name is ignored."""
         wanted = name.lower()
         return [value for key, value in self.headers if key.lower() == wanted]
 
 
-class Inbound:
-    """Hold what has come of one answer; `ended` tells whether it is whole."""
+class InboundResponse:
+    """Buffer one response; `is_complete` is true once all of it was received."""
 
     def __init__(self) -> None:
         self.status = 0
         self.headers: list[tuple[str, str]] = []
-        self.head: asyncio.Future[Head] = asyncio.get_running_loop().create_future()
+        self.head: asyncio.Future[ResponseHead] = asyncio.get_running_loop().create_future()
         self.chunks: list[bytes] = []
-        self.size = 0
-        self.ended = False
+        self.unread_bytes = 0
+        self.is_complete = False
         self.error: Exception | None = None
         self.changed = asyncio.Event()
 
     def on_head(self) -> None:
-        """Take the end of the headers in."""
+        """Complete the head after the last header."""
         if not self.head.done():
-            self.head.set_result(Head(self.status, tuple(self.headers)))
+            self.head.set_result(ResponseHead(self.status, tuple(self.headers)))
 
     def on_body(self, data: bytes) -> None:
-        """Take some of the body in."""
+        """Buffer a part of the body."""
         self.chunks.append(data)
-        self.size += len(data)
+        self.unread_bytes += len(data)
         self.changed.set()
 
     def on_end(self) -> None:
-        """Note that the answer is whole."""
-        self.ended = True
+        """Mark the response as complete."""
+        self.is_complete = True
         self.changed.set()
 
     def on_error(self, error: Exception) -> None:
-        """Note that no more will come."""
-        if self.ended or self.error is not None:
+        """Record that the response failed, unless it is complete or failed before."""
+        if self.is_complete or self.error is not None:
             return
         self.error = error
         if not self.head.done():
             self.head.set_exception(error)
-            # Whoever gave up waiting will not fetch it.
+            # Marks the exception as retrieved: a caller that was cancelled does not await it.
             self.head.exception()
         self.changed.set()
 
     async def read(self) -> bytes | None:
-        """Return the next bytes, nothing at the end; raise `MayHaveRun` if the answer was cut.
+        """Return the next bytes of the body, `None` at its end.
 
-        It is a `ConnectionBroken` where the connection was lost.
+        Raise `MayHaveRun` if the response is incomplete, its subclass `ConnectionBroken` if the
+        connection was lost.
         """
         while not self.chunks:
-            if self.ended:
+            if self.is_complete:
                 return None
             if self.error is not None:
-                # As it is: whether the connection broke tells whether the replica may have ended.
+                # Not wrapped: `ConnectionBroken` tells that the replica may have crashed.
                 raise self.error
             self.changed.clear()
             await self.changed.wait()
         data = b''.join(self.chunks)
         self.chunks.clear()
-        self.size = 0
+        self.unread_bytes = 0
         return data
