--- a/bench/claiming.py
+++ b/bench/claiming.py
@@ -25,13 +25,13 @@
 if TYPE_CHECKING:
     from calicopath_core.claims.operations import Op, OpResult
 
-SECONDS = 5.0
-TIMEOUT_S = 1.0
+DURATION_S = 5.0
+CLAIM_TIMEOUT_S = 1.0
 STORE_LATENCY_S = 0.004
-NETWORK_S = 0.001
+NETWORK_DELAY_S = 0.001
 
 
-class Claiming(NamedTuple):
+class ClaimFigures(NamedTuple):
     """Hold one run: rates a second, delay in milliseconds, processor time in microseconds."""
 
     boxes: int
@@ -48,56 +48,56 @@
     cpu_us: float
 
 
-async def measure(boxes: int, rate: float, plan: GroupingConfig, forwarding: bool) -> Claiming:
+async def simulate_claims(boxes: int, rate_per_s: float, grouping: GroupingConfig, forwarding: bool) -> ClaimFigures:
     """Claim and record at a total rate, spread over boxes."""
     state = StoreState()
-    registries = new_registries(state, boxes, plan, forwarding=forwarding)
+    registries = new_registries(state, boxes, grouping, forwarding=forwarding)
     loop = asyncio.get_running_loop()
-    waits: list[float] = []
+    latencies_s: list[float] = []
     refused = 0
 
     async def claim(number: int) -> None:
         nonlocal refused
         registry = registries[number % boxes]
         key = parse_key(
-            'w', 'p', uuid7(WALL_START_S + number / rate, number), WALL_START_S + SECONDS
+            'w', 'p', uuid7(WALL_START_S + number / rate_per_s, number), WALL_START_S + DURATION_S
         )
         started = loop.time()
         try:
-            granted = await registry.claim(key, 'body', TIMEOUT_S)
-            waits.append(loop.time() - started)
+            granted = await registry.claim(key, 'body', CLAIM_TIMEOUT_S)
+            latencies_s.append(loop.time() - started)
             assert isinstance(granted, Granted)
-            await registry.record(granted, {'output': 'x' * 200}, TIMEOUT_S)
+            await registry.record(granted, {'output': 'x' * 200}, CLAIM_TIMEOUT_S)
         except StoreUnavailable:
             refused += 1
 
-    count = int(rate * SECONDS)
-    cpu = time.process_time()
+    count = int(rate_per_s * DURATION_S)
+    cpu_s = time.process_time()
     async with asyncio.TaskGroup() as group:
         for number in range(count):
             group.create_task(claim(number))
-            await asyncio.sleep(1 / rate)
-    cpu = time.process_time() - cpu
+            await asyncio.sleep(1 / rate_per_s)
+    cpu_s = time.process_time() - cpu_s
     writers = [writer for item in registries for writer in item.local.writers.values()]
     conflicts = sum(writer.conflicts for writer in writers)
-    waits.sort()
-    return Claiming(
+    latencies_s.sort()
+    return ClaimFigures(
         boxes,
-        plan.shards,
-        plan.slot_s,
+        grouping.shards,
+        grouping.slot_s,
         'owner' if forwarding else 'every box',
-        rate,
-        state.counts['write'] / SECONDS,
-        state.counts['read'] / SECONDS,
-        conflicts / SECONDS,
+        rate_per_s,
+        state.counts['write'] / DURATION_S,
+        state.counts['read'] / DURATION_S,
+        conflicts / DURATION_S,
         refused,
-        sum(writer.total_written_bytes for writer in writers) / SECONDS / plan.shards / 1000,
-        1000 * waits[int(0.99 * (len(waits) - 1))] if waits else 0.0,
-        1e6 * cpu / count,
+        sum(writer.total_written_bytes for writer in writers) / DURATION_S / grouping.shards / 1000,
+        1000 * latencies_s[int(0.99 * (len(latencies_s) - 1))] if latencies_s else 0.0,
+        1e6 * cpu_s / count,
     )
 
 
-class OnePeer(ShardOwners):
+class SingleShardOwner(ShardOwners):
     """Let the first box own every shard, a network's latency away."""
 
     def __init__(self, *, owner: LocalExecutor) -> None:
@@ -109,37 +109,37 @@
 
     async def forward(self, address: str, group: GroupId, op: Op) -> OpResult:
         """Carry an operation out over there."""
-        await asyncio.sleep(NETWORK_S)
+        await asyncio.sleep(NETWORK_DELAY_S)
         result = await self.owner_executor.execute(group, op)
-        await asyncio.sleep(NETWORK_S)
+        await asyncio.sleep(NETWORK_DELAY_S)
         return result
 
 
 def new_registries(
-    state: StoreState, boxes: int, plan: GroupingConfig, *, forwarding: bool
+    state: StoreState, boxes: int, grouping: GroupingConfig, *, forwarding: bool
 ) -> list[ClaimRegistry]:
     """Return the boxes' registries, writing by themselves or through one owner."""
-    found: list[ClaimRegistry] = []
+    registries: list[ClaimRegistry] = []
     for box in range(boxes):
         numbers = itertools.count()
         local = LocalExecutor(
             store=FakeStore(state=state, latency_s=STORE_LATENCY_S),
             clock=VirtualClock(),
-            grouping=plan,
+            grouping=grouping,
         )
         executor: ClaimExecutor = local
-        if forwarding and found:
-            executor = ForwardingExecutor(local=local, shard_owners=OnePeer(owner=found[0].local))
-        found.append(
+        if forwarding and registries:
+            executor = ForwardingExecutor(local=local, shard_owners=SingleShardOwner(owner=registries[0].local))
+        registries.append(
             ClaimRegistry(
                 local=local,
                 executor=executor,
                 new_nonce=lambda box=box, numbers=numbers: f'{box}-{next(numbers)}',  # type: ignore[misc]
             )
         )
-    return found
+    return registries
 
 
-def measure_claims(boxes: int, rate: float, plan: GroupingConfig, forwarding: bool) -> Claiming:
+def measure_claims(boxes: int, rate_per_s: float, grouping: GroupingConfig, forwarding: bool) -> ClaimFigures:
     """Measure on virtual time."""
-    return run_virtual(measure(boxes, rate, plan, forwarding))
+    return run_virtual(simulate_claims(boxes, rate_per_s, grouping, forwarding))
--- a/bench/daemons.py
+++ b/bench/daemons.py
@@ -17,11 +17,11 @@
     from typing import Any
 
 IDLE_S = 10.0
-CHANGES = 10
+CHANGE_COUNT = 10
 SETTLE_S = 8.0
 
 
-class Control(NamedTuple):
+class DaemonFigures(NamedTuple):
     """Hold the figures of so many daemons; processor in percent of a core, calls a second."""
 
     boxes: int
@@ -33,7 +33,7 @@
     worst_change_s: float
 
 
-async def measure(count: int) -> Control:
+async def run_daemons(count: int) -> DaemonFigures:
     """Run so many daemons, idle, and then change configuration a few times."""
     async with ProcessGroup() as group, aiohttp.ClientSession() as session:
         platform = await group.platform()
@@ -47,32 +47,32 @@
         for box in boxes:
             await wait_ready(box)
         await asyncio.sleep(SETTLE_S)
-        cpu = sum(cpu_seconds(box.handle.pid) for box in boxes)
-        counts = await get(session, platform, '/admin/counts')
-        sent = [await peer_bytes(session, box) for box in boxes]
+        cpu_s = sum(cpu_seconds(box.handle.pid) for box in boxes)
+        counts_before = await read_json(session, platform, '/admin/counts')
+        sent_bytes = [await read_peer_bytes(session, box) for box in boxes]
         await asyncio.sleep(IDLE_S)
-        cpu = sum(cpu_seconds(box.handle.pid) for box in boxes) - cpu
-        after = await get(session, platform, '/admin/counts')
-        sent = [await peer_bytes(session, box) - old for box, old in zip(boxes, sent, strict=True)]
-        worst = max([await change(session, platform, boxes, n) for n in range(CHANGES)])
-        return Control(
+        cpu_s = sum(cpu_seconds(box.handle.pid) for box in boxes) - cpu_s
+        counts_after = await read_json(session, platform, '/admin/counts')
+        sent_bytes = [await read_peer_bytes(session, box) - old for box, old in zip(boxes, sent_bytes, strict=True)]
+        worst_change_s = max([await time_change(session, platform, boxes, n) for n in range(CHANGE_COUNT)])
+        return DaemonFigures(
             boxes=count,
-            cpu_percent=100 * cpu / IDLE_S / count,
+            cpu_percent=100 * cpu_s / IDLE_S / count,
             memory_mb=max(resident_mb(box.handle.pid) for box in boxes),
-            peer_bytes=sum(sent) / IDLE_S / count,
-            reads=(after.get('read', 0) - counts.get('read', 0)) / IDLE_S,
-            watches=after['waiting_watches'],
-            worst_change_s=worst,
+            peer_bytes=sum(sent_bytes) / IDLE_S / count,
+            reads=(counts_after.get('read', 0) - counts_before.get('read', 0)) / IDLE_S,
+            watches=counts_after['waiting_watches'],
+            worst_change_s=worst_change_s,
         )
 
 
-async def get(session: aiohttp.ClientSession, process: Process, path: str) -> Any:
+async def read_json(session: aiohttp.ClientSession, process: Process, path: str) -> Any:
     """Read JSON from a process."""
     async with session.get(process.url + path) as answer:
         return json.loads(await answer.read())
 
 
-async def peer_bytes(session: aiohttp.ClientSession, box: Process) -> float:
+async def read_peer_bytes(session: aiohttp.ClientSession, box: Process) -> float:
     """Read the bytes that a daemon has sent to its peers."""
     async with session.get(f'{box.url}/metrics') as answer:
         text = await answer.text()
@@ -82,7 +82,7 @@
     return 0.0
 
 
-async def change(
+async def time_change(
     session: aiohttp.ClientSession, platform: Process, boxes: list[Process], number: int
 ) -> float:
     """Write one object and return the seconds until every daemon has it."""
@@ -95,11 +95,11 @@
     async with session.post(url, data=json.dumps(value)) as answer:
         version = (await answer.json())['version']
     for box in boxes:
-        while (await get(session, box, f'/admin/v1/config/{key}'))['version'] < version:
+        while (await read_json(session, box, f'/admin/v1/config/{key}'))['version'] < version:
             await asyncio.sleep(0.005)
     return loop.time() - started
 
 
-def measure_daemons(count: int) -> Control:
+def measure_daemons(count: int) -> DaemonFigures:
     """Measure so many daemons."""
-    return asyncio.run(measure(count))
+    return asyncio.run(run_daemons(count))
--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from testkit.fake_store import StoreState
 
-TOKENS = 12
+TOKENS_PER_ANSWER = 12
 """Tokens an answer; each stands for several real ones, which keeps the bench fast."""
 
 
@@ -39,16 +39,16 @@
 
     name: str
     boxes: int
-    domains: int
+    failure_domains: int
     pools: dict[str, PoolSize]
     workloads: tuple[Workload, ...]
 
     @property
-    def capacity(self) -> float:
+    def capacity_per_s(self) -> float:
         """Return the requests a second at which generation is full."""
         pool = self.pools['drafting']
         full = 1.0 + pool.timing.batch_slowdown * (pool.concurrency - 1)
-        service_s = (pool.timing.first_token_s + TOKENS * pool.timing.token_s) * full
+        service_s = (pool.timing.first_token_s + TOKENS_PER_ANSWER * pool.timing.token_s) * full
         return pool.replicas * pool.concurrency / service_s
 
 
@@ -56,19 +56,19 @@
 ENGINE_TIMING = Timing(first_token_s=0.06, token_s=0.04, batch_slowdown=0.03, prefill_s=0.15)
 
 
-def deployment(name: str, boxes: int, drafting: int, workloads: tuple[Workload, ...]) -> Deployment:
+def new_deployment(name: str, boxes: int, drafting_replicas: int, workloads: tuple[Workload, ...]) -> Deployment:
     """Return a deployment with so many drafting replicas."""
     pools = {
         'encoders': PoolSize(StageKind.ENCODER, 2, 2, STAGE_TIMING, 12),
         'retrievers': PoolSize(StageKind.RETRIEVER, 2, 4, STAGE_TIMING, 12),
         'rerankers': PoolSize(StageKind.RERANKER, 2, 4, STAGE_TIMING, 12),
-        'drafting': PoolSize(StageKind.ENGINE, drafting, 8, ENGINE_TIMING, 540),
+        'drafting': PoolSize(StageKind.ENGINE, drafting_replicas, 8, ENGINE_TIMING, 540),
         'desk': PoolSize(StageKind.SERVICE, 4, 8, STAGE_TIMING, 12),
     }
     return Deployment(name, boxes, 4, pools, workloads)
 
 
-RAVI = deployment(
+RAVI = new_deployment(
     'ravi-canal-hire',
     6,
     6,
@@ -80,7 +80,7 @@
         Workload('boatyard', 'answer', 3, 0.1),
     ),
 )
-POKANA = deployment(
+POKANA = new_deployment(
     'pokana-coop',
     8,
     9,
@@ -110,7 +110,7 @@
 }
 
 
-def new_fleet(found: Deployment) -> FakeFleet:
+def new_fleet(deployment: Deployment) -> FakeFleet:
     """Return the endpoints of a deployment, spread over its failure domains."""
     return FakeFleet(
         [
@@ -120,18 +120,18 @@
                     service,
                     pool.kind,
                     'http://127.0.0.1:1',
-                    f'domain-{number % found.domains}',
+                    f'domain-{number % deployment.failure_domains}',
                     pool.concurrency,
                 ),
                 timing=pool.timing,
             )
-            for service, pool in found.pools.items()
+            for service, pool in deployment.pools.items()
             for number in range(pool.replicas)
         ]
     )
 
 
-def documents(found: Deployment, fleet: FakeFleet) -> dict[str, dict[str, Any]]:
+def new_documents(deployment: Deployment, fleet: FakeFleet) -> dict[str, dict[str, Any]]:
     """Return the configuration of a deployment by key."""
     specs: dict[str, dict[str, Any]] = {}
     for name, item in fleet.endpoints.items():
@@ -150,9 +150,9 @@
             'kind': 'template',
             'name': template,
             'parameters': {'prefix': {'type': 'string', 'default': ''}},
-            'stages': [stage_spec(service, found.pools[service]) for service in services],
+            'stages': [stage_spec(service, deployment.pools[service]) for service in services],
         }
-    for load in (*found.workloads, Workload('lookups', 'lookup', 5, 0.0)):
+    for load in (*deployment.workloads, Workload('lookups', 'lookup', 5, 0.0)):
         specs[f'config/pipelines/{load.workspace}/main'] = {
             'kind': 'pipeline',
             'workspace': load.workspace,
@@ -176,7 +176,7 @@
     if pool.kind is StageKind.SERVICE:
         spec['repeatable'] = False
     if pool.kind is StageKind.ENGINE:
-        spec['params'] = {'max_tokens': TOKENS, 'instruction': '${prefix}'}
+        spec['params'] = {'max_tokens': TOKENS_PER_ANSWER, 'instruction': '${prefix}'}
     return spec
 
 
--- a/bench/load.py
+++ b/bench/load.py
@@ -35,22 +35,22 @@
 BOXES = 3
 ENGINES = 6
 CONCURRENCY = 4
-TOKENS = 20
+TOKENS_PER_ANSWER = 20
 FIRST_TOKEN_MS = 60
 TOKEN_MS = 20
-SECONDS = 8.0
+DURATION_S = 8.0
 DEADLINE_S = 2.0
-CAPACITY = 1000 * ENGINES * CONCURRENCY / (FIRST_TOKEN_MS + TOKENS * TOKEN_MS)
+CAPACITY_PER_S = 1000 * ENGINES * CONCURRENCY / (FIRST_TOKEN_MS + TOKENS_PER_ANSWER * TOKEN_MS)
 """Requests a second at which generation is full."""
 
-TEXT = 'Where may we moor after dusk? ' * 4
+INPUT_TEXT = 'Where may we moor after dusk? ' * 4
 
 
 class Scenario(NamedTuple):
     """Hold a name, the arrivals as a share of the capacity, and how slow the first engine is."""
 
     name: str
-    share: float
+    capacity_share: float
     slow_factor: float = 1.0
 
 
@@ -70,7 +70,7 @@
     goodput: float
 
 
-async def run_open(ask: Callable[[], Awaitable[bool]], rate: float) -> tuple[int, int]:
+async def run_open_loop(send: Callable[[], Awaitable[bool]], rate_per_s: float) -> tuple[int, int]:
     """Ask at random times at a rate; return how many were answered in time, and of how many."""
     rng = random.Random(5)
     good = 0
@@ -79,13 +79,13 @@
     async def once() -> None:
         nonlocal good
         started = time.monotonic()
-        answered = await ask()
+        answered = await send()
         good += answered and time.monotonic() - started <= DEADLINE_S
 
     async with asyncio.TaskGroup() as group:
-        ends = time.monotonic() + SECONDS
+        ends = time.monotonic() + DURATION_S
         while time.monotonic() < ends:
-            await asyncio.sleep(rng.expovariate(rate))
+            await asyncio.sleep(rng.expovariate(rate_per_s))
             total += 1
             group.create_task(once())
     return good, total
@@ -99,7 +99,7 @@
         self.boxes: list[Process] = []
         self.documents: list[dict[str, Any]] = []
         self.rng = random.Random(3)
-        self.number = 0
+        self.last_number = 0
 
     async def start(self, group: ProcessGroup, scenario: Scenario) -> None:
         """Start everything for one scenario."""
@@ -108,11 +108,11 @@
         stages.append(
             {
                 **ANSWER_STAGES[-1],
-                'params': {'max_tokens': TOKENS},
-                'expected_ms': FIRST_TOKEN_MS + TOKENS * TOKEN_MS,
+                'params': {'max_tokens': TOKENS_PER_ANSWER},
+                'expected_ms': FIRST_TOKEN_MS + TOKENS_PER_ANSWER * TOKEN_MS,
             }
         )
-        self.documents = [await self.endpoint(group, *which) for which in self.replicas(scenario)]
+        self.documents = [await self.start_endpoint(group, *which) for which in self.replicas(scenario)]
         self.documents += [{**TEMPLATES['answer'], 'stages': stages}, pipeline_spec('answer')]
         path = group.write_documents('config.yaml', self.documents)
         await operate(platform, 'apply', str(path))
@@ -131,8 +131,8 @@
         found += [('drafting', n, 1.0) for n in range(1, ENGINES)]
         return [*found, ('drafting', 0, scenario.slow_factor)]
 
-    async def endpoint(
-        self, group: ProcessGroup, service: str, number: int, slow: float
+    async def start_endpoint(
+        self, group: ProcessGroup, service: str, number: int, slow_factor: float
     ) -> dict[str, Any]:
         """Start one replica and return its document."""
         kind = SERVICES[service]
@@ -148,23 +148,23 @@
         flags = ['--service-ms', '10']
         if service == 'drafting':
             flags = [
-                '--first-token-ms', str(FIRST_TOKEN_MS * slow),
-                '--token-ms', str(TOKEN_MS * slow),
+                '--first-token-ms', str(FIRST_TOKEN_MS * slow_factor),
+                '--token-ms', str(TOKEN_MS * slow_factor),
                 '--queue', '1000',
             ]  # fmt: skip
         return (await group.endpoint(spec, *flags)).spec
 
-    async def calicopath(self) -> bool:
+    async def send_to_box(self) -> bool:
         """Send one request to one of the boxes."""
-        self.number += 1
+        self.last_number += 1
         url = self.rng.choice(self.boxes).url
-        body = msgspec.json.encode({'input': f'{self.number} {TEXT}'})
+        body = msgspec.json.encode({'input': f'{self.last_number} {INPUT_TEXT}'})
         path = '/v1/workspaces/towpath/pipelines/answer/requests'
         async with self.session.post(url + path, data=body) as answer:
             await answer.read()
             return answer.status == 200
 
-    async def naive(self) -> bool:
+    async def run_naively(self) -> bool:
         """Run one request by the naive version."""
         endpoints = [
             parse_endpoint(item, 'x').unwrap()
@@ -184,9 +184,9 @@
             ),
             rng=self.rng,
         )
-        self.number += 1
-        text = f'{self.number} {TEXT}'
-        request = PipelineRequest(f'n{self.number}', text, 0.0, 0.0, 5, True, None, '')
+        self.last_number += 1
+        text = f'{self.last_number} {INPUT_TEXT}'
+        request = PipelineRequest(f'n{self.last_number}', text, 0.0, 0.0, 5, True, None, '')
         try:
             async with asyncio.timeout(DEADLINE_S):
                 outcome = await executor.run(request, plan, DiscardSink())
@@ -197,20 +197,20 @@
 
 async def run_scenario(scenario: Scenario) -> list[Result]:
     """Run one scenario both ways on fresh processes."""
-    found = []
+    results = []
     for variant in ('naive', 'calicopath'):
         async with ProcessGroup() as group, new_session() as session:
             deployment = Deployment(session=session)
             await deployment.start(group, scenario)
-            ask = deployment.naive if variant == 'naive' else deployment.calicopath
-            good, total = await run_open(ask, scenario.share * CAPACITY)
-        found.append(Result(scenario.name, variant, good / total, good / SECONDS / CAPACITY))
-    return found
+            send = deployment.run_naively if variant == 'naive' else deployment.send_to_box
+            good, total = await run_open_loop(send, scenario.capacity_share * CAPACITY_PER_S)
+        results.append(Result(scenario.name, variant, good / total, good / DURATION_S / CAPACITY_PER_S))
+    return results
 
 
 async def main() -> None:
     """Run all scenarios and print one line a run."""
-    print(f'capacity {CAPACITY:.0f} requests/s, {BOXES} daemons, {ENGINES} engines')
+    print(f'capacity {CAPACITY_PER_S:.0f} requests/s, {BOXES} daemons, {ENGINES} engines')
     for scenario in SCENARIOS:
         for result in await run_scenario(scenario):
             print(
--- a/bench/perf.py
+++ b/bench/perf.py
@@ -22,15 +22,15 @@
 
     from testkit.processes import EndpointProcess, Process
 
-SECONDS = 4.0
-RATES = (50, 100, 200, 300, 400, 500)
-DESIGN_REQUESTS = 11
-DESIGN_TOKENS = 4600
-TOKENS_A_STREAM = 420
+DURATION_S = 4.0
+RATES_PER_S = (50, 100, 200, 300, 400, 500)
+DESIGN_REQUESTS_PER_S = 11
+DESIGN_TOKENS_PER_S = 4600
+TOKENS_PER_STREAM = 420
 SHORT_TOKENS = 8
 ENGINES = 3
-STREAM_RATES = (11, 22, 33, 44, 66)
-BODY = {'input': 'Where may we moor after dusk? ' * 30}
+STREAM_RATES_PER_S = (11, 22, 33, 44, 66)
+REQUEST_BODY = {'input': 'Where may we moor after dusk? ' * 30}
 LONG_TEXT = 'Where may we moor after dusk? ' * 60
 KNEE_P99_MS = 100.0
 
@@ -38,11 +38,11 @@
 class Sample(NamedTuple):
     """Hold what a run gave; times are in seconds."""
 
-    offered: float
+    offered_per_s: float
     done: int
     failed: int
-    took_s: float
-    latencies: list[float]
+    duration_s: float
+    latencies_s: list[float]
     cpu_s: float
     tokens: int
 
@@ -61,12 +61,12 @@
         self.endpoints = endpoints
         self.session = session
         self.tokens = 0
-        self.numbers = iter(range(10**9))
+        self.call_numbers = iter(range(10**9))
 
-    async def direct(self) -> bool:
+    async def call_stages(self) -> bool:
         """Call the four stages as the daemon does, without it."""
-        call = f'direct/{next(self.numbers)}/1'
-        data: dict[str, object] = {'text': BODY['input']}
+        call = f'direct/{next(self.call_numbers)}/1'
+        data: dict[str, object] = {'text': REQUEST_BODY['input']}
         for stage in ('encoders', 'retrievers', 'rerankers'):
             url = f'{self.endpoints[f"{stage}-1"].process.url}/v1/call'
             body = {'call': call, 'stage': stage, 'params': {}, 'input': data, 'priority': 5}
@@ -85,14 +85,14 @@
             await answer.read()
         return True
 
-    async def through(self) -> bool:
+    async def send_request(self) -> bool:
         """Send one request through the daemon."""
         url = f'{self.daemon.url}/v1/workspaces/towpath/pipelines/answer/requests'
-        async with self.session.post(url, data=msgspec.json.encode(BODY)) as answer:
+        async with self.session.post(url, data=msgspec.json.encode(REQUEST_BODY)) as answer:
             await answer.read()
             return answer.status == 200
 
-    async def stream(self) -> bool:
+    async def stream_request(self) -> bool:
         """Stream one long answer through the daemon."""
         url = f'{self.daemon.url}/v1/workspaces/towpath/pipelines/long/requests'
         body = {'input': LONG_TEXT, 'stream': True}
@@ -104,23 +104,23 @@
                     self.tokens += line == b'event: text\n'
         return last == b'event: done\n'
 
-    async def closed(self, ask: Callable[[], Awaitable[bool]], clients: int) -> Sample:
+    async def run_closed_loop(self, send: Callable[[], Awaitable[bool]], clients: int) -> Sample:
         """Let some clients ask one request after another."""
         run = Run(bench=self)
         async with asyncio.TaskGroup() as group:
             for _ in range(clients):
-                group.create_task(run.client(ask))
+                group.create_task(run.run_client(send))
         return run.sample(0.0)
 
-    async def open(self, ask: Callable[[], Awaitable[bool]], rate: float) -> Sample:
+    async def run_open_loop(self, send: Callable[[], Awaitable[bool]], rate_per_s: float) -> Sample:
         """Ask at a fixed rate, whatever comes back."""
         run = Run(bench=self)
         async with asyncio.TaskGroup() as group:
-            for number in range(int(rate * SECONDS)):
-                due = run.started + number / rate
+            for number in range(int(rate_per_s * DURATION_S)):
+                due = run.started + number / rate_per_s
                 await asyncio.sleep(max(0.0, due - time.monotonic()))
-                group.create_task(run.once(ask))
-        return run.sample(rate)
+                group.create_task(run.send_once(send))
+        return run.sample(rate_per_s)
 
 
 class Run:
@@ -129,48 +129,48 @@
     def __init__(self, *, bench: Bench) -> None:
         self.bench = bench
         self.started = time.monotonic()
-        self.cpu = cpu_seconds(bench.daemon.handle.pid)
-        self.tokens = bench.tokens
-        self.latencies: list[float] = []
+        self.cpu_before_s = cpu_seconds(bench.daemon.handle.pid)
+        self.tokens_before = bench.tokens
+        self.latencies_s: list[float] = []
         self.failed = 0
 
-    async def client(self, ask: Callable[[], Awaitable[bool]]) -> None:
+    async def run_client(self, send: Callable[[], Awaitable[bool]]) -> None:
         """Ask until the time is over."""
-        while time.monotonic() < self.started + SECONDS:
-            await self.once(ask)
+        while time.monotonic() < self.started + DURATION_S:
+            await self.send_once(send)
 
-    async def once(self, ask: Callable[[], Awaitable[bool]]) -> None:
+    async def send_once(self, send: Callable[[], Awaitable[bool]]) -> None:
         """Ask once and note the time."""
         started = time.monotonic()
-        good = await ask()
-        self.latencies.append(time.monotonic() - started)
+        good = await send()
+        self.latencies_s.append(time.monotonic() - started)
         self.failed += not good
 
-    def sample(self, offered: float) -> Sample:
+    def sample(self, offered_per_s: float) -> Sample:
         """Return what was collected."""
         return Sample(
-            offered,
-            len(self.latencies) - self.failed,
+            offered_per_s,
+            len(self.latencies_s) - self.failed,
             self.failed,
             time.monotonic() - self.started,
-            self.latencies,
-            cpu_seconds(self.bench.daemon.handle.pid) - self.cpu,
-            self.bench.tokens - self.tokens,
+            self.latencies_s,
+            cpu_seconds(self.bench.daemon.handle.pid) - self.cpu_before_s,
+            self.bench.tokens - self.tokens_before,
         )
 
 
-def show(name: str, sample: Sample) -> None:
+def print_sample(name: str, sample: Sample) -> None:
     """Print one run."""
-    core = 100 * sample.cpu_s / sample.took_s
+    core = 100 * sample.cpu_s / sample.duration_s
     print(
-        f'{name:26} {sample.done / sample.took_s:8.1f}/s  p50 '
-        f'{percentile_ms(sample.latencies, 0.5):7.1f} ms  p99 '
-        f'{percentile_ms(sample.latencies, 0.99):7.1f} ms  failed {sample.failed:4}  '
+        f'{name:26} {sample.done / sample.duration_s:8.1f}/s  p50 '
+        f'{percentile_ms(sample.latencies_s, 0.5):7.1f} ms  p99 '
+        f'{percentile_ms(sample.latencies_s, 0.99):7.1f} ms  failed {sample.failed:4}  '
         f'daemon {core:5.1f}% of a core'
     )
 
 
-async def set_up(group: ProcessGroup, session: aiohttp.ClientSession) -> Bench:
+async def start_bench(group: ProcessGroup, session: aiohttp.ClientSession) -> Bench:
     """Start stand-ins that answer at once, and one daemon."""
     platform = await group.platform()
     specs: list[dict[str, Any]] = [
@@ -193,7 +193,7 @@
         for spec in specs
     ]
     stages = ANSWER_STAGES
-    generate = {**stages[-1], 'params': {'max_tokens': TOKENS_A_STREAM}, 'expected_ms': 900}
+    generate = {**stages[-1], 'params': {'max_tokens': TOKENS_PER_STREAM}, 'expected_ms': 900}
     short = {**stages[-1], 'params': {'max_tokens': SHORT_TOKENS}, 'expected_ms': 20}
     documents = [
         *(item.spec for item in started),
@@ -217,40 +217,40 @@
 
 async def measure_requests(bench: Bench) -> None:
     """Compare with direct calls, then raise the rate to the knee."""
-    await bench.closed(bench.through, 4)
-    direct = await bench.closed(bench.direct, 1)
-    through = await bench.closed(bench.through, 1)
-    show('direct, 1 client', direct)
-    show('daemon, 1 client', through)
-    for name, part in (('p50', 0.5), ('p99', 0.99)):
-        added = percentile_ms(through.latencies, part) - percentile_ms(direct.latencies, part)
+    await bench.run_closed_loop(bench.send_request, 4)
+    direct = await bench.run_closed_loop(bench.call_stages, 1)
+    through = await bench.run_closed_loop(bench.send_request, 1)
+    print_sample('direct, 1 client', direct)
+    print_sample('daemon, 1 client', through)
+    for name, fraction in (('p50', 0.5), ('p99', 0.99)):
+        added = percentile_ms(through.latencies_s, fraction) - percentile_ms(direct.latencies_s, fraction)
         print(f'added latency {name}: {added:.1f} ms')
-    idle_cpu = cpu_seconds(bench.daemon.handle.pid)
-    await asyncio.sleep(SECONDS)
-    idle = (cpu_seconds(bench.daemon.handle.pid) - idle_cpu) / SECONDS
-    print(f'idle daemon: {100 * idle:.2f}% of a core')
+    cpu_before_s = cpu_seconds(bench.daemon.handle.pid)
+    await asyncio.sleep(DURATION_S)
+    idle_cpu_share = (cpu_seconds(bench.daemon.handle.pid) - cpu_before_s) / DURATION_S
+    print(f'idle daemon: {100 * idle_cpu_share:.2f}% of a core')
     knee = 0.0
-    for rate in RATES:
-        sample = await bench.open(bench.through, rate)
-        show(f'daemon, {rate} offered', sample)
-        if percentile_ms(sample.latencies, 0.99) > KNEE_P99_MS or sample.failed:
+    for rate in RATES_PER_S:
+        sample = await bench.run_open_loop(bench.send_request, rate)
+        print_sample(f'daemon, {rate} offered', sample)
+        if percentile_ms(sample.latencies_s, 0.99) > KNEE_P99_MS or sample.failed:
             break
         knee = rate
-        cost_ms = 1000 * (sample.cpu_s - idle * sample.took_s) / sample.done
+        cost_ms = 1000 * (sample.cpu_s - idle_cpu_share * sample.duration_s) / sample.done
     print(f'knee: {knee} requests/s with p99 under {KNEE_P99_MS:.0f} ms')
     print(f'processor time a request of four stages at the knee: {cost_ms:.2f} ms')
 
 
 async def measure_streams(bench: Bench) -> None:
     """Stream long answers at and above the design rate."""
-    print(f'design size: {DESIGN_REQUESTS} requests and {DESIGN_TOKENS} tokens a second and box')
-    for rate in STREAM_RATES:
-        sample = await bench.open(bench.stream, rate)
-        show(f'streams, {rate} offered', sample)
-        tokens = sample.tokens / sample.took_s
+    print(f'design size: {DESIGN_REQUESTS_PER_S} requests and {DESIGN_TOKENS_PER_S} tokens a second and box')
+    for rate in STREAM_RATES_PER_S:
+        sample = await bench.run_open_loop(bench.stream_request, rate)
+        print_sample(f'streams, {rate} offered', sample)
+        tokens = sample.tokens / sample.duration_s
         cost_us = 1e6 * sample.cpu_s / max(1, sample.tokens)
         print(f'    {tokens:.0f} tokens/s, {cost_us:.0f} us of processor time a token')
-        if sample.cpu_s / sample.took_s > 0.95 or sample.failed:
+        if sample.cpu_s / sample.duration_s > 0.95 or sample.failed:
             break
     print(f'memory of the daemon: {resident_mb(bench.daemon.handle.pid):.0f} MB')
 
@@ -259,7 +259,7 @@
     """Run all measurements."""
     connector = aiohttp.TCPConnector(limit=0)
     async with ProcessGroup() as group, aiohttp.ClientSession(connector=connector) as session:
-        bench = await set_up(group, session)
+        bench = await start_bench(group, session)
         await measure_requests(bench)
         await measure_streams(bench)
 
--- a/bench/permits.py
+++ b/bench/permits.py
@@ -26,16 +26,16 @@
 
     import msgspec
 
-SPAN_S = 4.0
-WARM_S = 5.0
-LENGTH_S = 60.0
-DELAY_S = 0.001
+WINDOW_S = 4.0
+WARM_UP_S = 5.0
+MEASURED_S = 60.0
+ONE_WAY_DELAY_S = 0.001
 """One way between two boxes."""
 
-WAIT_S = 1.0
+MAX_WAIT_S = 1.0
 """How long a request may wait for a permit."""
 
-OVERLOAD = 3.0
+OVERLOAD_FACTOR = 3.0
 """How many times the limit is asked for."""
 
 FEW_BOXES = 4
@@ -51,24 +51,24 @@
     `most_messages` and `most_bytes` are a second, sent and received by the busiest box.
     """
 
-    way: str
-    most: int
-    borne: float
-    used: float
-    wait_ms: float
-    most_messages: float
-    most_bytes: float
+    strategy: str
+    max_calls: int
+    tolerated_calls: float
+    utilization: float
+    mean_wait_ms: float
+    max_messages_per_s: float
+    max_bytes_per_s: float
 
 
-class Way(ABC):
+class LimitStrategy(ABC):
     """Say which of some limited replicas a box may call."""
 
     @abstractmethod
-    async def ask(self, box: int) -> str:
+    async def acquire(self, box: int) -> str:
         """Return a replica that may be called, or nothing."""
 
 
-class Lent(Way):
+class SingleIssuer(LimitStrategy):
     """Ask the one box that lends, over messages."""
 
     def __init__(self, *, boxes: int, replicas: Sequence[Replica], per_s: float) -> None:
@@ -82,117 +82,117 @@
             limits.on_notice(replica, Notice(limit_per_s=per_s))
         self.clients = [
             PermitClient(
-                clock=clock, own_address=f'{n}', issuer_address=lambda: '0', send=self.send
+                clock=clock, own_address=f'{n}', issuer_address=lambda: '0', send=self.deliver_request
             )
             for n in range(boxes)
         ]
-        self.holder = LimitIssuer(
+        self.issuer = LimitIssuer(
             clock=clock,
             limits=limits,
             replicas=table,
             share=lambda: 1.0,
-            send=self.answer,
+            send=self.deliver_answer,
             own_client=self.clients[0],
             observer=mock.Mock(spec=PermitObserver),
         )
 
-    async def ask(self, box: int) -> str:
+    async def acquire(self, box: int) -> str:
         """Return a replica for which a permit was lent in time."""
-        permit = await self.clients[box].request_permit(self.replicas, wait_s=WAIT_S, priority=0)
+        permit = await self.clients[box].request_permit(self.replicas, wait_s=MAX_WAIT_S, priority=0)
         return permit.replica
 
-    def count(self, *addresses: str, message: msgspec.Struct) -> None:
+    def count_message(self, *addresses: str, message: msgspec.Struct) -> None:
         """Count a message at both ends."""
         for address in addresses:
             self.traffic.setdefault(address, []).append(len(encode(message)))
 
-    def send(self, address: str, message: msgspec.Struct) -> None:
+    def deliver_request(self, address: str, message: msgspec.Struct) -> None:
         """Bring an ask to the lender."""
         assert isinstance(message, PermitRequest)
-        self.count(message.address, address, message=message)
-        asyncio.get_running_loop().call_later(DELAY_S, self.holder.on_request, message)
+        self.count_message(message.address, address, message=message)
+        asyncio.get_running_loop().call_later(ONE_WAY_DELAY_S, self.issuer.on_request, message)
 
-    def answer(self, address: str, message: msgspec.Struct) -> None:
+    def deliver_answer(self, address: str, message: msgspec.Struct) -> None:
         """Bring an answer to a box."""
         assert isinstance(message, PermitAnswer)
-        self.count('0', address, message=message)
+        self.count_message('0', address, message=message)
         client = self.clients[int(address)]
-        asyncio.get_running_loop().call_later(DELAY_S, client.on_answer, message)
+        asyncio.get_running_loop().call_later(ONE_WAY_DELAY_S, client.on_answer, message)
 
 
-class Shares(Way):
+class EvenShares(LimitStrategy):
     """Give each of some boxes an even share, spaced, with phases by chance; no messages."""
 
     def __init__(
-        self, *, boxes: int, replicas: Sequence[Replica], per_s: float, seed: int, using: int
+        self, *, boxes: int, replicas: Sequence[Replica], per_s: float, seed: int, sharing_boxes: int
     ) -> None:
         rng = random.Random(seed)
-        self.rate = per_s / using
-        self.using = using
+        self.share_per_s = per_s / sharing_boxes
+        self.sharing_boxes = sharing_boxes
         self.boxes = boxes
         now = asyncio.get_running_loop().time()
         self.buckets = [
-            {item.id: PermitBucket(next_at=now + rng.random() / self.rate) for item in replicas}
-            for _ in range(using)
+            {item.id: PermitBucket(next_at=now + rng.random() / self.share_per_s) for item in replicas}
+            for _ in range(sharing_boxes)
         ]
 
-    async def ask(self, box: int) -> str:
+    async def acquire(self, box: int) -> str:
         """Return a replica whose share at this box lets a call go within the wait."""
-        if box >= self.using:
+        if box >= self.sharing_boxes:
             return ''
         now = asyncio.get_running_loop().time()
         name, bucket = min(self.buckets[box].items(), key=lambda item: item[1].next_at)
         wait_s = bucket.next_at - now
-        if wait_s > WAIT_S:
+        if wait_s > MAX_WAIT_S:
             return ''
-        bucket.take(self.rate, now)
+        bucket.take(self.share_per_s, now)
         await asyncio.sleep(max(0.0, wait_s))
         return name
 
 
-def new_way(name: str, *, boxes: int, replicas: Sequence[Replica], per_s: float) -> Way:
+def new_strategy(name: str, *, boxes: int, replicas: Sequence[Replica], per_s: float) -> LimitStrategy:
     """Return a way by its name."""
     if name == 'one lender':
-        return Lent(boxes=boxes, replicas=replicas, per_s=per_s)
-    using = boxes if name == 'shares' else min(boxes, FEW_BOXES)
-    return Shares(boxes=boxes, replicas=replicas, per_s=per_s, seed=1, using=using)
+        return SingleIssuer(boxes=boxes, replicas=replicas, per_s=per_s)
+    sharing_boxes = boxes if name == 'shares' else min(boxes, FEW_BOXES)
+    return EvenShares(boxes=boxes, replicas=replicas, per_s=per_s, seed=1, sharing_boxes=sharing_boxes)
 
 
-async def play(name: str, boxes: int, count: int, per_s: float, *, hot: bool) -> Figures:
+async def simulate(name: str, boxes: int, replica_count: int, per_s: float, *, from_one_box: bool) -> Figures:
     """Ask for more than the limits allow and return what came of it."""
-    replicas = [Replica(f'i-{n}', 'desk', f'i-{n}:1', 'north', 6, False) for n in range(count)]
-    way = new_way(name, boxes=boxes, replicas=replicas, per_s=per_s)
+    replicas = [Replica(f'i-{n}', 'desk', f'i-{n}:1', 'north', 6, False) for n in range(replica_count)]
+    strategy = new_strategy(name, boxes=boxes, replicas=replicas, per_s=per_s)
     loop = asyncio.get_running_loop()
     rng = random.Random(2)
     calls: list[tuple[float, str]] = []
     waits: list[float] = []
 
     async def request(box: int) -> None:
-        asked = loop.time()
-        replica = await way.ask(box)
+        requested_at = loop.time()
+        replica = await strategy.acquire(box)
         if replica:
             calls.append((loop.time(), replica))
-            waits.append(loop.time() - asked)
+            waits.append(loop.time() - requested_at)
 
     tasks = []
-    while loop.time() < WARM_S + LENGTH_S:
-        tasks.append(asyncio.create_task(request(0 if hot else rng.randrange(boxes))))
-        await asyncio.sleep(rng.expovariate(OVERLOAD * per_s * count))
+    while loop.time() < WARM_UP_S + MEASURED_S:
+        tasks.append(asyncio.create_task(request(0 if from_one_box else rng.randrange(boxes))))
+        await asyncio.sleep(rng.expovariate(OVERLOAD_FACTOR * per_s * replica_count))
     await asyncio.gather(*tasks)
-    counted = [item for item in calls if WARM_S <= item[0] < WARM_S + LENGTH_S]
-    by_replica = [[at for at, name in counted if name == item.id] for item in replicas]
-    most = max(
-        sum(at <= one < at + SPAN_S for one in times) for times in by_replica for at in times or [0]
+    measured_calls = [item for item in calls if WARM_UP_S <= item[0] < WARM_UP_S + MEASURED_S]
+    call_times_by_replica = [[at for at, name in measured_calls if name == item.id] for item in replicas]
+    max_calls = max(
+        sum(at <= one < at + WINDOW_S for one in times) for times in call_times_by_replica for at in times or [0]
     )
-    sizes = getattr(way, 'traffic', {}).values()
+    message_sizes = getattr(strategy, 'traffic', {}).values()
     return Figures(
-        way=name,
-        most=most,
-        borne=1.5 * SPAN_S * per_s + 5,
-        used=len(counted) / (per_s * count * LENGTH_S),
-        wait_ms=1000 * statistics.fmean(waits) if waits else 0.0,
-        most_messages=max((len(item) for item in sizes), default=0) / (WARM_S + LENGTH_S),
-        most_bytes=max((sum(item) for item in sizes), default=0) / (WARM_S + LENGTH_S),
+        strategy=name,
+        max_calls=max_calls,
+        tolerated_calls=1.5 * WINDOW_S * per_s + 5,
+        utilization=len(measured_calls) / (per_s * replica_count * MEASURED_S),
+        mean_wait_ms=1000 * statistics.fmean(waits) if waits else 0.0,
+        max_messages_per_s=max((len(item) for item in message_sizes), default=0) / (WARM_UP_S + MEASURED_S),
+        max_bytes_per_s=max((sum(item) for item in message_sizes), default=0) / (WARM_UP_S + MEASURED_S),
     )
 
 
@@ -208,11 +208,11 @@
     for size in (int(item) for item in boxes.split(',')):
         for per_s in (float(item) for item in limits.split(',')):
             for name in ('one lender', 'shares', 'few boxes'):
-                found = run_virtual(play(name, size, replicas, per_s, hot=hot))
+                figures = run_virtual(simulate(name, size, replicas, per_s, from_one_box=hot))
                 print(
-                    f'| {name} | {size} | {per_s:g} | {found.most} | {found.borne:g} '
-                    f'| {found.used:.2f} | {found.wait_ms:.0f} | {found.most_messages:.0f} '
-                    f'| {found.most_bytes:.0f} |',
+                    f'| {name} | {size} | {per_s:g} | {figures.max_calls} | {figures.tolerated_calls:g} '
+                    f'| {figures.utilization:.2f} | {figures.mean_wait_ms:.0f} | {figures.max_messages_per_s:.0f} '
+                    f'| {figures.max_bytes_per_s:.0f} |',
                     flush=True,
                 )
 
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -13,13 +13,13 @@
 
 from bench.deployments import DEPLOYMENTS, POKANA, RAVI
 from bench.results import Measures, Summary, measure, summarise
-from bench.scenarios import DURATION_S, SCENARIOS, Scenario, play
+from bench.scenarios import DURATION_S, SCENARIOS, Scenario, run_scenario
 from bench.simulation import World
 from bench.variants import VARIANTS
 from calicopathd.logs import set_up_logs
 from testkit.virtual import run_virtual
 
-USERS = (RAVI.name, POKANA.name)
+TARGET_DEPLOYMENTS = (RAVI.name, POKANA.name)
 """The deployments for which targets are set."""
 
 SEEDS = 5
@@ -54,7 +54,7 @@
 )
 
 
-class Job(NamedTuple):
+class RunSpec(NamedTuple):
     """Name one run."""
 
     deployment: str
@@ -72,35 +72,35 @@
     measures: dict[str, Summary]
 
 
-def scenario_named(name: str) -> Scenario:
+def find_scenario(name: str) -> Scenario:
     """Return a scenario."""
     return next(item for item in SCENARIOS if item.name == name)
 
 
-def run_job(job: Job) -> Measures:
+def execute_run(spec: RunSpec) -> Measures:
     """Run one scenario once."""
     set_up_logs(level='ERROR', json=True, box='bench')
-    return run_virtual(simulate(job))
+    return run_virtual(simulate(spec))
 
 
-async def simulate(job: Job) -> Measures:
+async def simulate(spec: RunSpec) -> Measures:
     """Play a scenario and measure it."""
     world = World(
-        deployment=DEPLOYMENTS[job.deployment], variant=VARIANTS[job.variant], seed=job.seed
+        deployment=DEPLOYMENTS[spec.deployment], variant=VARIANTS[spec.variant], seed=spec.seed
     )
-    await play(world, scenario_named(job.scenario))
+    await run_scenario(world, find_scenario(spec.scenario))
     return measure(world, DURATION_S)
 
 
-def run_all(jobs: list[Job], workers: int) -> dict[Job, Measures]:
+def run_all(specs: list[RunSpec], workers: int) -> dict[RunSpec, Measures]:
     """Run jobs on several processes."""
     if workers == 1:
-        return {job: run_job(job) for job in jobs}
+        return {job: execute_run(job) for job in specs}
     with multiprocessing.get_context('spawn').Pool(workers) as pool:
-        return dict(zip(jobs, pool.map(run_job, jobs, chunksize=1), strict=True))
+        return dict(zip(specs, pool.map(execute_run, specs, chunksize=1), strict=True))
 
 
-def rows_of(results: dict[Job, Measures]) -> list[Row]:
+def summary_rows(results: dict[RunSpec, Measures]) -> list[Row]:
     """Return one row for each deployment, scenario and variant."""
     keys = list(dict.fromkeys(job[:3] for job in results))
     return [
@@ -129,22 +129,22 @@
         )
 
 
-def check_targets(rows: list[Row]) -> list[str]:
+def missed_targets(rows: list[Row]) -> list[str]:
     """Return the targets that were missed, with by how much."""
-    found = {(row.deployment, row.scenario, row.variant): row.measures for row in rows}
+    by_run = {(row.deployment, row.scenario, row.variant): row.measures for row in rows}
     missed = []
-    for (deployment, scenario, variant), measures in found.items():
-        naive = found.get((deployment, scenario, 'naive'))
-        if variant != 'calicopath' or naive is None or deployment not in USERS:
+    for (deployment, scenario, variant), measures in by_run.items():
+        naive = by_run.get((deployment, scenario, 'naive'))
+        if variant != 'calicopath' or naive is None or deployment not in TARGET_DEPLOYMENTS:
             continue
-        healthy = found[deployment, 'steady', 'calicopath']
-        where = f'{deployment} {scenario}'
-        missed += missed_targets(where, scenario, measures, naive, healthy)
+        healthy = by_run[deployment, 'steady', 'calicopath']
+        label = f'{deployment} {scenario}'
+        missed += scenario_misses(label, scenario, measures, naive, healthy)
     return missed
 
 
-def missed_targets(
-    where: str,
+def scenario_misses(
+    label: str,
     scenario: str,
     ours: dict[str, Summary],
     naive: dict[str, Summary],
@@ -155,7 +155,7 @@
 
     def target(name: str, value: float, bound: float, *, at_least: bool) -> None:
         if (value < bound) if at_least else (value > bound):
-            missed.append(f'{where}: {name} {value:.3f}, target {bound:.3f}')
+            missed.append(f'{label}: {name} {value:.3f}, target {bound:.3f}')
 
     attained = ours['attainment'].median
     target('attainment against naive', attained, naive['attainment'].median, at_least=True)
@@ -192,8 +192,8 @@
                 )
                 for scenario in scenarios
             ]
-            places = [place + index * width for place in range(len(scenarios))]
-            axis.bar(places, values, width, label=variant)
+            positions = [place + index * width for place in range(len(scenarios))]
+            axis.bar(positions, values, width, label=variant)
         axis.set_xticks(range(len(scenarios)), scenarios, rotation=25, ha='right')
         axis.set_ylabel('attainment')
         axis.set_title(deployment)
@@ -207,7 +207,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--variants', default='naive,calicopath')
     parser.add_argument('--scenarios', default=','.join(item.name for item in SCENARIOS))
-    parser.add_argument('--deployments', default=','.join(USERS))
+    parser.add_argument('--deployments', default=','.join(TARGET_DEPLOYMENTS))
     parser.add_argument('--seeds', type=int, default=SEEDS)
     parser.add_argument('--workers', type=int, default=WORKERS)
     parser.add_argument('--json', type=Path, help='file for all summaries')
@@ -221,14 +221,14 @@
     names = itertools.product(
         flags.deployments.split(','), flags.scenarios.split(','), flags.variants.split(',')
     )
-    jobs = [Job(*name, seed) for name in names for seed in range(1, flags.seeds + 1)]
-    rows = rows_of(run_all(jobs, flags.workers))
+    specs = [RunSpec(*name, seed) for name in names for seed in range(1, flags.seeds + 1)]
+    rows = summary_rows(run_all(specs, flags.workers))
     print_rows(rows)
     if flags.json:
         flags.json.write_bytes(msgspec.json.encode([row._asdict() for row in rows]))
     if flags.plot:
         plot(rows, flags.plot)
-    missed = check_targets(rows) if 'steady' in flags.scenarios else []
+    missed = missed_targets(rows) if 'steady' in flags.scenarios else []
     print(f'targets missed: {len(missed)}')
     for line in missed:
         print(f'  {line}')
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -9,14 +9,14 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-TICKS_A_SECOND = os.sysconf('SC_CLK_TCK')
+CLOCK_TICKS_PER_S = os.sysconf('SC_CLK_TCK')
 PAGE_BYTES = os.sysconf('SC_PAGE_SIZE')
 
 
 def cpu_seconds(pid: int) -> float:
     """Return the processor time that a process has used."""
     fields = Path(f'/proc/{pid}/stat').read_text().rpartition(')')[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS_A_SECOND
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def resident_mb(pid: int) -> float:
@@ -25,9 +25,9 @@
     return pages * PAGE_BYTES / 1e6
 
 
-def percentile_ms(values: Sequence[float], part: float) -> float:
+def percentile_ms(values_s: Sequence[float], fraction: float) -> float:
     """Return a percentile of seconds in milliseconds, 0 of nothing."""
-    found = sorted(values)
+    found = sorted(values_s)
     if not found:
         return 0.0
-    return 1000 * found[min(len(found) - 1, int(part * len(found)))]
+    return 1000 * found[min(len(found) - 1, int(fraction * len(found)))]
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -28,7 +28,7 @@
 COLOURS = ('#20639b', '#3caea3', '#f6d55c', '#ed553b')
 
 
-class Job(NamedTuple):
+class RunSpec(NamedTuple):
     """Name one replay."""
 
     pattern: str
@@ -42,8 +42,8 @@
     """Name one figure of the table and how it is read."""
 
     name: str
-    read: Callable[[Figures], float]
-    form: str
+    value_of: Callable[[Figures], float]
+    format_spec: str
 
 
 COLUMNS = (
@@ -57,27 +57,27 @@
 )
 
 
-def run_job(job: Job) -> Figures:
+def execute_run(spec: RunSpec) -> Figures:
     """Run one replay."""
-    variant = next(item for item in VARIANTS if item.name == job.variant)
-    fleet = shifted_fleet() if job.shifted else fleet_of(job.boxes)
-    return replay(job.pattern, job.seed, variant, fleet)
+    variant = next(item for item in VARIANTS if item.name == spec.variant)
+    fleet = shifted_fleet() if spec.shifted else fleet_of(spec.boxes)
+    return replay(spec.pattern, spec.seed, variant, fleet)
 
 
-def run_all(jobs: list[Job], workers: int) -> dict[Job, Figures]:
+def run_all(specs: list[RunSpec], workers: int) -> dict[RunSpec, Figures]:
     """Run replays on several processes."""
     with multiprocessing.get_context('spawn').Pool(workers) as pool:
-        return dict(zip(jobs, pool.map(run_job, jobs, chunksize=1), strict=True))
+        return dict(zip(specs, pool.map(execute_run, specs, chunksize=1), strict=True))
 
 
-def cell(column: Column, found: list[Figures]) -> str:
+def format_cell(column: Column, found: list[Figures]) -> str:
     """Return a median with its least and greatest value."""
-    values = [column.read(item) for item in found]
-    middle, least, most = statistics.median(values), min(values), max(values)
-    return f'{middle:{column.form}} ({least:{column.form}} to {most:{column.form}})'
+    values = [column.value_of(item) for item in found]
+    median, least, most = statistics.median(values), min(values), max(values)
+    return f'{median:{column.format_spec}} ({least:{column.format_spec}} to {most:{column.format_spec}})'
 
 
-def table(results: dict[Job, Figures], patterns: list[str], variants: list[str]) -> str:
+def comparison_table(results: dict[RunSpec, Figures], patterns: list[str], variants: list[str]) -> str:
     """Return the comparison as text."""
     names = ['pattern', 'variant', *(column.name for column in COLUMNS)]
     lines = [f'| {" | ".join(names)} |', f'|{" --- |" * len(names)}']
@@ -88,12 +88,12 @@
                 for job, figures in results.items()
                 if (job.pattern, job.variant) == (pattern, variant)
             ]
-            cells = [cell(column, found) for column in COLUMNS]
+            cells = [format_cell(column, found) for column in COLUMNS]
             lines.append(f'| {pattern} | {variant} | {" | ".join(cells)} |')
     return '\n'.join(lines)
 
 
-def cost_table(results: dict[Job, Figures]) -> str:
+def cost_table(results: dict[RunSpec, Figures]) -> str:
     """Return what a job costs its scheduler, by boxes."""
     lines = ['| boxes | ms of processor time a job |', '| --- | --- |']
     for boxes in COST_BOXES:
@@ -105,7 +105,7 @@
     return '\n'.join(lines)
 
 
-def picture(results: dict[Job, Figures], patterns: list[str], variants: list[str]) -> str:
+def draw_bars(results: dict[RunSpec, Figures], patterns: list[str], variants: list[str]) -> str:
     """Return bars of the worth earned, a group a pattern."""
     parts = []
     row = 0
@@ -132,7 +132,7 @@
     return f'<svg xmlns="http://www.w3.org/2000/svg" {size}>{"".join(parts)}</svg>\n'
 
 
-def arguments() -> argparse.Namespace:
+def parse_flags() -> argparse.Namespace:
     """Return the command's arguments."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--patterns', default=','.join(PATTERNS), help='names, by commas')
@@ -147,24 +147,24 @@
 
 def main() -> None:
     """Run the command."""
-    options = arguments()
+    options = parse_flags()
     if options.cost:
-        jobs = [Job('burst-all', 'ours', seed, boxes) for boxes in COST_BOXES for seed in SEEDS]
-        print(cost_table(run_all(jobs, options.workers)))
+        specs = [RunSpec('burst-all', 'ours', seed, boxes) for boxes in COST_BOXES for seed in SEEDS]
+        print(cost_table(run_all(specs, options.workers)))
         return
     patterns = options.patterns.split(',')
     names = [item.name for item in VARIANTS]
     variants = names if options.variants == 'all' else options.variants.split(',')
-    jobs = [
-        Job(pattern, variant, seed, options.boxes, options.shifted)
+    specs = [
+        RunSpec(pattern, variant, seed, options.boxes, options.shifted)
         for pattern in patterns
         for variant in variants
         for seed in SEEDS
     ]
-    results = run_all(jobs, options.workers)
-    print(table(results, patterns, variants))
+    results = run_all(specs, options.workers)
+    print(comparison_table(results, patterns, variants))
     if options.picture is not None:
-        options.picture.write_text(picture(results, patterns, variants))
+        options.picture.write_text(draw_bars(results, patterns, variants))
 
 
 if __name__ == '__main__':
--- a/bench/restored.py
+++ b/bench/restored.py
@@ -30,16 +30,16 @@
 HELP_BOXES = 'Sizes of fleets, separated by commas.'
 HELP_SCHEDULES = 'How many schedules to draw for each size.'
 
-STEP_S = 0.1
-DRAIN_S = 2.0
-AFTER_S = 14.0
+TOLERATED_DELAY_S = 0.1
+DRAIN_ALLOWANCE_S = 2.0
+AFTER_RETURN_S = 14.0
 """How long a schedule goes on after the store's return."""
 
 REPLICAS = 24
 DESK = 'desk'
 
 
-class Way(ABC):
+class FollowStrategy(ABC):
     """Say how boxes follow the store."""
 
     name: str
@@ -49,7 +49,7 @@
         """Have a box that was not started yet follow the store so."""
 
 
-class WithEras(Way):
+class EraOrder(FollowStrategy):
     """Order by era, and keep what was acknowledged."""
 
     name = 'eras, kept'
@@ -58,7 +58,7 @@
         """Leave the box as it is."""
 
 
-class AsListed(Way):
+class FirstListTrusted(FollowStrategy):
     """Order by era, and take the first list as after an outage."""
 
     name = 'eras, as listed'
@@ -69,7 +69,7 @@
             feed.handler = box.box.records
 
 
-class ByRevision(Way):
+class RevisionOrder(FollowStrategy):
     """Order by revision alone."""
 
     name = 'revisions'
@@ -95,12 +95,12 @@
         return found._replace(position=Position(0, found.position.revision))
 
 
-class Acknowledged(NamedTuple):
+class AcknowledgedChange(NamedTuple):
     """Hold a change that the store has acknowledged: a replica's state, or a configuration."""
 
-    at: float
+    acknowledged_at: float
     replica: str
-    leaves: bool
+    removes_replica: bool
     version: int
 
 
@@ -108,30 +108,30 @@
     """Hold what a schedule showed; times are seconds, sums are over boxes."""
 
     def __init__(self) -> None:
-        self.force_s = 0.0
-        self.left_s = 0.0
-        self.unknown_s = 0.0
-        self.calls = 0.0
+        self.max_delay_s = 0.0
+        self.stale_use_s = 0.0
+        self.unused_s = 0.0
+        self.store_calls = 0.0
 
-    def join(self, other: Figures) -> None:
+    def add(self, other: Figures) -> None:
         """Take another schedule's figures in."""
-        self.force_s = max(self.force_s, other.force_s)
-        self.left_s += other.left_s
-        self.unknown_s += other.unknown_s
-        self.calls += other.calls
+        self.max_delay_s = max(self.max_delay_s, other.max_delay_s)
+        self.stale_use_s += other.stale_use_s
+        self.unused_s += other.unused_s
+        self.store_calls += other.store_calls
 
 
 class Schedule:
     """Play one drawn schedule."""
 
-    def __init__(self, *, way: Way, boxes: int, seed: int) -> None:
+    def __init__(self, *, strategy: FollowStrategy, boxes: int, seed: int) -> None:
         self.rng = random.Random(seed)
         self.fleet = NoticeFleet(count=boxes)
         for box in self.fleet.boxes.values():
-            way.set_up(box)
-        self.acknowledged: list[Acknowledged] = []
+            strategy.set_up(box)
+        self.acknowledged: list[AcknowledgedChange] = []
         self.version = 1
-        self.names = [f'desk-{number}' for number in range(10, 10 + REPLICAS)]
+        self.replica_names = [f'desk-{number}' for number in range(10, 10 + REPLICAS)]
         self.figures = Figures()
         self.returned_at = float('inf')
 
@@ -139,45 +139,45 @@
         """Return the loop's time."""
         return asyncio.get_running_loop().time()
 
-    def change(self) -> None:
+    def make_change(self) -> None:
         """Have the store acknowledge one drawn change."""
         kind = self.rng.choice(('announce', 'drain', 'withdraw', 'configure', 'configure'))
         held = self.fleet.store.records[RecordKind.REPLICA]
-        known = [name for name in self.names if name in held]
+        known = [name for name in self.replica_names if name in held]
         if kind == 'configure' or not known:
             self.version += 1
             self.fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(self.version))
-            self.acknowledged.append(Acknowledged(self.now(), '', False, self.version))
+            self.acknowledged.append(AcknowledgedChange(self.now(), '', False, self.version))
             return
         if kind == 'announce':
             name = f'desk-{100 + len(self.acknowledged)}'
             self.fleet.announce(Replica(name, DESK, f'{name}:1', 'north', 6, False))
         elif kind == 'drain':
-            name = self.names.pop(self.names.index(self.rng.choice(known)))
+            name = self.replica_names.pop(self.replica_names.index(self.rng.choice(known)))
             entry = held[name]
             assert isinstance(entry, Replica)
             self.fleet.announce(entry._replace(draining=True))
         else:
-            name = self.names.pop(self.names.index(self.rng.choice(known)))
+            name = self.replica_names.pop(self.replica_names.index(self.rng.choice(known)))
             self.fleet.withdraw(name)
-        self.acknowledged.append(Acknowledged(self.now(), name, kind != 'announce', 0))
+        self.acknowledged.append(AcknowledgedChange(self.now(), name, kind != 'announce', 0))
 
-    async def changes(self, for_s: float) -> None:
+    async def make_changes(self, duration_s: float) -> None:
         """Have changes come for a while."""
-        ends_at = self.now() + for_s
+        ends_at = self.now() + duration_s
         while self.now() < ends_at:
-            await asyncio.sleep(min(self.rng.expovariate(1.5), for_s))
+            await asyncio.sleep(min(self.rng.expovariate(1.5), duration_s))
             if not self.fleet.store.down:
-                self.change()
+                self.make_change()
 
-    def is_in_force(self, box: FleetBox, item: Acknowledged) -> bool:
+    def is_in_force(self, box: FleetBox, item: AcknowledgedChange) -> bool:
         """Tell whether a box goes by a change."""
         if item.version:
             return box.box.config_version() >= item.version
         usable = any(item.replica == known.id for known in box.box.replicas.usable(DESK))
-        return usable != item.leaves
+        return usable != item.removes_replica
 
-    async def sample(self) -> None:
+    async def run_sampling(self) -> None:
         """Look again and again which changes are in force where."""
         while True:
             now = self.now()
@@ -186,59 +186,59 @@
                 late = [
                     item
                     for item in self.acknowledged
-                    if now - item.at > STEP_S and not self.is_in_force(box, item)
+                    if now - item.acknowledged_at > TOLERATED_DELAY_S and not self.is_in_force(box, item)
                 ]
-                self.note(late, now)
+                self.record_late_changes(late, now)
             await asyncio.sleep(TICK_S)
 
-    def note(self, late: list[Acknowledged], now: float) -> None:
+    def record_late_changes(self, late: list[AcknowledgedChange], now: float) -> None:
         """Note changes that a box does not go by; what is down excuses the time that it is."""
         if self.fleet.store.down:
             return
         for item in late:
-            since = max(item.at, self.returned_at) if now >= self.returned_at else item.at
-            self.figures.force_s = max(self.figures.force_s, now - since)
-            if item.leaves and now - since > DRAIN_S:
-                self.figures.left_s += TICK_S
-            elif item.replica and not item.leaves:
-                self.figures.unknown_s += TICK_S
-
-    async def play(self) -> Figures:
+            since = max(item.acknowledged_at, self.returned_at) if now >= self.returned_at else item.acknowledged_at
+            self.figures.max_delay_s = max(self.figures.max_delay_s, now - since)
+            if item.removes_replica and now - since > DRAIN_ALLOWANCE_S:
+                self.figures.stale_use_s += TICK_S
+            elif item.replica and not item.removes_replica:
+                self.figures.unused_s += TICK_S
+
+    async def run(self) -> Figures:
         """Play it."""
         fleet, rng = self.fleet, self.rng
-        for name in self.names:
+        for name in self.replica_names:
             fleet.announce(Replica(name, DESK, f'{name}:1', 'north', 6, False))
         await fleet.start()
         await asyncio.sleep(2.0)
-        sampling = asyncio.create_task(self.sample())
-        await self.changes(2.0)
+        sampling = asyncio.create_task(self.run_sampling())
+        await self.make_changes(2.0)
         copy = fleet.store.copy()
-        await self.changes(rng.uniform(0.5, 10.0))
+        await self.make_changes(rng.uniform(0.5, 10.0))
         before = sum(box.store.calls for box in fleet.boxes.values())
         away_s, again_s = rng.uniform(0.0, 5.0), rng.uniform(0.0, 2.0)
         back = asyncio.create_task(fleet.store.go_back(copy, away_s, again_s))
-        await asyncio.sleep(away_s + STEP_S)
-        self.returned_at = self.now() - STEP_S
-        await self.changes(3.0)
-        await asyncio.sleep(AFTER_S - 3.0)
+        await asyncio.sleep(away_s + TOLERATED_DELAY_S)
+        self.returned_at = self.now() - TOLERATED_DELAY_S
+        await self.make_changes(3.0)
+        await asyncio.sleep(AFTER_RETURN_S - 3.0)
         await back
         sampling.cancel()
         calls = sum(box.store.calls for box in fleet.boxes.values()) - before
-        self.figures.calls = calls / len(fleet.boxes)
+        self.figures.store_calls = calls / len(fleet.boxes)
         await fleet.stop()
         return self.figures
 
 
-async def play(way: Way, boxes: int, seed: int) -> Figures:
+async def run_schedule(strategy: FollowStrategy, boxes: int, seed: int) -> Figures:
     """Play one schedule."""
-    return await Schedule(way=way, boxes=boxes, seed=seed).play()
+    return await Schedule(strategy=strategy, boxes=boxes, seed=seed).run()
 
 
-def measure(way: Callable[[], Way], boxes: int, schedules: int) -> Figures:
+def measure(new_strategy: Callable[[], FollowStrategy], boxes: int, schedules: int) -> Figures:
     """Play many schedules."""
     total = Figures()
     for seed in range(schedules):
-        total.join(run_virtual(play(way(), boxes, seed)))
+        total.add(run_virtual(run_schedule(new_strategy(), boxes, seed)))
     return total
 
 
@@ -251,11 +251,11 @@
     print('boxes, way: longest to force; box-seconds a schedule in which a replica is called that')
     print('left over 2 s ago; in which one is not called that is there; calls to the store a box')
     for count in (int(item) for item in boxes.split(',')):
-        for way in (ByRevision, AsListed, WithEras):
-            found = measure(way, count, schedules)
+        for strategy in (RevisionOrder, FirstListTrusted, EraOrder):
+            figures = measure(strategy, count, schedules)
             print(
-                f'{count}, {way.name}: {found.force_s:.1f} s; {found.left_s / schedules:.2f}; '
-                f'{found.unknown_s / schedules:.2f}; {found.calls / schedules:.0f}',
+                f'{count}, {strategy.name}: {figures.max_delay_s:.1f} s; {figures.stale_use_s / schedules:.2f}; '
+                f'{figures.unused_s / schedules:.2f}; {figures.store_calls / schedules:.0f}',
                 flush=True,
             )
 
--- a/bench/results.py
+++ b/bench/results.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-    from bench.simulation import Record, World
+    from bench.simulation import RequestRecord, World
 
 HIGH_PRIORITY = 7
 LOW_PRIORITY = 4
@@ -41,41 +41,41 @@
     spread: float
 
 
-def share(records: Sequence[Record]) -> float:
+def attained_share(records: Sequence[RequestRecord]) -> float:
     """Return the share answered whole within the deadline."""
-    return sum(in_time(record) for record in records) / len(records) if records else 1.0
+    return sum(is_answered_in_time(record) for record in records) / len(records) if records else 1.0
 
 
-def in_time(record: Record) -> bool:
+def is_answered_in_time(record: RequestRecord) -> bool:
     """Tell whether a request was answered whole within its deadline."""
-    return record.outcome == 'answered' and record.took_s <= DEADLINE_S
+    return record.outcome == 'answered' and record.duration_s <= DEADLINE_S
 
 
-def percentile(values: Iterable[float], part: float) -> float:
+def percentile(values: Iterable[float], fraction: float) -> float:
     """Return a percentile, 0 of nothing."""
-    found = sorted(values)
-    return found[min(len(found) - 1, int(part * len(found)))] if found else 0.0
+    ordered = sorted(values)
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else 0.0
 
 
 def measure(world: World, duration_s: float) -> Measures:
     """Return the measures of a run."""
     records = world.records
-    good = [record for record in records if in_time(record)]
-    bad = [record for record in records if not in_time(record)]
+    good = [record for record in records if is_answered_in_time(record)]
+    bad = [record for record in records if not is_answered_in_time(record)]
     refused = [record for record in records if record.outcome == 'refused']
     failed = [record for record in records if record.outcome == 'failed']
     busy_s = sum(sum(record.busy_s.values()) for record in records)
     wasted_s = sum(sum(record.busy_s.values()) for record in bad)
     drafting_s = sum(record.busy_s.get('drafting', 0.0) for record in records)
     workspaces = {record.workspace for record in records}
-    shares = [share([item for item in records if item.workspace == name]) for name in workspaces]
+    shares = [attained_share([item for item in records if item.workspace == name]) for name in workspaces]
     answered = max(1, len(good))
     return Measures(
         requests=len(records),
-        attainment=share(records),
-        high=share([item for item in records if item.priority >= HIGH_PRIORITY]),
-        low=share([item for item in records if item.priority <= LOW_PRIORITY]),
-        goodput=len(good) / duration_s / world.deployment.capacity,
+        attainment=attained_share(records),
+        high=attained_share([item for item in records if item.priority >= HIGH_PRIORITY]),
+        low=attained_share([item for item in records if item.priority <= LOW_PRIORITY]),
+        goodput=len(good) / duration_s / world.deployment.capacity_per_s,
         first_token_p95_ms=1000
         * percentile((item.first_token_s for item in good if item.first_token_s is not None), 0.95),
         token_p95_ms=1000
@@ -84,7 +84,7 @@
         drafting_ms=1000 * drafting_s / answered,
         thrown_away=wasted_s / busy_s if busy_s else 0.0,
         refused=len(refused) / max(1, len(records)),
-        refused_after_ms=1000 * percentile((item.took_s for item in refused), 0.5),
+        refused_after_ms=1000 * percentile((item.duration_s for item in refused), 0.5),
         failed=len(failed) / max(1, len(records)),
         spread=max(shares) - min(shares),
     )
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -27,10 +27,10 @@
     """Hold a name, the arrivals as a share of capacity at a time, and what goes wrong."""
 
     name: str
-    share: Callable[[float], float]
-    disturb: Callable[[World], Awaitable[None]] | None = None
-    burst_of: Workload | None = None
-    greedy: bool = False
+    capacity_share: Callable[[float], float]
+    inject_faults: Callable[[World], Awaitable[None]] | None = None
+    burst_workload: Workload | None = None
+    has_greedy_workspace: bool = False
     caller_retries: int = 0
 
 
@@ -55,26 +55,26 @@
     world.fleet['drafting-0'].down = True
 
 
-async def domain_gone(world: World) -> None:
+async def failure_domain_outage(world: World) -> None:
     """Let a failure domain's endpoints refuse every connection from 5 s to 15 s."""
-    gone = [
+    endpoints = [
         item
         for item in world.fleet.endpoints.values()
         if item.endpoint.failure_domain == 'domain-1'
     ]
     await asyncio.sleep(5)
-    for item in gone:
+    for item in endpoints:
         item.down = True
     await asyncio.sleep(10)
-    for item in gone:
+    for item in endpoints:
         item.down = False
 
 
 async def late_reports(world: World) -> None:
     """Let load reports be three seconds old, and every other one be missing."""
     for box in world.boxes:
-        box.loads.lag_s = 3.0
-        box.loads.gap = True
+        box.reported_loads.lag_s = 3.0
+        box.reported_loads.drops_every_other = True
 
 
 async def outage_during_drain(world: World) -> None:
@@ -102,80 +102,80 @@
 
 async def restart(world: World, box: SimulatedBox) -> None:
     """Restart one box: ours leaves as the daemon does, the naive one just ends."""
-    if world.variant.naive:
-        box.accepting = False
+    if world.variant.is_naive:
+        box.is_accepting = False
         for task in list(box.tasks):
             task.cancel()
         await asyncio.sleep(BALANCER_LAG_S)
-        world.balanced.remove(box)
+        world.balanced_boxes.remove(box)
     else:
         await asyncio.sleep(BALANCER_LAG_S)
-        world.balanced.remove(box)
+        world.balanced_boxes.remove(box)
         while box.tasks:
             await asyncio.wait(set(box.tasks))
-        box.accepting = False
+        box.is_accepting = False
     await asyncio.sleep(RESTART_S - BALANCER_LAG_S)
-    box.accepting = True
-    world.balanced.append(box)
+    box.is_accepting = True
+    world.balanced_boxes.append(box)
 
 
 SCENARIOS = (
     Scenario('steady', steady),
     Scenario('burst-generation', burst),
-    Scenario('burst-encoding', steady, burst_of=LOOKUPS),
+    Scenario('burst-encoding', steady, burst_workload=LOOKUPS),
     Scenario('overload', lambda at: 2.0),
     Scenario('slow-replica', steady, slow_replica),
     Scenario('dead-replica', steady, dead_replica),
-    Scenario('domain-gone', steady, domain_gone),
+    Scenario('domain-gone', steady, failure_domain_outage),
     Scenario('late-reports', lambda at: 0.8, late_reports),
-    Scenario('greedy-workspace', lambda at: 1.4, greedy=True),
+    Scenario('greedy-workspace', lambda at: 1.4, has_greedy_workspace=True),
     Scenario('retry-storm', lambda at: 1.3, caller_retries=4),
     Scenario('outage-in-drain', steady, outage_during_drain),
     Scenario('rolling-restart', steady, rolling_restart),
 )
 
 
-async def play(world: World, scenario: Scenario) -> None:
+async def run_scenario(world: World, scenario: Scenario) -> None:
     """Let requests arrive for the scenario's time, while its faults happen."""
     world.caller_retries = scenario.caller_retries
     await world.start()
     loop = asyncio.get_running_loop()
-    disturbing = None
-    if scenario.disturb is not None:
-        disturbing = loop.create_task(run_disturbance(scenario.disturb, world))
-    arrivals = [loop.create_task(arrive(world, scenario))]
-    if scenario.burst_of is not None:
-        arrivals.append(loop.create_task(arrive_burst(world, scenario.burst_of)))
+    fault_task = None
+    if scenario.inject_faults is not None:
+        fault_task = loop.create_task(run_faults(scenario.inject_faults, world))
+    arrivals = [loop.create_task(generate_requests(world, scenario))]
+    if scenario.burst_workload is not None:
+        arrivals.append(loop.create_task(generate_burst(world, scenario.burst_workload)))
     await asyncio.gather(*arrivals)
     await world.stop()
-    if disturbing is not None:
-        disturbing.cancel()
-        await asyncio.gather(disturbing, return_exceptions=True)
+    if fault_task is not None:
+        fault_task.cancel()
+        await asyncio.gather(fault_task, return_exceptions=True)
 
 
-async def run_disturbance(disturb: Callable[[World], Awaitable[None]], world: World) -> None:
+async def run_faults(inject_faults: Callable[[World], Awaitable[None]], world: World) -> None:
     """Carry out what goes wrong."""
-    await disturb(world)
+    await inject_faults(world)
 
 
-async def arrive(world: World, scenario: Scenario) -> None:
+async def generate_requests(world: World, scenario: Scenario) -> None:
     """Let requests arrive at random, open loop: nobody waits for answers."""
     rng = random.Random(world.rng.random())
     loop = asyncio.get_running_loop()
     started = loop.time()
-    loads = world.deployment.workloads
-    weights = [load.share for load in loads]
-    if scenario.greedy:
+    workloads = world.deployment.workloads
+    weights = [load.share for load in workloads]
+    if scenario.has_greedy_workspace:
         # The workspace that usually asks most asks for four times as much.
-        largest = max(range(len(loads)), key=lambda index: weights[index])
+        largest = max(range(len(workloads)), key=lambda index: weights[index])
         weights[largest] *= 4
     while (at := loop.time() - started) < DURATION_S:
-        rate = scenario.share(at) * world.deployment.capacity
+        rate = scenario.capacity_share(at) * world.deployment.capacity_per_s
         await asyncio.sleep(rng.expovariate(rate))
-        world.arrive(rng.choices(loads, weights)[0])
+        world.start_request(rng.choices(workloads, weights)[0])
 
 
-async def arrive_burst(world: World, load: Workload) -> None:
+async def generate_burst(world: World, workload: Workload) -> None:
     """Let requests of one kind arrive at 1.5 times what the encoders can do, for four seconds."""
     rng = random.Random(world.rng.random())
     loop = asyncio.get_running_loop()
@@ -185,4 +185,4 @@
     ends = loop.time() + 4
     while loop.time() < ends:
         await asyncio.sleep(rng.expovariate(rate))
-        world.arrive(load)
+        world.start_request(workload)
--- a/bench/selectors.py
+++ b/bench/selectors.py
@@ -14,8 +14,8 @@
     from calicopath_core.routing.replicas import Replica
     from testkit.fake_endpoints import FakeFleet
 
-POLL_S = 0.5
-MAX_AGE_S = 2.0
+POLL_INTERVAL_S = 0.5
+MAX_REPORT_AGE_S = 2.0
 
 
 class RandomSelector(Selector):
@@ -29,11 +29,11 @@
         return self.rng.choice(candidates)
 
 
-class Report(NamedTuple):
+class LoadReport(NamedTuple):
     """Hold what an endpoint said of its load, and our own calls when it was read."""
 
     load: int
-    own: int
+    own_calls: int
     read_at: float
 
 
@@ -44,10 +44,10 @@
         self.fleet = fleet
         self.lag_s = lag_s
         self.history: dict[str, list[tuple[float, int]]] = {}
-        self.reports: dict[str, Report] = {}
-        self.gap = False
+        self.reports: dict[str, LoadReport] = {}
+        self.drops_every_other = False
 
-    async def run(self, own: dict[str, Replica]) -> None:
+    async def run(self, replicas: dict[str, Replica]) -> None:
         """Poll until cancelled; every other read is left out while `gap` is on."""
         reads = 0
         while True:
@@ -57,9 +57,9 @@
                 waiting = sum(not future.done() for _, _, future in item.waiting)
                 self.history.setdefault(name, []).append((now, item.running + waiting))
                 old = [load for at, load in self.history[name] if at <= now - self.lag_s]
-                if old and name in own and not (self.gap and reads % 2):
-                    self.reports[name] = Report(old[-1], own[name].in_flight, now)
-            await asyncio.sleep(POLL_S)
+                if old and name in replicas and not (self.drops_every_other and reads % 2):
+                    self.reports[name] = LoadReport(old[-1], replicas[name].in_flight, now)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 class LeastLoadedSelector(Selector):
@@ -67,15 +67,15 @@
 
     def __init__(self, *, rng: random.Random, loads: ReportedLoads) -> None:
         self.rng = rng
-        self.loads = loads
+        self.reported_loads = loads
 
     def choose(self, candidates: Sequence[Replica], affinity: str | None) -> Replica:
         """Return the candidate with the least reported load."""
-        return min(candidates, key=lambda replica: (self.load(replica), self.rng.random()))
+        return min(candidates, key=lambda replica: (self.load_of(replica), self.rng.random()))
 
-    def load(self, replica: Replica) -> float:
+    def load_of(self, replica: Replica) -> float:
         """Return the load as reported."""
-        report = self.loads.reports.get(replica.name)
+        report = self.reported_loads.reports.get(replica.name)
         return float(report.load if report else replica.in_flight)
 
 
@@ -85,13 +85,13 @@
     def choose(self, candidates: Sequence[Replica], affinity: str | None) -> Replica:
         """Return the better of two candidates."""
         drawn = self.rng.sample(list(candidates), min(2, len(candidates)))
-        return min(drawn, key=self.load)
+        return min(drawn, key=self.load_of)
 
-    def load(self, replica: Replica) -> float:
+    def load_of(self, replica: Replica) -> float:
         """Return our calls and an ageing estimate of the other boxes'."""
-        report = self.loads.reports.get(replica.name)
+        report = self.reported_loads.reports.get(replica.name)
         if report is None:
             return replica.slowness.value * replica.in_flight
         age = asyncio.get_running_loop().time() - report.read_at
-        others = max(0, report.load - report.own) * max(0.0, 1.0 - age / MAX_AGE_S)
+        others = max(0, report.load - report.own_calls) * max(0.0, 1.0 - age / MAX_REPORT_AGE_S)
         return replica.slowness.value * (replica.in_flight + others + 1)
--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -6,8 +6,8 @@
 import random
 from typing import TYPE_CHECKING, NamedTuple
 
-from bench.claiming import OnePeer
-from bench.deployments import Deployment, documents, fill_store, new_fleet
+from bench.claiming import SingleShardOwner
+from bench.deployments import Deployment, new_documents, fill_store, new_fleet
 from bench.selectors import (
     LeastLoadedSelector,
     RandomSelector,
@@ -53,13 +53,13 @@
 REPORT_LAG_S = 1.0
 
 
-class Record(NamedTuple):
+class RequestRecord(NamedTuple):
     """Hold what became of one request; times are in seconds."""
 
     workspace: str
     priority: int
-    arrived: float
-    took_s: float
+    arrived_at: float
+    duration_s: float
     outcome: str
     first_token_s: float | None
     token_gap_s: float | None
@@ -70,25 +70,25 @@
 class TimedSink(TokenSink):
     """Note when tokens came."""
 
-    def __init__(self, *, arrived: float) -> None:
-        self.arrived = arrived
-        self.times: list[float] = []
+    def __init__(self, *, arrived_at: float) -> None:
+        self.arrived_at = arrived_at
+        self.token_times: list[float] = []
 
     async def write(self, text: str) -> None:
         """Note the time."""
-        self.times.append(asyncio.get_running_loop().time())
+        self.token_times.append(asyncio.get_running_loop().time())
 
     @property
     def first_token_s(self) -> float | None:
         """Return the time to the first token."""
-        return self.times[0] - self.arrived if self.times else None
+        return self.token_times[0] - self.arrived_at if self.token_times else None
 
     @property
     def token_gap_s(self) -> float | None:
         """Return the mean time between tokens."""
-        if len(self.times) < 2:
+        if len(self.token_times) < 2:
             return None
-        return (self.times[-1] - self.times[0]) / (len(self.times) - 1)
+        return (self.token_times[-1] - self.token_times[0]) / (len(self.token_times) - 1)
 
 
 class SimulatedBox:
@@ -99,23 +99,23 @@
         self.world = world
         self.clock = VirtualClock()
         self.rng = random.Random(seed)
-        self.accepting = True
+        self.is_accepting = True
         self.store = FakeStore(state=world.state)
         self.view = ConfigView()
         self.lag = LoopLag(clock=self.clock)
         self.feed = StoreFeed(store=self.store, view=self.view, clock=self.clock)
-        self.loads = ReportedLoads(fleet=world.fleet, lag_s=REPORT_LAG_S)
+        self.reported_loads = ReportedLoads(fleet=world.fleet, lag_s=REPORT_LAG_S)
         subset = SubsetChooser(box=name, failure_domain='domain-0')
         self.pools = PoolRegistry(view=self.view, subset=subset, new_pool=self.new_pool)
         variant = world.variant
-        self.budget = RetryBudget(share=variant.retry_share, reserve=10 * variant.retry_share * 10)
+        self.retry_budget = RetryBudget(share=variant.retry_share, reserve=10 * variant.retry_share * 10)
         self.backends = world.fleet.backends()
         context = StageContext(
             pools=self.pools,
             backends=self.backends,
             clock=self.clock,
             policy=variant.policy,
-            retry_budget=self.budget,
+            retry_budget=self.retry_budget,
             observer=NullObserver(),
             lag=self.lag,
             crashes=new_guard(),
@@ -123,7 +123,7 @@
         local = LocalExecutor(store=self.store, clock=self.clock)
         executor = world.claim_executor(local)
         claims = ClaimRegistry(local=local, executor=executor, new_nonce=world.new_id)
-        margin = variant.policy.admission_margin if variant.door else 0.0
+        margin = variant.policy.admission_margin if variant.checks_admission else 0.0
         admission = PipelineAdmission(pools=self.pools, margin=margin, lag=self.lag)
         self.executor = PipelineExecutor(context=context, admission=admission, claims=claims)
         self.tasks: set[asyncio.Task[AnyOutcome]] = set()
@@ -143,9 +143,9 @@
         if name == 'random':
             return RandomSelector(rng=self.rng)
         if name == 'least-loaded':
-            return LeastLoadedSelector(rng=self.rng, loads=self.loads)
+            return LeastLoadedSelector(rng=self.rng, loads=self.reported_loads)
         if name == 'two-choices':
-            return TwoChoicesSelector(rng=self.rng, loads=self.loads)
+            return TwoChoicesSelector(rng=self.rng, loads=self.reported_loads)
         return ExpectedCompletionSelector(rng=self.rng)
 
     def new_limit(self, endpoint: Endpoint) -> ConcurrencyLimit:
@@ -166,9 +166,9 @@
 
     async def handle(self, request: PipelineRequest, plan: Plan, sink: TokenSink) -> Outcome:
         """Run a request by our policy or the naive one."""
-        if not self.accepting:
+        if not self.is_accepting:
             return Refused(RefusalReason.STOPPING, 'stopping', 0.5)
-        if not self.world.variant.naive:
+        if not self.world.variant.is_naive:
             return await self.executor.run(request, plan, sink)
         naive = NaiveExecutor(
             endpoints=list(self.view.endpoints.values()), backends=self.backends, rng=self.rng
@@ -189,16 +189,16 @@
         self.rng = random.Random(seed)
         self.fleet: FakeFleet = new_fleet(deployment)
         self.state = StoreState()
-        fill_store(self.state, documents(deployment, self.fleet))
-        self.numbers = iter(range(10**9))
+        fill_store(self.state, new_documents(deployment, self.fleet))
+        self.id_numbers = iter(range(10**9))
         self.claim_owner: LocalExecutor | None = None
         self.boxes = [
             SimulatedBox(name=f'box-{n}', world=self, seed=seed * 1000 + n)
             for n in range(deployment.boxes)
         ]
-        self.balanced = list(self.boxes)
-        self.records: list[Record] = []
-        self.asking: set[asyncio.Task[None]] = set()
+        self.balanced_boxes = list(self.boxes)
+        self.records: list[RequestRecord] = []
+        self.request_tasks: set[asyncio.Task[None]] = set()
         self.caller_retries = 0
 
     def claim_executor(self, local: LocalExecutor) -> ClaimExecutor:
@@ -206,85 +206,85 @@
         if self.claim_owner is None:
             self.claim_owner = local
             return local
-        return ForwardingExecutor(local=local, shard_owners=OnePeer(owner=self.claim_owner))
+        return ForwardingExecutor(local=local, shard_owners=SingleShardOwner(owner=self.claim_owner))
 
     def new_id(self) -> str:
         """Return a fresh identifier."""
-        return f'id{next(self.numbers)}'
+        return f'id{next(self.id_numbers)}'
 
     async def start(self) -> None:
         """Start the boxes' background work and wait for their first view."""
         loop = asyncio.get_running_loop()
-        self.background = []
+        self.background_tasks = []
         for box in self.boxes:
-            self.background.append(loop.create_task(box.feed.run()))
+            self.background_tasks.append(loop.create_task(box.feed.run()))
         await asyncio.sleep(1.0)
         if self.variant.selector in ('least-loaded', 'two-choices'):
             for box in self.boxes:
-                self.background.append(loop.create_task(box.loads.run(box.replicas())))
+                self.background_tasks.append(loop.create_task(box.reported_loads.run(box.replicas())))
 
     async def stop(self) -> None:
         """Let the last requests end, then end the background work."""
-        while self.asking:
-            await asyncio.wait(set(self.asking))
-        for task in self.background:
+        while self.request_tasks:
+            await asyncio.wait(set(self.request_tasks))
+        for task in self.background_tasks:
             task.cancel()
-        await asyncio.gather(*self.background, return_exceptions=True)
+        await asyncio.gather(*self.background_tasks, return_exceptions=True)
 
-    def arrive(self, load: Workload) -> None:
+    def start_request(self, workload: Workload) -> None:
         """Let one request arrive, without waiting for it."""
-        task = asyncio.get_running_loop().create_task(self.ask(load))
-        self.asking.add(task)
-        task.add_done_callback(self.asking.discard)
+        task = asyncio.get_running_loop().create_task(self.send_with_retries(workload))
+        self.request_tasks.add(task)
+        task.add_done_callback(self.request_tasks.discard)
 
-    async def ask(self, load: Workload) -> None:
+    async def send_with_retries(self, workload: Workload) -> None:
         """Ask as a caller does, again if the caller is one that retries."""
         loop = asyncio.get_running_loop()
-        arrived = loop.time()
-        spent: dict[str, float] = {}
-        tries = 0
+        arrived_at = loop.time()
+        busy_by_service: dict[str, float] = {}
+        attempts = 0
         while True:
-            box = self.rng.choice(self.balanced)
-            sink = TimedSink(arrived=arrived)
-            request_id, outcome = await self.ask_once(box, load, sink, arrived)
+            box = self.rng.choice(self.balanced_boxes)
+            sink = TimedSink(arrived_at=arrived_at)
+            request_id, outcome = await self.send_once(box, workload, sink, arrived_at)
             for name, item in self.fleet.endpoints.items():
                 busy_s = item.busy_by_request.pop(request_id, 0.0)
                 if busy_s:
                     service = name.rpartition('-')[0]
-                    spent[service] = spent.get(service, 0.0) + busy_s
-            tries += 1
-            late = loop.time() >= arrived + DEADLINE_S
-            if isinstance(outcome, Answered) or late or tries > self.caller_retries:
+                    busy_by_service[service] = busy_by_service.get(service, 0.0) + busy_s
+            attempts += 1
+            is_late = loop.time() >= arrived_at + DEADLINE_S
+            if isinstance(outcome, Answered) or is_late or attempts > self.caller_retries:
                 break
         self.records.append(
-            Record(
-                workspace=load.workspace,
-                priority=load.priority,
-                arrived=arrived,
-                took_s=loop.time() - arrived,
+            RequestRecord(
+                workspace=workload.workspace,
+                priority=workload.priority,
+                arrived_at=arrived_at,
+                duration_s=loop.time() - arrived_at,
                 outcome=type(outcome).__name__.lower(),
                 first_token_s=sink.first_token_s,
                 token_gap_s=sink.token_gap_s,
                 served_by=box.name,
-                busy_s=spent,
+                busy_s=busy_by_service,
             )
         )
 
-    async def ask_once(
-        self, box: SimulatedBox, load: Workload, sink: TimedSink, arrived: float
+    async def send_once(
+        self, box: SimulatedBox, workload: Workload, sink: TimedSink, arrived_at: float
     ) -> tuple[str, Outcome]:
         """Send one request to a box."""
-        result = box.view.plan(load.workspace, 'main')
+        result = box.view.plan(workload.workspace, 'main')
         assert result is not None
         plan = result.unwrap()
         request_id = self.new_id()
-        text = f'q{next(self.numbers)} ' + 'x' * 40
-        key = uuid7(WALL_START_S, next(self.numbers)) if load.template == 'act' else None
+        text = f'q{next(self.id_numbers)} ' + 'x' * 40
+        key = uuid7(WALL_START_S, next(self.id_numbers)) if workload.template == 'act' else None
         request = PipelineRequest(
             id=request_id,
             text=text,
             arrived_at=asyncio.get_running_loop().time(),
-            deadline=arrived + DEADLINE_S,
+            deadline=arrived_at + DEADLINE_S,
             priority=plan.priority,
             repeatable=True,
             key=key,
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -30,11 +30,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-DOMAINS = 26
-MODELS = 14
+FAILURE_DOMAINS = 26
+MODEL_COUNT = 14
 
 
-class Slope(NamedTuple):
+class Measurement(NamedTuple):
     """Hold one measured figure with its unit."""
 
     name: str
@@ -59,11 +59,11 @@
         """Do nothing: there is no connection."""
 
 
-def member(number: int) -> MemberInfo:
+def new_member(number: int) -> MemberInfo:
     """Return a box of a large fleet."""
     return MemberInfo(
         f'box-{number:05d}',
-        f'domain-{number % DOMAINS}',
+        f'domain-{number % FAILURE_DOMAINS}',
         f'10.0.0.{number % 250}:7700',
         1,
         1,
@@ -71,39 +71,39 @@
     )
 
 
-def endpoint(number: int) -> Endpoint:
+def new_endpoint(number: int) -> Endpoint:
     """Return a replica of a large fleet."""
     return Endpoint(
-        f'model-{number % MODELS}-{number:05d}',
-        f'model-{number % MODELS}',
+        f'model-{number % MODEL_COUNT}-{number:05d}',
+        f'model-{number % MODEL_COUNT}',
         StageKind.ENGINE,
         f'http://10.1.{number // 250}.{number % 250 + 1}:8000',
-        f'domain-{number // MODELS % DOMAINS}',
+        f'domain-{number // MODEL_COUNT % FAILURE_DOMAINS}',
         16,
     )
 
 
-def updates(workspaces: int, pipelines: int, endpoints: int) -> list[ViewUpdate]:
+def new_updates(workspaces: int, pipelines: int, endpoints: int) -> list[ViewUpdate]:
     """Return a large configuration."""
-    found = [ViewUpdate(f'config/templates/{name}', 1, spec) for name, spec in TEMPLATES.items()]
+    updates = [ViewUpdate(f'config/templates/{name}', 1, spec) for name, spec in TEMPLATES.items()]
     for number in range(endpoints):
-        item = endpoint(number)
-        found.append(ViewUpdate(f'config/endpoints/{item.name}', 1, endpoint_spec(item)))
+        item = new_endpoint(number)
+        updates.append(ViewUpdate(f'config/endpoints/{item.name}', 1, endpoint_spec(item)))
     for number in range(workspaces):
         for which in range(pipelines):
             spec = {**pipeline_spec('answer', workspace=f'w{number}'), 'name': f'p{which}'}
-            found.append(ViewUpdate(f'config/pipelines/w{number}/p{which}', 1, spec))
-    return found
+            updates.append(ViewUpdate(f'config/pipelines/w{number}/p{which}', 1, spec))
+    return updates
 
 
-class Control:
+class ControlState:
     """Hold the control state of one box, as the daemon does."""
 
     def __init__(self) -> None:
         self.clock = VirtualClock()
         self.view = ConfigView()
         self.transport = CapturingTransport()
-        self.members = MemberTable(own=member(0))
+        self.members = MemberTable(own=new_member(0))
         self.gossip = Gossip(
             view=self.view,
             members=self.members,
@@ -128,126 +128,126 @@
         )
 
 
-def timed(work: Callable[[], Any], times: int) -> float:
+def cpu_time_s(call: Callable[[], Any], repeats: int) -> float:
     """Return the processor seconds that one call takes."""
-    work()
+    call()
     started = time.process_time()
-    for _ in range(times):
-        work()
-    return (time.process_time() - started) / times
+    for _ in range(repeats):
+        call()
+    return (time.process_time() - started) / repeats
 
 
-async def measure_state(objects: tuple[int, int, int]) -> list[Slope]:
+async def measure_state(objects: tuple[int, int, int]) -> list[Measurement]:
     """Measure memory and time of a whole configuration."""
-    found = updates(*objects)
+    updates = new_updates(*objects)
     gc.collect()
     tracemalloc.start()
-    control = Control()
-    own_copies = msgspec.json.decode(msgspec.json.encode(found), type=list[ViewUpdate])
+    control = ControlState()
+    own_copies = msgspec.json.decode(msgspec.json.encode(updates), type=list[ViewUpdate])
     control.view.apply_all(own_copies)
     del own_copies
     gc.collect()
-    held = tracemalloc.get_traced_memory()[0]
+    held_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    count = len(found)
-    loading = time.process_time()
-    Control().view.apply_all(found)
-    loading = time.process_time() - loading
-    size = len(msgspec.json.encode([update._asdict() for update in found]))
+    count = len(updates)
+    load_s = time.process_time()
+    ControlState().view.apply_all(updates)
+    load_s = time.process_time() - load_s
+    wire_bytes = len(msgspec.json.encode([update._asdict() for update in updates]))
     return [
-        Slope('objects measured', count, ''),
-        Slope('memory an object', held / count, 'B'),
-        Slope('size of an object on the wire', size / count, 'B'),
-        Slope('time to load an object', 1e6 * loading / count, 'us'),
+        Measurement('objects measured', count, ''),
+        Measurement('memory an object', held_bytes / count, 'B'),
+        Measurement('size of an object on the wire', wire_bytes / count, 'B'),
+        Measurement('time to load an object', 1e6 * load_s / count, 'us'),
     ]
 
 
-async def measure_changes(objects: tuple[int, int, int]) -> list[Slope]:
+async def measure_changes(objects: tuple[int, int, int]) -> list[Measurement]:
     """Measure what one change costs a box that holds a large configuration."""
-    control = Control()
-    found = updates(*objects)
-    control.view.apply_all(found)
+    control = ControlState()
+    updates = new_updates(*objects)
+    control.view.apply_all(updates)
     control.gossip.push_updates()
     for number in range(1, 200):
-        control.members.on_heard(member(number), 0.0, direct=True)
+        control.members.on_heard(new_member(number), 0.0, direct=True)
     versions = iter(range(2, 10**9))
 
     def change(index: int) -> None:
-        update = found[index]
+        update = updates[index]
         control.view.apply(ViewUpdate(update.key, next(versions), update.spec))
         control.gossip.push_updates()
 
-    endpoint_s = timed(lambda: change(len(TEMPLATES)), 300)
-    pipeline_s = timed(lambda: change(len(found) - 1), 300)
+    endpoint_s = cpu_time_s(lambda: change(len(TEMPLATES)), 300)
+    pipeline_s = cpu_time_s(lambda: change(len(updates) - 1), 300)
     return [
-        Slope('time of a changed endpoint, with push', 1e6 * endpoint_s, 'us'),
-        Slope('time of a changed pipeline, with push', 1e6 * pipeline_s, 'us'),
-        Slope('size of a push of one object', len(control.transport.sent[-1]), 'B'),
+        Measurement('time of a changed endpoint, with push', 1e6 * endpoint_s, 'us'),
+        Measurement('time of a changed pipeline, with push', 1e6 * pipeline_s, 'us'),
+        Measurement('size of a push of one object', len(control.transport.sent[-1]), 'B'),
     ]
 
 
-async def measure_members(count: int) -> list[Slope]:
+async def measure_members(count: int) -> list[Measurement]:
     """Measure what heartbeats cost a box that knows so many others."""
-    control = Control()
+    control = ControlState()
     for number in range(1, count):
-        control.members.on_heard(member(number), 0.0, direct=True)
+        control.members.on_heard(new_member(number), 0.0, direct=True)
     control.transport.sent.clear()
-    send_s = timed(lambda: control.gossip.send_heartbeats(0.0), 50)
+    send_s = cpu_time_s(lambda: control.gossip.send_heartbeats(0.0), 50)
     heartbeat = control.transport.sent[-1]
-    receive_s = timed(lambda: control.gossip.on_data(heartbeat), 500)
-    relay_s = timed(lambda: control.members.is_relay(0.0), 50)
+    receive_s = cpu_time_s(lambda: control.gossip.on_data(heartbeat), 500)
+    relay_s = cpu_time_s(lambda: control.members.is_relay(0.0), 50)
     return [
-        Slope(f'time to send heartbeats, {count} boxes', 1e6 * send_s, 'us'),
-        Slope(f'time to receive a heartbeat, {count} boxes', 1e6 * receive_s, 'us'),
-        Slope(f'time to choose the role, {count} boxes', 1e6 * relay_s, 'us'),
-        Slope('size of a heartbeat', len(heartbeat), 'B'),
-        Slope('time of an idle tick', 1e6 * timed(control.gossip.push_updates, 1000), 'us'),
+        Measurement(f'time to send heartbeats, {count} boxes', 1e6 * send_s, 'us'),
+        Measurement(f'time to receive a heartbeat, {count} boxes', 1e6 * receive_s, 'us'),
+        Measurement(f'time to choose the role, {count} boxes', 1e6 * relay_s, 'us'),
+        Measurement('size of a heartbeat', len(heartbeat), 'B'),
+        Measurement('time of an idle tick', 1e6 * cpu_time_s(control.gossip.push_updates, 1000), 'us'),
     ]
 
 
-async def measure_index() -> list[Slope]:
+async def measure_bucket_comparison() -> list[Measurement]:
     """Measure a repair's first step."""
     view = ConfigView()
     index = BucketIndex(view=view)
     view.apply_all([ViewUpdate(f'config/k{n}', 1, {}) for n in range(10_000)])
     other = list(index.digests)
     return [
-        Slope('time to compare buckets', 1e6 * timed(lambda: index.differing(other), 500), 'us')
+        Measurement('time to compare buckets', 1e6 * cpu_time_s(lambda: index.differing(other), 500), 'us')
     ]
 
 
-async def measure_subset(replicas: int, boxes: int) -> list[Slope]:
+async def measure_subset(replicas_per_model: int, boxes: int) -> list[Measurement]:
     """Measure how even subsets are and how much a change moves."""
-    every = [item for item in map(endpoint, range(replicas * MODELS)) if item.service == 'model-0']
-    counts: dict[str, int] = dict.fromkeys((item.name for item in every), 0)
-    moved = 0
+    endpoints = [item for item in map(new_endpoint, range(replicas_per_model * MODEL_COUNT)) if item.service == 'model-0']
+    counts: dict[str, int] = dict.fromkeys((item.name for item in endpoints), 0)
+    moved_places = 0
     for number in range(boxes):
-        chooser = SubsetChooser(box=f'box-{number}', failure_domain=f'domain-{number % DOMAINS}')
-        chosen = {item.name for item in chooser.choose(every)}
+        chooser = SubsetChooser(box=f'box-{number}', failure_domain=f'domain-{number % FAILURE_DOMAINS}')
+        chosen = {item.name for item in chooser.choose(endpoints)}
         for name in chosen:
             counts[name] += 1
-        moved += len({item.name for item in chooser.choose(every[1:])} - chosen)
+        moved_places += len({item.name for item in chooser.choose(endpoints[1:])} - chosen)
     mean = sum(counts.values()) / len(counts)
     chooser = SubsetChooser(box='box-0', failure_domain='domain-0')
     return [
-        Slope('boxes a replica, mean', mean, ''),
-        Slope('boxes a replica, least', min(counts.values()), ''),
-        Slope('boxes a replica, most', max(counts.values()), ''),
-        Slope('places moved over all boxes when one replica leaves', moved, ''),
-        Slope('time to choose a subset', 1e6 * timed(lambda: chooser.choose(every), 20), 'us'),
+        Measurement('boxes a replica, mean', mean, ''),
+        Measurement('boxes a replica, least', min(counts.values()), ''),
+        Measurement('boxes a replica, most', max(counts.values()), ''),
+        Measurement('places moved over all boxes when one replica leaves', moved_places, ''),
+        Measurement('time to choose a subset', 1e6 * cpu_time_s(lambda: chooser.choose(endpoints), 20), 'us'),
     ]
 
 
-def measure_all(objects: tuple[int, int, int], boxes: int, replicas: int) -> list[Slope]:
+def measure_all(objects: tuple[int, int, int], boxes: int, replicas_per_model: int) -> list[Measurement]:
     """Return every slope."""
 
-    async def everything() -> list[Slope]:
+    async def everything() -> list[Measurement]:
         found = await measure_state(objects)
         found += await measure_changes(objects)
         for count in (boxes // 16, boxes // 4, boxes):
             found += await measure_members(count)
-        found += await measure_index()
-        found += await measure_subset(replicas, boxes)
+        found += await measure_bucket_comparison()
+        found += await measure_subset(replicas_per_model, boxes)
         await asyncio.sleep(0)
         return found
 
--- a/bench/spreading.py
+++ b/bench/spreading.py
@@ -12,12 +12,12 @@
     from collections.abc import Sequence
 
 IDLE_S = 10.0
-CHANGES = 30
-CHANGE_EVERY_S = 1.0
-BOXES_A_DOMAIN = 16
+CHANGE_COUNT = 30
+CHANGE_INTERVAL_S = 1.0
+BOXES_PER_DOMAIN = 16
 
 
-class Spread(NamedTuple):
+class SpreadFigures(NamedTuple):
     """Hold what one fleet did; times in seconds, bytes and calls a second."""
 
     boxes: int
@@ -34,44 +34,44 @@
     cut_worst_s: float
 
 
-def percentile(values: Sequence[float], part: float) -> float:
+def percentile(values: Sequence[float], fraction: float) -> float:
     """Return a percentile."""
     found = sorted(values)
-    return found[min(len(found) - 1, int(part * len(found)))]
+    return found[min(len(found) - 1, int(fraction * len(found)))]
 
 
-def sent(fleet: PeerFleet) -> dict[str, int]:
+def sent_bytes(fleet: PeerFleet) -> dict[str, int]:
     """Return the bytes that each box has sent."""
     return {name: box.gossip.counts.sent_bytes for name, box in fleet.boxes.items()}
 
 
-def calls(fleet: PeerFleet) -> int:
+def platform_calls(fleet: PeerFleet) -> int:
     """Return the platform calls so far, a watch counted when it begins."""
     return fleet.state.counts.total()
 
 
-async def measure(count: int) -> Spread:
+async def simulate_fleet(count: int) -> SpreadFigures:
     """Measure one fleet: idle, under changes, with relays killed, with half the domains cut."""
-    domains = max(2, count // BOXES_A_DOMAIN)
+    domains = max(2, count // BOXES_PER_DOMAIN)
     fleet = PeerFleet(count=count, domains=domains)
     await fleet.start(15.0)
-    before, calls_before = sent(fleet), calls(fleet)
+    before, calls_before = sent_bytes(fleet), platform_calls(fleet)
     await asyncio.sleep(IDLE_S)
-    idle = sum(sent(fleet).values()) - sum(before.values())
-    idle_calls = (calls(fleet) - calls_before) / IDLE_S
-    before = sent(fleet)
-    took: list[float] = []
-    for number in range(CHANGES):
+    idle = sum(sent_bytes(fleet).values()) - sum(before.values())
+    idle_calls = (platform_calls(fleet) - calls_before) / IDLE_S
+    before = sent_bytes(fleet)
+    delays_s: list[float] = []
+    for number in range(CHANGE_COUNT):
         version = fleet.put(f'config/endpoints/e-{number % 7}', number)
-        took += await delays(fleet, f'config/endpoints/e-{number % 7}', version)
-        await asyncio.sleep(max(0.0, CHANGE_EVERY_S - took[-1]))
-    span_s = CHANGES * CHANGE_EVERY_S
-    changed = {name: total - before[name] for name, total in sent(fleet).items()}
+        delays_s += await measure_delays(fleet, f'config/endpoints/e-{number % 7}', version)
+        await asyncio.sleep(max(0.0, CHANGE_INTERVAL_S - delays_s[-1]))
+    span_s = CHANGE_COUNT * CHANGE_INTERVAL_S
+    changed = {name: total - before[name] for name, total in sent_bytes(fleet).items()}
     watches = len(fleet.state.watchers)
-    killed_s = await with_relays_killed(fleet)
-    cut_s = await with_domains_cut(fleet)
+    killed_s = await delay_with_relays_killed(fleet)
+    cut_s = await delay_with_domains_cut(fleet)
     await fleet.stop()
-    return Spread(
+    return SpreadFigures(
         boxes=count,
         domains=domains,
         idle_bytes=idle / count / IDLE_S,
@@ -79,15 +79,15 @@
         busiest_bytes=max(changed.values()) / span_s,
         idle_calls=idle_calls,
         watches=watches,
-        median_s=percentile(took, 0.5),
-        p99_s=percentile(took, 0.99),
-        worst_s=max(took),
+        median_s=percentile(delays_s, 0.5),
+        p99_s=percentile(delays_s, 0.99),
+        worst_s=max(delays_s),
         killed_worst_s=killed_s,
         cut_worst_s=cut_s,
     )
 
 
-async def delays(fleet: PeerFleet, key: str, version: int) -> list[float]:
+async def measure_delays(fleet: PeerFleet, key: str, version: int) -> list[float]:
     """Return each box's time until a version is in force, shortest first."""
     loop = asyncio.get_running_loop()
     started = loop.time()
@@ -101,15 +101,15 @@
     return found + [30.0] * len(waiting)
 
 
-async def with_relays_killed(fleet: PeerFleet) -> float:
+async def delay_with_relays_killed(fleet: PeerFleet) -> float:
     """Kill every relay at the moment of a change and return the worst delay."""
     for name in fleet.relays():
         await fleet.boxes.pop(name).kill()
     version = fleet.put('config/endpoints/killed', 1)
-    return max(await delays(fleet, 'config/endpoints/killed', version))
+    return max(await measure_delays(fleet, 'config/endpoints/killed', version))
 
 
-async def with_domains_cut(fleet: PeerFleet) -> float:
+async def delay_with_domains_cut(fleet: PeerFleet) -> float:
     """Cut half of the domains from the platform and return the worst delay of a change."""
     await asyncio.sleep(10)
     domain = {record.name: record.failure_domain for record in fleet.records}
@@ -118,9 +118,9 @@
     for name, box in fleet.boxes.items():
         box.store.cut = domain[name] in cut
     version = fleet.put('config/endpoints/cut', 1)
-    return max(await delays(fleet, 'config/endpoints/cut', version))
+    return max(await measure_delays(fleet, 'config/endpoints/cut', version))
 
 
-def measure_fleet(count: int) -> Spread:
+def measure_fleet(count: int) -> SpreadFigures:
     """Measure a fleet on virtual time."""
-    return run_virtual(measure(count))
+    return run_virtual(simulate_fleet(count))
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -11,30 +11,30 @@
     """Hold one policy as a set of choices."""
 
     name: str
-    naive: bool = False
+    is_naive: bool = False
     selector: str = 'expected'
     limit: str = 'gradient'
     policy: ExecutionPolicy = policy_for(Objective.ATTAINMENT)
-    door: bool = True
+    checks_admission: bool = True
     retry_share: float = 0.1
 
 
-OURS = policy_for(Objective.ATTAINMENT)
-NAIVE = Variant('naive', naive=True)
+DEFAULT_POLICY = policy_for(Objective.ATTAINMENT)
+NAIVE = Variant('naive', is_naive=True)
 CALICOPATH = Variant('calicopath')
 COST = Variant('cost', policy=policy_for(Objective.COST))
 ABLATIONS = (
-    Variant('affinity', policy=OURS._replace(affinity=True)),
-    Variant('margin-1.0', policy=OURS._replace(admission_margin=1.0)),
-    Variant('margin-1.2', policy=OURS._replace(admission_margin=1.2)),
-    Variant('margin-1.5', policy=OURS._replace(admission_margin=1.5)),
+    Variant('affinity', policy=DEFAULT_POLICY._replace(affinity=True)),
+    Variant('margin-1.0', policy=DEFAULT_POLICY._replace(admission_margin=1.0)),
+    Variant('margin-1.2', policy=DEFAULT_POLICY._replace(admission_margin=1.2)),
+    Variant('margin-1.5', policy=DEFAULT_POLICY._replace(admission_margin=1.5)),
     Variant('random', selector='random'),
     Variant('two-choices', selector='two-choices'),
     Variant('least-loaded', selector='least-loaded'),
     Variant('no-limit', limit='none'),
     Variant('fixed-limit', limit='fixed'),
-    Variant('no-door', door=False),
-    Variant('fixed-stall', policy=OURS._replace(stall_factor=1000.0)),
+    Variant('no-door', checks_admission=False),
+    Variant('fixed-stall', policy=DEFAULT_POLICY._replace(stall_factor=1000.0)),
     Variant('retry-freely', retry_share=1000.0),
 )
 VARIANTS = {item.name: item for item in (NAIVE, CALICOPATH, COST, *ABLATIONS)}
