--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measure the policy, the program and its control cost."""
+"""Measure the scheduling policy, the daemon, and the cost of the control plane."""
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,4 +1,4 @@
-"""Print every slope behind docs/CAPACITY.md, and what follows at the size to design for."""
+"""Print the measured costs behind docs/CAPACITY.md and their sum at the design size."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def print_table(title: str, rows: Sequence[Any]) -> None:
-    """Print named tuples as a table."""
+    """Print named tuples of one type as a table, with the field names as headings."""
     print(f'\n{title}')
     print('  '.join(f'{name:>14}' for name in rows[0]._fields))
     for row in rows:
@@ -53,7 +53,7 @@
 
 
 def print_measurements(measurements: list[Measurement]) -> dict[str, float]:
-    """Print slopes and return them by name."""
+    """Print measurements and return their values by name."""
     print('\nslopes of one box')
     for slope in measurements:
         print(f'{slope.name:58} {slope.value:12.1f} {slope.unit}')
@@ -61,7 +61,7 @@
 
 
 def print_box_cost(values: dict[str, float]) -> None:
-    """Print what one box spends on control at the design size: slope times size."""
+    """Print the control cost of one box at the design size, scaled from the measured costs."""
     objects = ENDPOINTS + WORKSPACES * PIPELINES_PER_WORKSPACE + 22
     peak_changes_per_s = CHANGES_PER_S * PEAK_FACTOR
     heartbeat_us = values[f'time to receive a heartbeat, {BOXES} boxes']
@@ -75,7 +75,8 @@
         'pushes received again': peak_changes_per_s * (PUSHES_PER_CHANGE - 1) * heartbeat_us,
     }
     print(
-        f'\none box at the design size: {BOXES} boxes, {objects} objects, peak {peak_changes_per_s:.1f} changes/s'
+        f'\none box at the design size: {BOXES} boxes, {objects} objects, '
+        f'peak {peak_changes_per_s:.1f} changes/s'
     )
     for name, cost_us in costs_us.items():
         print(f'  {name:28} {cost_us / 1e4:8.3f}% of a core')
@@ -90,7 +91,7 @@
 
 
 def main() -> None:
-    """Measure and print everything."""
+    """Run all capacity measurements and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--without-daemons', action='store_true')
     flags = parser.parse_args()
--- a/bench/claiming.py
+++ b/bench/claiming.py
@@ -1,4 +1,4 @@
-"""Measure what claims cost the platform, grouped into shards and one by one."""
+"""Measure the load of idempotency claims on the platform's store, by grouping and write path."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class ClaimFigures(NamedTuple):
-    """Hold one run: rates a second, delay in milliseconds, processor time in microseconds."""
+    """Hold the figures of one run; rates are per second, `cpu_us` is per claim."""
 
     boxes: int
     shards: int
@@ -48,8 +48,10 @@
     cpu_us: float
 
 
-async def simulate_claims(boxes: int, rate_per_s: float, grouping: GroupingConfig, forwarding: bool) -> ClaimFigures:
-    """Claim and record at a total rate, spread over boxes."""
+async def simulate_claims(
+    boxes: int, rate_per_s: float, grouping: GroupingConfig, forwarding: bool
+) -> ClaimFigures:
+    """Claim keys and record their results at a total rate, in turn over the boxes."""
     state = StoreState()
     registries = new_registries(state, boxes, grouping, forwarding=forwarding)
     loop = asyncio.get_running_loop()
@@ -98,17 +100,17 @@
 
 
 class SingleShardOwner(ShardOwners):
-    """Let the first box own every shard, a network's latency away."""
+    """Forward every operation to one box that owns all shards, after a network delay."""
 
     def __init__(self, *, owner: LocalExecutor) -> None:
         self.owner_executor = owner
 
     def owner_address(self, shard: int) -> str | None:
-        """Name the owner."""
+        """Return the same address for every shard."""
         return 'owner'
 
     async def forward(self, address: str, group: GroupId, op: Op) -> OpResult:
-        """Carry an operation out over there."""
+        """Execute an operation at the owner, with a network delay in each direction."""
         await asyncio.sleep(NETWORK_DELAY_S)
         result = await self.owner_executor.execute(group, op)
         await asyncio.sleep(NETWORK_DELAY_S)
@@ -118,7 +120,7 @@
 def new_registries(
     state: StoreState, boxes: int, grouping: GroupingConfig, *, forwarding: bool
 ) -> list[ClaimRegistry]:
-    """Return the boxes' registries, writing by themselves or through one owner."""
+    """Return a registry per box; with `forwarding`, all write through the first box."""
     registries: list[ClaimRegistry] = []
     for box in range(boxes):
         numbers = itertools.count()
@@ -129,7 +131,9 @@
         )
         executor: ClaimExecutor = local
         if forwarding and registries:
-            executor = ForwardingExecutor(local=local, shard_owners=SingleShardOwner(owner=registries[0].local))
+            executor = ForwardingExecutor(
+                local=local, shard_owners=SingleShardOwner(owner=registries[0].local)
+            )
         registries.append(
             ClaimRegistry(
                 local=local,
@@ -140,6 +144,8 @@
     return registries
 
 
-def measure_claims(boxes: int, rate_per_s: float, grouping: GroupingConfig, forwarding: bool) -> ClaimFigures:
-    """Measure on virtual time."""
+def measure_claims(
+    boxes: int, rate_per_s: float, grouping: GroupingConfig, forwarding: bool
+) -> ClaimFigures:
+    """Run `simulate_claims` on virtual time."""
     return run_virtual(simulate_claims(boxes, rate_per_s, grouping, forwarding))
--- a/bench/daemons.py
+++ b/bench/daemons.py
@@ -1,4 +1,4 @@
-"""Measure the control cost of real daemons: processor, memory, platform calls."""
+"""Measure the control cost of real daemons: processor time, memory and platform calls."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class DaemonFigures(NamedTuple):
-    """Hold the figures of so many daemons; processor in percent of a core, calls a second."""
+    """Hold the figures of one run; `cpu_percent` is of a core, bytes and reads are per second."""
 
     boxes: int
     cpu_percent: float
@@ -34,7 +34,7 @@
 
 
 async def run_daemons(count: int) -> DaemonFigures:
-    """Run so many daemons, idle, and then change configuration a few times."""
+    """Measure `count` idle daemons, and then how fast they receive configuration changes."""
     async with ProcessGroup() as group, aiohttp.ClientSession() as session:
         platform = await group.platform()
         documents = [endpoint_spec(item.endpoint) for item in small_fleet().endpoints.values()]
@@ -53,8 +53,13 @@
         await asyncio.sleep(IDLE_S)
         cpu_s = sum(cpu_seconds(box.handle.pid) for box in boxes) - cpu_s
         counts_after = await read_json(session, platform, '/admin/counts')
-        sent_bytes = [await read_peer_bytes(session, box) - old for box, old in zip(boxes, sent_bytes, strict=True)]
-        worst_change_s = max([await time_change(session, platform, boxes, n) for n in range(CHANGE_COUNT)])
+        sent_bytes = [
+            await read_peer_bytes(session, box) - old
+            for box, old in zip(boxes, sent_bytes, strict=True)
+        ]
+        worst_change_s = max(
+            [await time_change(session, platform, boxes, n) for n in range(CHANGE_COUNT)]
+        )
         return DaemonFigures(
             boxes=count,
             cpu_percent=100 * cpu_s / IDLE_S / count,
@@ -67,13 +72,13 @@
 
 
 async def read_json(session: aiohttp.ClientSession, process: Process, path: str) -> Any:
-    """Read JSON from a process."""
+    """Return the decoded JSON of a GET request to a process."""
     async with session.get(process.url + path) as answer:
         return json.loads(await answer.read())
 
 
 async def read_peer_bytes(session: aiohttp.ClientSession, box: Process) -> float:
-    """Read the bytes that a daemon has sent to its peers."""
+    """Return the bytes that a daemon has sent to its peers, 0 if the metric is missing."""
     async with session.get(f'{box.url}/metrics') as answer:
         text = await answer.text()
     for line in text.splitlines():
@@ -85,7 +90,7 @@
 async def time_change(
     session: aiohttp.ClientSession, platform: Process, boxes: list[Process], number: int
 ) -> float:
-    """Write one object and return the seconds until every daemon has it."""
+    """Write one pipeline and return the seconds until every daemon has its version."""
     loop = asyncio.get_running_loop()
     key = f'config/pipelines/bench/p{number}'
     spec = {**pipeline_spec('answer', workspace='bench'), 'name': f'p{number}'}
@@ -101,5 +106,5 @@
 
 
 def measure_daemons(count: int) -> DaemonFigures:
-    """Measure so many daemons."""
+    """Run `run_daemons` in an event loop of its own."""
     return asyncio.run(run_daemons(count))
--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -1,4 +1,4 @@
-"""Describe the users' deployments at their sizes of today, for the bench."""
+"""Describe the users' deployments at their current sizes, for the simulated bench."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
     from testkit.fake_store import StoreState
 
 TOKENS_PER_ANSWER = 12
-"""Tokens an answer; each stands for several real ones, which keeps the bench fast."""
+"""Each token stands for several real ones, which keeps the bench fast."""
 
 
 class PoolSize(NamedTuple):
-    """Hold a pool's replicas, the calls that each serves at once, and their times."""
+    """Hold a service's number of replicas, the concurrent calls of each, and their timing."""
 
     kind: StageKind
     replicas: int
@@ -26,7 +26,7 @@
 
 
 class Workload(NamedTuple):
-    """Hold one workspace's pipeline and its share of the requests."""
+    """Hold one workspace's pipeline and its weight in the mix of requests."""
 
     workspace: str
     template: str
@@ -35,7 +35,7 @@
 
 
 class Deployment(NamedTuple):
-    """Hold one user's deployment; `capacity` is the requests a second that it can answer."""
+    """Hold one user's boxes, failure domains, pools by service, and workloads."""
 
     name: str
     boxes: int
@@ -45,7 +45,7 @@
 
     @property
     def capacity_per_s(self) -> float:
-        """Return the requests a second at which generation is full."""
+        """Return the request rate at which all generation slots are busy."""
         pool = self.pools['drafting']
         full = 1.0 + pool.timing.batch_slowdown * (pool.concurrency - 1)
         service_s = (pool.timing.first_token_s + TOKENS_PER_ANSWER * pool.timing.token_s) * full
@@ -56,8 +56,10 @@
 ENGINE_TIMING = Timing(first_token_s=0.06, token_s=0.04, batch_slowdown=0.03, prefill_s=0.15)
 
 
-def new_deployment(name: str, boxes: int, drafting_replicas: int, workloads: tuple[Workload, ...]) -> Deployment:
-    """Return a deployment with so many drafting replicas."""
+def new_deployment(
+    name: str, boxes: int, drafting_replicas: int, workloads: tuple[Workload, ...]
+) -> Deployment:
+    """Return a deployment whose pools differ from others only in the drafting replicas."""
     pools = {
         'encoders': PoolSize(StageKind.ENCODER, 2, 2, STAGE_TIMING, 12),
         'retrievers': PoolSize(StageKind.RETRIEVER, 2, 4, STAGE_TIMING, 12),
@@ -93,13 +95,13 @@
     ),
 )
 MANY_BOXES = POKANA._replace(name='many-boxes', boxes=48)
-"""Pokana Co-op with more boxes than replicas have places, as at the size to design for."""
+"""Pokana Co-op with more boxes than concurrent calls per replica, as at the design size."""
 
 MANY_WORKSPACES = POKANA._replace(
     name='many-workspaces',
     workloads=tuple(Workload(f'workspace-{n}', 'answer', 5, 1.0) for n in range(60)),
 )
-"""Pokana Co-op with more workspaces than an engine caches prompt prefixes."""
+"""Pokana Co-op with more workspaces than prompt prefixes fit into an engine's cache."""
 
 DEPLOYMENTS = {item.name: item for item in (RAVI, POKANA, MANY_BOXES, MANY_WORKSPACES)}
 
@@ -111,7 +113,7 @@
 
 
 def new_fleet(deployment: Deployment) -> FakeFleet:
-    """Return the endpoints of a deployment, spread over its failure domains."""
+    """Return the fake endpoints of a deployment, spread over its failure domains."""
     return FakeFleet(
         [
             FakeEndpoint(
@@ -132,7 +134,7 @@
 
 
 def new_documents(deployment: Deployment, fleet: FakeFleet) -> dict[str, dict[str, Any]]:
-    """Return the configuration of a deployment by key."""
+    """Return the configuration documents of a deployment by store key."""
     specs: dict[str, dict[str, Any]] = {}
     for name, item in fleet.endpoints.items():
         endpoint = item.endpoint
@@ -166,7 +168,7 @@
 
 
 def stage_spec(service: str, pool: PoolSize) -> dict[str, Any]:
-    """Return the document of a stage."""
+    """Return the template entry of a service's stage."""
     spec: dict[str, Any] = {
         'name': service,
         'kind': pool.kind.value,
@@ -181,6 +183,6 @@
 
 
 def fill_store(state: StoreState, specs: dict[str, dict[str, Any]]) -> None:
-    """Write a configuration into a fake store."""
+    """Write configuration documents into a fake store."""
     for key, spec in specs.items():
         state.write(key, {'spec': spec, 'change': {}}, 0)
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,7 +1,7 @@
-"""Run three of the bench's scenarios with real processes; `make load` runs it.
+"""Run three scenarios of the simulated bench on real processes; `make load` runs it.
 
-The naive version runs in the client, over the same adapters and stand-ins. The figures depend on
-the machine; what matters is whether the order of the two is that of the simulated bench.
+The naive variant runs in the client process, over the same HTTP clients and stand-ins. Absolute
+figures depend on the machine; the run checks whether the variants rank as in the simulation.
 """
 
 from __future__ import annotations
@@ -41,13 +41,13 @@
 DURATION_S = 8.0
 DEADLINE_S = 2.0
 CAPACITY_PER_S = 1000 * ENGINES * CONCURRENCY / (FIRST_TOKEN_MS + TOKENS_PER_ANSWER * TOKEN_MS)
-"""Requests a second at which generation is full."""
+"""Request rate at which all generation slots are busy."""
 
 INPUT_TEXT = 'Where may we moor after dusk? ' * 4
 
 
 class Scenario(NamedTuple):
-    """Hold a name, the arrivals as a share of the capacity, and how slow the first engine is."""
+    """Hold the arrival rate as a share of `CAPACITY_PER_S` and the first engine's slowdown."""
 
     name: str
     capacity_share: float
@@ -62,7 +62,7 @@
 
 
 class Result(NamedTuple):
-    """Hold what one run gave."""
+    """Hold the figures of one run; both are shares of 1."""
 
     scenario: str
     variant: str
@@ -71,7 +71,7 @@
 
 
 async def run_open_loop(send: Callable[[], Awaitable[bool]], rate_per_s: float) -> tuple[int, int]:
-    """Ask at random times at a rate; return how many were answered in time, and of how many."""
+    """Send requests at random times; return the numbers answered in time and sent."""
     rng = random.Random(5)
     good = 0
     total = 0
@@ -92,7 +92,7 @@
 
 
 class Deployment:
-    """Hold stand-ins, daemons and the naive version."""
+    """Hold the stand-ins and daemons, and send requests through either variant."""
 
     def __init__(self, *, session: aiohttp.ClientSession) -> None:
         self.session = session
@@ -112,7 +112,9 @@
                 'expected_ms': FIRST_TOKEN_MS + TOKENS_PER_ANSWER * TOKEN_MS,
             }
         )
-        self.documents = [await self.start_endpoint(group, *which) for which in self.replicas(scenario)]
+        self.documents = [
+            await self.start_endpoint(group, *which) for which in self.replicas(scenario)
+        ]
         self.documents += [{**TEMPLATES['answer'], 'stages': stages}, pipeline_spec('answer')]
         path = group.write_documents('config.yaml', self.documents)
         await operate(platform, 'apply', str(path))
@@ -126,7 +128,7 @@
             await wait_ready(box)
 
     def replicas(self, scenario: Scenario) -> list[tuple[str, int, float]]:
-        """Return service, number and slowness of every replica."""
+        """Return service, number and slowdown factor of every replica."""
         found = [(name, n, 1.0) for name in ('encoders', 'retrievers', 'rerankers') for n in (0, 1)]
         found += [('drafting', n, 1.0) for n in range(1, ENGINES)]
         return [*found, ('drafting', 0, scenario.slow_factor)]
@@ -134,7 +136,7 @@
     async def start_endpoint(
         self, group: ProcessGroup, service: str, number: int, slow_factor: float
     ) -> dict[str, Any]:
-        """Start one replica and return its document."""
+        """Start one replica's stand-in and return its configuration document."""
         kind = SERVICES[service]
         spec = {
             'kind': 'endpoint',
@@ -155,7 +157,7 @@
         return (await group.endpoint(spec, *flags)).spec
 
     async def send_to_box(self) -> bool:
-        """Send one request to one of the boxes."""
+        """Send one request to a random box; tell whether it was answered."""
         self.last_number += 1
         url = self.rng.choice(self.boxes).url
         body = msgspec.json.encode({'input': f'{self.last_number} {INPUT_TEXT}'})
@@ -165,7 +167,7 @@
             return answer.status == 200
 
     async def run_naively(self) -> bool:
-        """Run one request by the naive version."""
+        """Run one request by the naive executor; tell whether it was answered in time."""
         endpoints = [
             parse_endpoint(item, 'x').unwrap()
             for item in self.documents
@@ -196,7 +198,7 @@
 
 
 async def run_scenario(scenario: Scenario) -> list[Result]:
-    """Run one scenario both ways on fresh processes."""
+    """Run one scenario with each variant, on new processes for each."""
     results = []
     for variant in ('naive', 'calicopath'):
         async with ProcessGroup() as group, new_session() as session:
@@ -204,12 +206,14 @@
             await deployment.start(group, scenario)
             send = deployment.run_naively if variant == 'naive' else deployment.send_to_box
             good, total = await run_open_loop(send, scenario.capacity_share * CAPACITY_PER_S)
-        results.append(Result(scenario.name, variant, good / total, good / DURATION_S / CAPACITY_PER_S))
+        results.append(
+            Result(scenario.name, variant, good / total, good / DURATION_S / CAPACITY_PER_S)
+        )
     return results
 
 
 async def main() -> None:
-    """Run all scenarios and print one line a run."""
+    """Run all scenarios and print one line per run."""
     print(f'capacity {CAPACITY_PER_S:.0f} requests/s, {BOXES} daemons, {ENGINES} engines')
     for scenario in SCENARIOS:
         for result in await run_scenario(scenario):
--- a/bench/perf.py
+++ b/bench/perf.py
@@ -1,7 +1,7 @@
-"""Measure one daemon over stand-ins on loopback; `make perf` runs it.
+"""Measure one daemon in front of stand-ins on loopback; `make perf` runs it.
 
-The same client calls the stand-ins directly in the same run, so that what the daemon adds is the
-difference. All figures depend on the machine; none is a check.
+The same client also calls the stand-ins directly in the same run; the difference is the overhead
+of the daemon. All figures depend on the machine, and none is checked against a limit.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 class Sample(NamedTuple):
-    """Hold what a run gave; times are in seconds."""
+    """Hold the figures of one run; `cpu_s` and `tokens` are the daemon's during it."""
 
     offered_per_s: float
     done: int
@@ -48,7 +48,7 @@
 
 
 class Bench:
-    """Hold the processes and the client."""
+    """Hold the daemon, the stand-ins and the client session, and generate load."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         self.call_numbers = iter(range(10**9))
 
     async def call_stages(self) -> bool:
-        """Call the four stages as the daemon does, without it."""
+        """Call the four stages directly, with the requests that the daemon would send."""
         call = f'direct/{next(self.call_numbers)}/1'
         data: dict[str, object] = {'text': REQUEST_BODY['input']}
         for stage in ('encoders', 'retrievers', 'rerankers'):
@@ -86,14 +86,14 @@
         return True
 
     async def send_request(self) -> bool:
-        """Send one request through the daemon."""
+        """Send one request to the daemon; tell whether it was answered."""
         url = f'{self.daemon.url}/v1/workspaces/towpath/pipelines/answer/requests'
         async with self.session.post(url, data=msgspec.json.encode(REQUEST_BODY)) as answer:
             await answer.read()
             return answer.status == 200
 
     async def stream_request(self) -> bool:
-        """Stream one long answer through the daemon."""
+        """Stream one long answer through the daemon; tell whether it was complete."""
         url = f'{self.daemon.url}/v1/workspaces/towpath/pipelines/long/requests'
         body = {'input': LONG_TEXT, 'stream': True}
         last = b''
@@ -105,7 +105,7 @@
         return last == b'event: done\n'
 
     async def run_closed_loop(self, send: Callable[[], Awaitable[bool]], clients: int) -> Sample:
-        """Let some clients ask one request after another."""
+        """Run clients that each send a request as soon as the last one is answered."""
         run = Run(bench=self)
         async with asyncio.TaskGroup() as group:
             for _ in range(clients):
@@ -113,7 +113,7 @@
         return run.sample(0.0)
 
     async def run_open_loop(self, send: Callable[[], Awaitable[bool]], rate_per_s: float) -> Sample:
-        """Ask at a fixed rate, whatever comes back."""
+        """Send requests at a fixed rate, without waiting for responses."""
         run = Run(bench=self)
         async with asyncio.TaskGroup() as group:
             for number in range(int(rate_per_s * DURATION_S)):
@@ -124,7 +124,7 @@
 
 
 class Run:
-    """Collect the latencies of one run."""
+    """Collect the latencies and the resource use of one run."""
 
     def __init__(self, *, bench: Bench) -> None:
         self.bench = bench
@@ -135,19 +135,19 @@
         self.failed = 0
 
     async def run_client(self, send: Callable[[], Awaitable[bool]]) -> None:
-        """Ask until the time is over."""
+        """Send requests one after another for `DURATION_S`."""
         while time.monotonic() < self.started + DURATION_S:
             await self.send_once(send)
 
     async def send_once(self, send: Callable[[], Awaitable[bool]]) -> None:
-        """Ask once and note the time."""
+        """Send one request and record its latency and whether it failed."""
         started = time.monotonic()
         good = await send()
         self.latencies_s.append(time.monotonic() - started)
         self.failed += not good
 
     def sample(self, offered_per_s: float) -> Sample:
-        """Return what was collected."""
+        """Return the figures since the run's start; `offered_per_s` is 0 for a closed loop."""
         return Sample(
             offered_per_s,
             len(self.latencies_s) - self.failed,
@@ -160,7 +160,7 @@
 
 
 def print_sample(name: str, sample: Sample) -> None:
-    """Print one run."""
+    """Print the figures of one run as a line."""
     core = 100 * sample.cpu_s / sample.duration_s
     print(
         f'{name:26} {sample.done / sample.duration_s:8.1f}/s  p50 '
@@ -171,7 +171,7 @@
 
 
 async def start_bench(group: ProcessGroup, session: aiohttp.ClientSession) -> Bench:
-    """Start stand-ins that answer at once, and one daemon."""
+    """Start stand-ins with near-zero service times, and one daemon."""
     platform = await group.platform()
     specs: list[dict[str, Any]] = [
         {
@@ -216,14 +216,16 @@
 
 
 async def measure_requests(bench: Bench) -> None:
-    """Compare with direct calls, then raise the rate to the knee."""
+    """Measure the latency that the daemon adds, and the highest rate within `KNEE_P99_MS`."""
     await bench.run_closed_loop(bench.send_request, 4)
     direct = await bench.run_closed_loop(bench.call_stages, 1)
     through = await bench.run_closed_loop(bench.send_request, 1)
     print_sample('direct, 1 client', direct)
     print_sample('daemon, 1 client', through)
     for name, fraction in (('p50', 0.5), ('p99', 0.99)):
-        added = percentile_ms(through.latencies_s, fraction) - percentile_ms(direct.latencies_s, fraction)
+        added = percentile_ms(through.latencies_s, fraction) - percentile_ms(
+            direct.latencies_s, fraction
+        )
         print(f'added latency {name}: {added:.1f} ms')
     cpu_before_s = cpu_seconds(bench.daemon.handle.pid)
     await asyncio.sleep(DURATION_S)
@@ -242,8 +244,11 @@
 
 
 async def measure_streams(bench: Bench) -> None:
-    """Stream long answers at and above the design rate."""
-    print(f'design size: {DESIGN_REQUESTS_PER_S} requests and {DESIGN_TOKENS_PER_S} tokens a second and box')
+    """Measure long streamed answers at rates up to several times the design rate."""
+    print(
+        f'design size: {DESIGN_REQUESTS_PER_S} requests and '
+        f'{DESIGN_TOKENS_PER_S} tokens a second and box'
+    )
     for rate in STREAM_RATES_PER_S:
         sample = await bench.run_open_loop(bench.stream_request, rate)
         print_sample(f'streams, {rate} offered', sample)
@@ -256,7 +261,7 @@
 
 
 async def main() -> None:
-    """Run all measurements."""
+    """Start the processes and run both measurements."""
     connector = aiohttp.TCPConnector(limit=0)
     async with ProcessGroup() as group, aiohttp.ClientSession(connector=connector) as session:
         bench = await start_bench(group, session)
--- a/bench/permits.py
+++ b/bench/permits.py
@@ -82,7 +82,10 @@
             limits.on_notice(replica, Notice(limit_per_s=per_s))
         self.clients = [
             PermitClient(
-                clock=clock, own_address=f'{n}', issuer_address=lambda: '0', send=self.deliver_request
+                clock=clock,
+                own_address=f'{n}',
+                issuer_address=lambda: '0',
+                send=self.deliver_request,
             )
             for n in range(boxes)
         ]
@@ -98,7 +101,9 @@
 
     async def acquire(self, box: int) -> str:
         """Return a replica for which a permit was lent in time."""
-        permit = await self.clients[box].request_permit(self.replicas, wait_s=MAX_WAIT_S, priority=0)
+        permit = await self.clients[box].request_permit(
+            self.replicas, wait_s=MAX_WAIT_S, priority=0
+        )
         return permit.replica
 
     def count_message(self, *addresses: str, message: msgspec.Struct) -> None:
@@ -124,7 +129,13 @@
     """Give each of some boxes an even share, spaced, with phases by chance; no messages."""
 
     def __init__(
-        self, *, boxes: int, replicas: Sequence[Replica], per_s: float, seed: int, sharing_boxes: int
+        self,
+        *,
+        boxes: int,
+        replicas: Sequence[Replica],
+        per_s: float,
+        seed: int,
+        sharing_boxes: int,
     ) -> None:
         rng = random.Random(seed)
         self.share_per_s = per_s / sharing_boxes
@@ -132,7 +143,10 @@
         self.boxes = boxes
         now = asyncio.get_running_loop().time()
         self.buckets = [
-            {item.id: PermitBucket(next_at=now + rng.random() / self.share_per_s) for item in replicas}
+            {
+                item.id: PermitBucket(next_at=now + rng.random() / self.share_per_s)
+                for item in replicas
+            }
             for _ in range(sharing_boxes)
         ]
 
@@ -150,17 +164,25 @@
         return name
 
 
-def new_strategy(name: str, *, boxes: int, replicas: Sequence[Replica], per_s: float) -> LimitStrategy:
+def new_strategy(
+    name: str, *, boxes: int, replicas: Sequence[Replica], per_s: float
+) -> LimitStrategy:
     """Return a way by its name."""
     if name == 'one lender':
         return SingleIssuer(boxes=boxes, replicas=replicas, per_s=per_s)
     sharing_boxes = boxes if name == 'shares' else min(boxes, FEW_BOXES)
-    return EvenShares(boxes=boxes, replicas=replicas, per_s=per_s, seed=1, sharing_boxes=sharing_boxes)
+    return EvenShares(
+        boxes=boxes, replicas=replicas, per_s=per_s, seed=1, sharing_boxes=sharing_boxes
+    )
 
 
-async def simulate(name: str, boxes: int, replica_count: int, per_s: float, *, from_one_box: bool) -> Figures:
+async def simulate(
+    name: str, boxes: int, replica_count: int, per_s: float, *, from_one_box: bool
+) -> Figures:
     """Ask for more than the limits allow and return what came of it."""
-    replicas = [Replica(f'i-{n}', 'desk', f'i-{n}:1', 'north', 6, False) for n in range(replica_count)]
+    replicas = [
+        Replica(f'i-{n}', 'desk', f'i-{n}:1', 'north', 6, False) for n in range(replica_count)
+    ]
     strategy = new_strategy(name, boxes=boxes, replicas=replicas, per_s=per_s)
     loop = asyncio.get_running_loop()
     rng = random.Random(2)
@@ -180,9 +202,13 @@
         await asyncio.sleep(rng.expovariate(OVERLOAD_FACTOR * per_s * replica_count))
     await asyncio.gather(*tasks)
     measured_calls = [item for item in calls if WARM_UP_S <= item[0] < WARM_UP_S + MEASURED_S]
-    call_times_by_replica = [[at for at, name in measured_calls if name == item.id] for item in replicas]
+    call_times_by_replica = [
+        [at for at, name in measured_calls if name == item.id] for item in replicas
+    ]
     max_calls = max(
-        sum(at <= one < at + WINDOW_S for one in times) for times in call_times_by_replica for at in times or [0]
+        sum(at <= one < at + WINDOW_S for one in times)
+        for times in call_times_by_replica
+        for at in times or [0]
     )
     message_sizes = getattr(strategy, 'traffic', {}).values()
     return Figures(
@@ -191,8 +217,10 @@
         tolerated_calls=1.5 * WINDOW_S * per_s + 5,
         utilization=len(measured_calls) / (per_s * replica_count * MEASURED_S),
         mean_wait_ms=1000 * statistics.fmean(waits) if waits else 0.0,
-        max_messages_per_s=max((len(item) for item in message_sizes), default=0) / (WARM_UP_S + MEASURED_S),
-        max_bytes_per_s=max((sum(item) for item in message_sizes), default=0) / (WARM_UP_S + MEASURED_S),
+        max_messages_per_s=max((len(item) for item in message_sizes), default=0)
+        / (WARM_UP_S + MEASURED_S),
+        max_bytes_per_s=max((sum(item) for item in message_sizes), default=0)
+        / (WARM_UP_S + MEASURED_S),
     )
 
 
@@ -210,8 +238,10 @@
             for name in ('one lender', 'shares', 'few boxes'):
                 figures = run_virtual(simulate(name, size, replicas, per_s, from_one_box=hot))
                 print(
-                    f'| {name} | {size} | {per_s:g} | {figures.max_calls} | {figures.tolerated_calls:g} '
-                    f'| {figures.utilization:.2f} | {figures.mean_wait_ms:.0f} | {figures.max_messages_per_s:.0f} '
+                    f'| {name} | {size} | {per_s:g} | {figures.max_calls} '
+                    f'| {figures.tolerated_calls:g} '
+                    f'| {figures.utilization:.2f} | {figures.mean_wait_ms:.0f} '
+                    f'| {figures.max_messages_per_s:.0f} '
                     f'| {figures.max_bytes_per_s:.0f} |',
                     flush=True,
                 )
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Read what processes use, and sum up timings."""
+"""Read the processor time and memory of processes, and compute percentiles."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the user and system time that a process has used."""
     fields = Path(f'/proc/{pid}/stat').read_text().rpartition(')')[2].split()
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def resident_mb(pid: int) -> float:
-    """Return a process's memory in megabytes."""
+    """Return the resident memory of a process in megabytes."""
     pages = int(Path(f'/proc/{pid}/statm').read_text().split()[1])
     return pages * PAGE_BYTES / 1e6
 
 
 def percentile_ms(values_s: Sequence[float], fraction: float) -> float:
-    """Return a percentile of seconds in milliseconds, 0 of nothing."""
+    """Return a percentile in milliseconds of values in seconds, 0 for no values."""
     found = sorted(values_s)
     if not found:
         return 0.0
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -74,10 +74,15 @@
     """Return a median with its least and greatest value."""
     values = [column.value_of(item) for item in found]
     median, least, most = statistics.median(values), min(values), max(values)
-    return f'{median:{column.format_spec}} ({least:{column.format_spec}} to {most:{column.format_spec}})'
+    return (
+        f'{median:{column.format_spec}} '
+        f'({least:{column.format_spec}} to {most:{column.format_spec}})'
+    )
 
 
-def comparison_table(results: dict[RunSpec, Figures], patterns: list[str], variants: list[str]) -> str:
+def comparison_table(
+    results: dict[RunSpec, Figures], patterns: list[str], variants: list[str]
+) -> str:
     """Return the comparison as text."""
     names = ['pattern', 'variant', *(column.name for column in COLUMNS)]
     lines = [f'| {" | ".join(names)} |', f'|{" --- |" * len(names)}']
@@ -149,7 +154,9 @@
     """Run the command."""
     options = parse_flags()
     if options.cost:
-        specs = [RunSpec('burst-all', 'ours', seed, boxes) for boxes in COST_BOXES for seed in SEEDS]
+        specs = [
+            RunSpec('burst-all', 'ours', seed, boxes) for boxes in COST_BOXES for seed in SEEDS
+        ]
         print(cost_table(run_all(specs, options.workers)))
         return
     patterns = options.patterns.split(',')
--- a/bench/restored.py
+++ b/bench/restored.py
@@ -186,7 +186,8 @@
                 late = [
                     item
                     for item in self.acknowledged
-                    if now - item.acknowledged_at > TOLERATED_DELAY_S and not self.is_in_force(box, item)
+                    if now - item.acknowledged_at > TOLERATED_DELAY_S
+                    and not self.is_in_force(box, item)
                 ]
                 self.record_late_changes(late, now)
             await asyncio.sleep(TICK_S)
@@ -196,7 +197,11 @@
         if self.fleet.store.down:
             return
         for item in late:
-            since = max(item.acknowledged_at, self.returned_at) if now >= self.returned_at else item.acknowledged_at
+            since = (
+                max(item.acknowledged_at, self.returned_at)
+                if now >= self.returned_at
+                else item.acknowledged_at
+            )
             self.figures.max_delay_s = max(self.figures.max_delay_s, now - since)
             if item.removes_replica and now - since > DRAIN_ALLOWANCE_S:
                 self.figures.stale_use_s += TICK_S
@@ -254,7 +259,8 @@
         for strategy in (RevisionOrder, FirstListTrusted, EraOrder):
             figures = measure(strategy, count, schedules)
             print(
-                f'{count}, {strategy.name}: {figures.max_delay_s:.1f} s; {figures.stale_use_s / schedules:.2f}; '
+                f'{count}, {strategy.name}: {figures.max_delay_s:.1f} s; '
+                f'{figures.stale_use_s / schedules:.2f}; '
                 f'{figures.unused_s / schedules:.2f}; {figures.store_calls / schedules:.0f}',
                 flush=True,
             )
--- a/bench/results.py
+++ b/bench/results.py
@@ -68,7 +68,9 @@
     wasted_s = sum(sum(record.busy_s.values()) for record in bad)
     drafting_s = sum(record.busy_s.get('drafting', 0.0) for record in records)
     workspaces = {record.workspace for record in records}
-    shares = [attained_share([item for item in records if item.workspace == name]) for name in workspaces]
+    shares = [
+        attained_share([item for item in records if item.workspace == name]) for name in workspaces
+    ]
     answered = max(1, len(good))
     return Measures(
         requests=len(records),
--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from bench.claiming import SingleShardOwner
-from bench.deployments import Deployment, new_documents, fill_store, new_fleet
+from bench.deployments import Deployment, fill_store, new_documents, new_fleet
 from bench.selectors import (
     LeastLoadedSelector,
     RandomSelector,
@@ -108,7 +108,9 @@
         subset = SubsetChooser(box=name, failure_domain='domain-0')
         self.pools = PoolRegistry(view=self.view, subset=subset, new_pool=self.new_pool)
         variant = world.variant
-        self.retry_budget = RetryBudget(share=variant.retry_share, reserve=10 * variant.retry_share * 10)
+        self.retry_budget = RetryBudget(
+            share=variant.retry_share, reserve=10 * variant.retry_share * 10
+        )
         self.backends = world.fleet.backends()
         context = StageContext(
             pools=self.pools,
@@ -206,7 +208,9 @@
         if self.claim_owner is None:
             self.claim_owner = local
             return local
-        return ForwardingExecutor(local=local, shard_owners=SingleShardOwner(owner=self.claim_owner))
+        return ForwardingExecutor(
+            local=local, shard_owners=SingleShardOwner(owner=self.claim_owner)
+        )
 
     def new_id(self) -> str:
         """Return a fresh identifier."""
@@ -221,7 +225,9 @@
         await asyncio.sleep(1.0)
         if self.variant.selector in ('least-loaded', 'two-choices'):
             for box in self.boxes:
-                self.background_tasks.append(loop.create_task(box.reported_loads.run(box.replicas())))
+                self.background_tasks.append(
+                    loop.create_task(box.reported_loads.run(box.replicas()))
+                )
 
     async def stop(self) -> None:
         """Let the last requests end, then end the background work."""
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -201,7 +201,9 @@
         Measurement(f'time to receive a heartbeat, {count} boxes', 1e6 * receive_s, 'us'),
         Measurement(f'time to choose the role, {count} boxes', 1e6 * relay_s, 'us'),
         Measurement('size of a heartbeat', len(heartbeat), 'B'),
-        Measurement('time of an idle tick', 1e6 * cpu_time_s(control.gossip.push_updates, 1000), 'us'),
+        Measurement(
+            'time of an idle tick', 1e6 * cpu_time_s(control.gossip.push_updates, 1000), 'us'
+        ),
     ]
 
 
@@ -212,17 +214,25 @@
     view.apply_all([ViewUpdate(f'config/k{n}', 1, {}) for n in range(10_000)])
     other = list(index.digests)
     return [
-        Measurement('time to compare buckets', 1e6 * cpu_time_s(lambda: index.differing(other), 500), 'us')
+        Measurement(
+            'time to compare buckets', 1e6 * cpu_time_s(lambda: index.differing(other), 500), 'us'
+        )
     ]
 
 
 async def measure_subset(replicas_per_model: int, boxes: int) -> list[Measurement]:
     """Measure how even subsets are and how much a change moves."""
-    endpoints = [item for item in map(new_endpoint, range(replicas_per_model * MODEL_COUNT)) if item.service == 'model-0']
+    endpoints = [
+        item
+        for item in map(new_endpoint, range(replicas_per_model * MODEL_COUNT))
+        if item.service == 'model-0'
+    ]
     counts: dict[str, int] = dict.fromkeys((item.name for item in endpoints), 0)
     moved_places = 0
     for number in range(boxes):
-        chooser = SubsetChooser(box=f'box-{number}', failure_domain=f'domain-{number % FAILURE_DOMAINS}')
+        chooser = SubsetChooser(
+            box=f'box-{number}', failure_domain=f'domain-{number % FAILURE_DOMAINS}'
+        )
         chosen = {item.name for item in chooser.choose(endpoints)}
         for name in chosen:
             counts[name] += 1
@@ -234,11 +244,15 @@
         Measurement('boxes a replica, least', min(counts.values()), ''),
         Measurement('boxes a replica, most', max(counts.values()), ''),
         Measurement('places moved over all boxes when one replica leaves', moved_places, ''),
-        Measurement('time to choose a subset', 1e6 * cpu_time_s(lambda: chooser.choose(endpoints), 20), 'us'),
+        Measurement(
+            'time to choose a subset', 1e6 * cpu_time_s(lambda: chooser.choose(endpoints), 20), 'us'
+        ),
     ]
 
 
-def measure_all(objects: tuple[int, int, int], boxes: int, replicas_per_model: int) -> list[Measurement]:
+def measure_all(
+    objects: tuple[int, int, int], boxes: int, replicas_per_model: int
+) -> list[Measurement]:
     """Return every slope."""
 
     async def everything() -> list[Measurement]:
