--- a/bench/permits.py
+++ b/bench/permits.py
@@ -1,4 +1,7 @@
-"""Compare ways to keep a limit of all boxes together: one lender, shares of each box, few boxes."""
+"""Compare strategies that keep the calls of all boxes within a limit that a replica advertises.
+
+One box issues all permits, every box gets an even share, or a few boxes do.
+"""
 
 from __future__ import annotations
 
@@ -30,25 +33,27 @@
 WARM_UP_S = 5.0
 MEASURED_S = 60.0
 ONE_WAY_DELAY_S = 0.001
-"""One way between two boxes."""
+"""Network delay in one direction between two boxes."""
 
 MAX_WAIT_S = 1.0
-"""How long a request may wait for a permit."""
+"""The longest time that a request waits for a permit."""
 
 OVERLOAD_FACTOR = 3.0
-"""How many times the limit is asked for."""
+"""Request rate as a multiple of the limits of all replicas."""
 
 FEW_BOXES = 4
-HELP_BOXES = 'Sizes of fleets, separated by commas.'
-HELP_LIMITS = 'Limits in requests a second, separated by commas.'
-HELP_REPLICAS = 'Replicas of the service, all limited alike.'
-HELP_HOT = 'Have one box get all requests.'
+HELP_BOXES = 'Fleet sizes in boxes, separated by commas.'
+HELP_LIMITS = 'Limits of a replica in requests per second, separated by commas.'
+HELP_REPLICAS = 'Number of replicas, all with the same limit.'
+HELP_HOT = 'Send all requests to one box.'
 
 
 class Figures(NamedTuple):
-    """Hold what one way did: the most in 4 s against what is borne, use, waits and messages.
+    """Hold the figures of one strategy.
 
-    `most_messages` and `most_bytes` are a second, sent and received by the busiest box.
+    `max_calls` is the most calls to one replica within `WINDOW_S`, `tolerated_calls` the number
+    that a replica tolerates in it, and `utilization` the share of the limits that was used.
+    Messages and bytes are sent and received by the busiest box.
     """
 
     strategy: str
@@ -61,15 +66,15 @@
 
 
 class LimitStrategy(ABC):
-    """Say which of some limited replicas a box may call."""
+    """Decide which of several replicas with a limit a box may call."""
 
     @abstractmethod
     async def acquire(self, box: int) -> str:
-        """Return a replica that may be called, or nothing."""
+        """Wait for a replica that may be called and return it, or an empty string."""
 
 
 class SingleIssuer(LimitStrategy):
-    """Ask the one box that lends, over messages."""
+    """Let one box issue the permits of all, requested by messages."""
 
     def __init__(self, *, boxes: int, replicas: Sequence[Replica], per_s: float) -> None:
         clock = VirtualClock()
@@ -100,25 +105,25 @@
         )
 
     async def acquire(self, box: int) -> str:
-        """Return a replica for which a permit was lent in time."""
+        """Return a replica for which a permit was granted within `MAX_WAIT_S`."""
         permit = await self.clients[box].request_permit(
             self.replicas, wait_s=MAX_WAIT_S, priority=0
         )
         return permit.replica
 
     def count_message(self, *addresses: str, message: msgspec.Struct) -> None:
-        """Count a message at both ends."""
+        """Count the size of a message at its sender and its receiver."""
         for address in addresses:
             self.traffic.setdefault(address, []).append(len(encode(message)))
 
     def deliver_request(self, address: str, message: msgspec.Struct) -> None:
-        """Bring an ask to the lender."""
+        """Deliver a permit request to the issuer after the network delay."""
         assert isinstance(message, PermitRequest)
         self.count_message(message.address, address, message=message)
         asyncio.get_running_loop().call_later(ONE_WAY_DELAY_S, self.issuer.on_request, message)
 
     def deliver_answer(self, address: str, message: msgspec.Struct) -> None:
-        """Bring an answer to a box."""
+        """Deliver an answer of the issuer to a box after the network delay."""
         assert isinstance(message, PermitAnswer)
         self.count_message('0', address, message=message)
         client = self.clients[int(address)]
@@ -126,7 +131,10 @@
 
 
 class EvenShares(LimitStrategy):
-    """Give each of some boxes an even share, spaced, with phases by chance; no messages."""
+    """Give the first `sharing_boxes` boxes an even share of each limit, without messages.
+
+    Each box spaces its calls evenly, from a random first time.
+    """
 
     def __init__(
         self,
@@ -151,7 +159,7 @@
         ]
 
     async def acquire(self, box: int) -> str:
-        """Return a replica whose share at this box lets a call go within the wait."""
+        """Return the replica whose share is available first, if within `MAX_WAIT_S`."""
         if box >= self.sharing_boxes:
             return ''
         now = asyncio.get_running_loop().time()
@@ -167,7 +175,7 @@
 def new_strategy(
     name: str, *, boxes: int, replicas: Sequence[Replica], per_s: float
 ) -> LimitStrategy:
-    """Return a way by its name."""
+    """Return the strategy of a printed name."""
     if name == 'one lender':
         return SingleIssuer(boxes=boxes, replicas=replicas, per_s=per_s)
     sharing_boxes = boxes if name == 'shares' else min(boxes, FEW_BOXES)
@@ -179,7 +187,7 @@
 async def simulate(
     name: str, boxes: int, replica_count: int, per_s: float, *, from_one_box: bool
 ) -> Figures:
-    """Ask for more than the limits allow and return what came of it."""
+    """Request more calls than the limits allow and return the figures."""
     replicas = [
         Replica(f'i-{n}', 'desk', f'i-{n}:1', 'north', 6, False) for n in range(replica_count)
     ]
@@ -230,7 +238,7 @@
     replicas: Annotated[int, typer.Option(help=HELP_REPLICAS)] = 4,
     hot: Annotated[bool, typer.Option(help=HELP_HOT)] = False,
 ) -> None:
-    """Print a line for each way, size of fleet and limit."""
+    """Print a row for each strategy, fleet size and limit."""
     print('| way | boxes | limit | most in 4 s | borne | used | wait ms | messages/s | bytes/s |')
     print('| --- | --- | --- | --- | --- | --- | --- | --- | --- |')
     for size in (int(item) for item in boxes.split(',')):
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,4 +1,7 @@
-"""Compare policies over all scenarios, deterministic for a seed; `make bench` runs it."""
+"""Compare policies over all scenarios in simulation; `make bench` runs it.
+
+The same seed gives the same figures.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 from testkit.virtual import run_virtual
 
 TARGET_DEPLOYMENTS = (RAVI.name, POKANA.name)
-"""The deployments for which targets are set."""
+"""Names of the deployments whose results are compared with targets."""
 
 SEEDS = 5
 WORKERS = 6
@@ -55,7 +58,7 @@
 
 
 class RunSpec(NamedTuple):
-    """Name one run."""
+    """Identify one run by its deployment, scenario, variant and seed."""
 
     deployment: str
     scenario: str
@@ -64,7 +67,7 @@
 
 
 class Row(NamedTuple):
-    """Hold the summary of one deployment, scenario and variant over the seeds."""
+    """Hold the summaries by measure of one deployment, scenario and variant over all seeds."""
 
     deployment: str
     scenario: str
@@ -73,18 +76,18 @@
 
 
 def find_scenario(name: str) -> Scenario:
-    """Return a scenario."""
+    """Return the scenario of a name."""
     return next(item for item in SCENARIOS if item.name == name)
 
 
 def execute_run(spec: RunSpec) -> Measures:
-    """Run one scenario once."""
+    """Simulate one run in this process, with only errors logged."""
     set_up_logs(level='ERROR', json=True, box='bench')
     return run_virtual(simulate(spec))
 
 
 async def simulate(spec: RunSpec) -> Measures:
-    """Play a scenario and measure it."""
+    """Run the scenario in a new world and return its measures."""
     world = World(
         deployment=DEPLOYMENTS[spec.deployment], variant=VARIANTS[spec.variant], seed=spec.seed
     )
@@ -93,7 +96,7 @@
 
 
 def run_all(specs: list[RunSpec], workers: int) -> dict[RunSpec, Measures]:
-    """Run jobs on several processes."""
+    """Execute runs on worker processes, or in this process for one worker."""
     if workers == 1:
         return {job: execute_run(job) for job in specs}
     with multiprocessing.get_context('spawn').Pool(workers) as pool:
@@ -101,7 +104,7 @@
 
 
 def summary_rows(results: dict[RunSpec, Measures]) -> list[Row]:
-    """Return one row for each deployment, scenario and variant."""
+    """Return one row for each deployment, scenario and variant, in the order of the runs."""
     keys = list(dict.fromkeys(job[:3] for job in results))
     return [
         Row(*key, summarise([found for job, found in results.items() if job[:3] == key]))
@@ -110,14 +113,14 @@
 
 
 def format_cell(name: str, value: float) -> str:
-    """Return a figure: shares in percent, times in milliseconds."""
+    """Return a figure as text: shares in percent, times in milliseconds."""
     if name.endswith('_ms'):
         return f'{value:.0f}'
     return f'{100 * value:.1f}'
 
 
 def print_rows(rows: list[Row]) -> None:
-    """Print the medians, and minimum and maximum of the attainment."""
+    """Print the medians of all columns, and the range of the attainment."""
     print(f'{"deployment":16}{"scenario":18}{"variant":14}', *(f'{name:>8}' for name in HEADERS))
     for row in rows:
         cells = [format_cell(name, row.measures[name].median) for name in COLUMNS]
@@ -130,7 +133,7 @@
 
 
 def missed_targets(rows: list[Row]) -> list[str]:
-    """Return the targets that were missed, with by how much."""
+    """Return a line for each target that our policy misses on a target deployment."""
     by_run = {(row.deployment, row.scenario, row.variant): row.measures for row in rows}
     missed = []
     for (deployment, scenario, variant), measures in by_run.items():
@@ -150,7 +153,7 @@
     naive: dict[str, Summary],
     healthy: dict[str, Summary],
 ) -> list[str]:
-    """Return the targets that one scenario misses, by medians."""
+    """Return a line for each target that the medians of one scenario miss."""
     missed = []
 
     def target(name: str, value: float, bound: float, *, at_least: bool) -> None:
@@ -170,7 +173,7 @@
 
 
 def plot(rows: list[Row], path: Path) -> None:
-    """Draw attainment by scenario for each variant."""
+    """Draw a bar chart per deployment of the median attainment by scenario and variant."""
     import matplotlib
 
     matplotlib.use('Agg')
@@ -203,7 +206,7 @@
 
 
 def parse_flags() -> argparse.Namespace:
-    """Read the command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--variants', default='naive,calicopath')
     parser.add_argument('--scenarios', default=','.join(item.name for item in SCENARIOS))
@@ -216,7 +219,7 @@
 
 
 def main() -> int:
-    """Run, print, and say which targets were missed."""
+    """Execute the selected runs, and print their figures and the missed targets."""
     flags = parse_flags()
     names = itertools.product(
         flags.deployments.split(','), flags.scenarios.split(','), flags.variants.split(',')
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -1,7 +1,7 @@
-"""Compare the scheduler with plain forms of its mechanisms on named patterns of load.
+"""Compare the scheduler with variants that simplify its mechanisms, on named load patterns.
 
-`python -m bench.replay` prints a table of medians and spreads over seeds; `--cost` prints what a
-decision costs by the number of boxes; `--picture FILE` draws attainment as an SVG.
+`python -m bench.replay` prints a table of medians and ranges over seeds; `--cost` prints the
+processor time per decision by the number of boxes; `--picture FILE` draws the worth as an SVG.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class RunSpec(NamedTuple):
-    """Name one replay."""
+    """Identify one replay; `shifted` selects the fleet of the shifted work over `boxes`."""
 
     pattern: str
     variant: str
@@ -39,7 +39,7 @@
 
 
 class Column(NamedTuple):
-    """Name one figure of the table and how it is read."""
+    """Hold a column's heading, its value in a run's figures, and its number format."""
 
     name: str
     value_of: Callable[[Figures], float]
@@ -58,20 +58,20 @@
 
 
 def execute_run(spec: RunSpec) -> Figures:
-    """Run one replay."""
+    """Run one replay in this process."""
     variant = next(item for item in VARIANTS if item.name == spec.variant)
     fleet = shifted_fleet() if spec.shifted else fleet_of(spec.boxes)
     return replay(spec.pattern, spec.seed, variant, fleet)
 
 
 def run_all(specs: list[RunSpec], workers: int) -> dict[RunSpec, Figures]:
-    """Run replays on several processes."""
+    """Run replays on worker processes."""
     with multiprocessing.get_context('spawn').Pool(workers) as pool:
         return dict(zip(specs, pool.map(execute_run, specs, chunksize=1), strict=True))
 
 
 def format_cell(column: Column, found: list[Figures]) -> str:
-    """Return a median with its least and greatest value."""
+    """Return the median, minimum and maximum of a column over the seeds."""
     values = [column.value_of(item) for item in found]
     median, least, most = statistics.median(values), min(values), max(values)
     return (
@@ -83,7 +83,7 @@
 def comparison_table(
     results: dict[RunSpec, Figures], patterns: list[str], variants: list[str]
 ) -> str:
-    """Return the comparison as text."""
+    """Return the comparison as a Markdown table."""
     names = ['pattern', 'variant', *(column.name for column in COLUMNS)]
     lines = [f'| {" | ".join(names)} |', f'|{" --- |" * len(names)}']
     for pattern in patterns:
@@ -99,7 +99,7 @@
 
 
 def cost_table(results: dict[RunSpec, Figures]) -> str:
-    """Return what a job costs its scheduler, by boxes."""
+    """Return a Markdown table of the scheduler's processor time per job by boxes."""
     lines = ['| boxes | ms of processor time a job |', '| --- | --- |']
     for boxes in COST_BOXES:
         values = [figures.cost_ms for job, figures in results.items() if job.boxes == boxes]
@@ -111,7 +111,7 @@
 
 
 def draw_bars(results: dict[RunSpec, Figures], patterns: list[str], variants: list[str]) -> str:
-    """Return bars of the worth earned, a group a pattern."""
+    """Return an SVG bar chart of the median worth, with a group of bars per pattern."""
     parts = []
     row = 0
     for pattern in patterns:
@@ -138,20 +138,20 @@
 
 
 def parse_flags() -> argparse.Namespace:
-    """Return the command's arguments."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument('--patterns', default=','.join(PATTERNS), help='names, by commas')
-    parser.add_argument('--variants', default='ours', help='names, by commas, or all')
-    parser.add_argument('--shifted', action='store_true', help='on the fleet of the shifted work')
+    parser.add_argument('--patterns', default=','.join(PATTERNS), help='names, separated by commas')
+    parser.add_argument('--variants', default='ours', help='names, separated by commas, or all')
+    parser.add_argument('--shifted', action='store_true', help='use the fleet of the shifted work')
     parser.add_argument('--boxes', type=int, default=USUAL_BOXES)
     parser.add_argument('--workers', type=int, default=2)
-    parser.add_argument('--cost', action='store_true', help='only what a decision costs')
-    parser.add_argument('--picture', type=Path, help='where to draw the worth earned')
+    parser.add_argument('--cost', action='store_true', help='measure only the cost of a decision')
+    parser.add_argument('--picture', type=Path, help='SVG file for a chart of the worth')
     return parser.parse_args()
 
 
 def main() -> None:
-    """Run the command."""
+    """Run the selected replays and print a table."""
     options = parse_flags()
     if options.cost:
         specs = [
--- a/bench/restored.py
+++ b/bench/restored.py
@@ -1,4 +1,6 @@
-"""Compare ways to follow a store that comes back from a copy, on drawn schedules in virtual time.
+"""Compare strategies of boxes that follow a store which is restored from a snapshot.
+
+Schedules of changes and outages are drawn at random and run on virtual time:
 
 python -m bench.restored --boxes 8,60 --schedules 40
 """
@@ -27,76 +29,79 @@
 
     from testkit.gateway import FleetBox
 
-HELP_BOXES = 'Sizes of fleets, separated by commas.'
-HELP_SCHEDULES = 'How many schedules to draw for each size.'
+HELP_BOXES = 'Fleet sizes in boxes, separated by commas.'
+HELP_SCHEDULES = 'Number of random schedules for each size.'
 
 TOLERATED_DELAY_S = 0.1
 DRAIN_ALLOWANCE_S = 2.0
 AFTER_RETURN_S = 14.0
-"""How long a schedule goes on after the store's return."""
+"""How long a schedule continues after the store is back."""
 
 REPLICAS = 24
 DESK = 'desk'
 
 
 class FollowStrategy(ABC):
-    """Say how boxes follow the store."""
+    """Define how boxes order the store's states and treat its records after a restore."""
 
     name: str
 
     @abstractmethod
     def set_up(self, box: FleetBox) -> None:
-        """Have a box that was not started yet follow the store so."""
+        """Prepare a box that has not been started."""
 
 
 class EraOrder(FollowStrategy):
-    """Order by era, and keep what was acknowledged."""
+    """Order states by era and revision, and keep the changes seen before the restore."""
 
     name = 'eras, kept'
 
     def set_up(self, box: FleetBox) -> None:
-        """Leave the box as it is."""
+        """Leave the box unchanged: this is the strategy of the gateway."""
 
 
 class FirstListTrusted(FollowStrategy):
-    """Order by era, and take the first list as after an outage."""
+    """Order states by era and revision, and apply the first list after the restore at once."""
 
     name = 'eras, as listed'
 
     def set_up(self, box: FleetBox) -> None:
-        """Take what holds back and keeps out of the way."""
+        """Bypass the filter that keeps earlier records after a restore."""
         for feed in box.box.feeds.values():
             feed.handler = box.box.records
 
 
 class RevisionOrder(FollowStrategy):
-    """Order by revision alone."""
+    """Order states by revision alone."""
 
     name = 'revisions'
 
     def set_up(self, box: FleetBox) -> None:
-        """Hide the era from the box."""
+        """Give the box a store client that hides the era."""
         box.box.store = box.store = EralessClient(store=box.store.store)
         for feed in box.box.feeds.values():
             feed.store = box.store
 
 
 class EralessClient(FakeStoreClient):
-    """Give one box the store without its eras."""
+    """Store client that reports every position with era 0."""
 
     async def list(self, kind: RecordKind) -> Listing:
-        """Return every record."""
+        """Return all records of a kind, at a position of era 0."""
         found = await super().list(kind)
         return found._replace(position=Position(0, found.position.revision))
 
     async def watch(self, kind: RecordKind, revision: int, wait_s: float) -> Changes:
-        """Return what has changed."""
+        """Return the changes after a revision, at a position of era 0."""
         found = await super().watch(kind, revision, wait_s)
         return found._replace(position=Position(0, found.position.revision))
 
 
 class AcknowledgedChange(NamedTuple):
-    """Hold a change that the store has acknowledged: a replica's state, or a configuration."""
+    """Hold a change that the store has acknowledged.
+
+    It concerns one replica, or the configuration if `version` is not 0.
+    """
 
     acknowledged_at: float
     replica: str
@@ -105,7 +110,11 @@
 
 
 class Figures:
-    """Hold what a schedule showed; times are seconds, sums are over boxes."""
+    """Hold the figures of schedules; `stale_use_s` and `unused_s` are sums over boxes.
+
+    `max_delay_s` is the longest time until a change was in force at a box. A box-second counts as
+    stale use if a removed replica is still called, as unused if a present one is not called.
+    """
 
     def __init__(self) -> None:
         self.max_delay_s = 0.0
@@ -114,7 +123,7 @@
         self.store_calls = 0.0
 
     def add(self, other: Figures) -> None:
-        """Take another schedule's figures in."""
+        """Add the figures of another schedule, with the larger of the two delays."""
         self.max_delay_s = max(self.max_delay_s, other.max_delay_s)
         self.stale_use_s += other.stale_use_s
         self.unused_s += other.unused_s
@@ -122,7 +131,7 @@
 
 
 class Schedule:
-    """Play one drawn schedule."""
+    """Run one schedule of changes, with a restore, that the seed determines."""
 
     def __init__(self, *, strategy: FollowStrategy, boxes: int, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -136,11 +145,11 @@
         self.returned_at = float('inf')
 
     def now(self) -> float:
-        """Return the loop's time."""
+        """Return the event loop's time in seconds."""
         return asyncio.get_running_loop().time()
 
     def make_change(self) -> None:
-        """Have the store acknowledge one drawn change."""
+        """Make one random change in the store and record it as acknowledged."""
         kind = self.rng.choice(('announce', 'drain', 'withdraw', 'configure', 'configure'))
         held = self.fleet.store.records[RecordKind.REPLICA]
         known = [name for name in self.replica_names if name in held]
@@ -163,7 +172,7 @@
         self.acknowledged.append(AcknowledgedChange(self.now(), name, kind != 'announce', 0))
 
     async def make_changes(self, duration_s: float) -> None:
-        """Have changes come for a while."""
+        """Make random changes for a time, except while the store is down."""
         ends_at = self.now() + duration_s
         while self.now() < ends_at:
             await asyncio.sleep(min(self.rng.expovariate(1.5), duration_s))
@@ -171,14 +180,14 @@
                 self.make_change()
 
     def is_in_force(self, box: FleetBox, item: AcknowledgedChange) -> bool:
-        """Tell whether a box goes by a change."""
+        """Tell whether a box applies a change."""
         if item.version:
             return box.box.config_version() >= item.version
         usable = any(item.replica == known.id for known in box.box.replicas.usable(DESK))
         return usable != item.removes_replica
 
     async def run_sampling(self) -> None:
-        """Look again and again which changes are in force where."""
+        """Check at every tick which changes are late at which box, until cancelled."""
         while True:
             now = self.now()
             for box in self.fleet.boxes.values():
@@ -193,7 +202,7 @@
             await asyncio.sleep(TICK_S)
 
     def record_late_changes(self, late: list[AcknowledgedChange], now: float) -> None:
-        """Note changes that a box does not go by; what is down excuses the time that it is."""
+        """Count the late changes of one box, but not the time that the store is down."""
         if self.fleet.store.down:
             return
         for item in late:
@@ -209,7 +218,7 @@
                 self.figures.unused_s += TICK_S
 
     async def run(self) -> Figures:
-        """Play it."""
+        """Run the schedule and return its figures."""
         fleet, rng = self.fleet, self.rng
         for name in self.replica_names:
             fleet.announce(Replica(name, DESK, f'{name}:1', 'north', 6, False))
@@ -235,12 +244,12 @@
 
 
 async def run_schedule(strategy: FollowStrategy, boxes: int, seed: int) -> Figures:
-    """Play one schedule."""
+    """Create and run one schedule in the current loop."""
     return await Schedule(strategy=strategy, boxes=boxes, seed=seed).run()
 
 
 def measure(new_strategy: Callable[[], FollowStrategy], boxes: int, schedules: int) -> Figures:
-    """Play many schedules."""
+    """Return the figures of the schedules of all seeds together."""
     total = Figures()
     for seed in range(schedules):
         total.add(run_virtual(run_schedule(new_strategy(), boxes, seed)))
@@ -251,7 +260,7 @@
     boxes: Annotated[str, typer.Option(help=HELP_BOXES)] = '8,60',
     schedules: Annotated[int, typer.Option(help=HELP_SCHEDULES)] = 40,
 ) -> None:
-    """Print a line for each way and size."""
+    """Print a line for each strategy and fleet size."""
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
     print('boxes, way: longest to force; box-seconds a schedule in which a replica is called that')
     print('left over 2 s ago; in which one is not called that is there; calls to the store a box')
--- a/bench/results.py
+++ b/bench/results.py
@@ -1,4 +1,4 @@
-"""Turn the records of a run into the users' measures."""
+"""Compute the users' measures from the request records of a run."""
 
 from __future__ import annotations
 
@@ -17,12 +17,13 @@
 
 
 class Measures(NamedTuple):
-    """Hold the measures of one run; shares are of one, times in milliseconds.
+    """Hold the measures of one run; shares are between 0 and 1.
 
+    `attainment` is the share of requests answered in time, `high` and `low` that of high and low
+    priority. `goodput` is the rate of requests answered in time, as a share of the capacity.
     `cost_ms` is the endpoints' busy time per request answered in time, `drafting_ms` that of
-    generation alone; `thrown_away` the share of busy time spent on requests not answered in time.
-    `goodput` is requests answered in time a second, as a share of the capacity. `spread` is the
-    difference between the best and the worst served workspace.
+    generation alone. `thrown_away` is the share of busy time spent on other requests. `spread` is
+    the difference between the attainments of the best and the worst served workspace.
     """
 
     requests: int
@@ -42,23 +43,23 @@
 
 
 def attained_share(records: Sequence[RequestRecord]) -> float:
-    """Return the share answered whole within the deadline."""
+    """Return the share of requests answered in time, 1 for no requests."""
     return sum(is_answered_in_time(record) for record in records) / len(records) if records else 1.0
 
 
 def is_answered_in_time(record: RequestRecord) -> bool:
-    """Tell whether a request was answered whole within its deadline."""
+    """Tell whether a request was completely answered within its deadline."""
     return record.outcome == 'answered' and record.duration_s <= DEADLINE_S
 
 
 def percentile(values: Iterable[float], fraction: float) -> float:
-    """Return a percentile, 0 of nothing."""
+    """Return a percentile, 0 for no values."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else 0.0
 
 
 def measure(world: World, duration_s: float) -> Measures:
-    """Return the measures of a run."""
+    """Return the measures of a run whose requests arrived over `duration_s`."""
     records = world.records
     good = [record for record in records if is_answered_in_time(record)]
     bad = [record for record in records if not is_answered_in_time(record)]
@@ -101,7 +102,7 @@
 
 
 def summarise(runs: Sequence[Measures]) -> dict[str, Summary]:
-    """Return each measure's summary."""
+    """Return the summary over the runs by the name of the measure."""
     return {
         name: Summary(min(values), statistics.median(values), max(values))
         for name, values in zip(Measures._fields, zip(*runs, strict=True), strict=True)
