--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -55,9 +55,9 @@
 def print_measurements(measurements: list[Measurement]) -> dict[str, float]:
     """Print measurements and return their values by name."""
     print('\nslopes of one box')
-    for slope in measurements:
-        print(f'{slope.name:58} {slope.value:12.1f} {slope.unit}')
-    return {slope.name: slope.value for slope in measurements}
+    for measurement in measurements:
+        print(f'{measurement.name:58} {measurement.value:12.1f} {measurement.unit}')
+    return {measurement.name: measurement.value for measurement in measurements}
 
 
 def print_box_cost(values: dict[str, float]) -> None:
--- a/bench/claiming.py
+++ b/bench/claiming.py
@@ -32,7 +32,10 @@
 
 
 class ClaimFigures(NamedTuple):
-    """Hold the figures of one run; rates are per second, `cpu_us` is per claim."""
+    """Hold the figures of one run.
+
+    Rates and `kb_a_shard` are per second, `cpu_us` is per claim, `refused` is a total.
+    """
 
     boxes: int
     shards: int
--- a/bench/daemons.py
+++ b/bench/daemons.py
@@ -22,7 +22,11 @@
 
 
 class DaemonFigures(NamedTuple):
-    """Hold the figures of one run; `cpu_percent` is of a core, bytes and reads are per second."""
+    """Hold the figures of one run.
+
+    `cpu_percent` is of a core. It and `peer_bytes` are means per box, `memory_mb` is the largest;
+    bytes and reads are per second.
+    """
 
     boxes: int
     cpu_percent: float
@@ -54,8 +58,8 @@
         cpu_s = sum(cpu_seconds(box.handle.pid) for box in boxes) - cpu_s
         counts_after = await read_json(session, platform, '/admin/counts')
         sent_bytes = [
-            await read_peer_bytes(session, box) - old
-            for box, old in zip(boxes, sent_bytes, strict=True)
+            await read_peer_bytes(session, box) - bytes_before
+            for box, bytes_before in zip(boxes, sent_bytes, strict=True)
         ]
         worst_change_s = max(
             [await time_change(session, platform, boxes, n) for n in range(CHANGE_COUNT)]
@@ -73,14 +77,14 @@
 
 async def read_json(session: aiohttp.ClientSession, process: Process, path: str) -> Any:
     """Return the decoded JSON of a GET request to a process."""
-    async with session.get(process.url + path) as answer:
-        return json.loads(await answer.read())
+    async with session.get(process.url + path) as response:
+        return json.loads(await response.read())
 
 
 async def read_peer_bytes(session: aiohttp.ClientSession, box: Process) -> float:
     """Return the bytes that a daemon has sent to its peers, 0 if the metric is missing."""
-    async with session.get(f'{box.url}/metrics') as answer:
-        text = await answer.text()
+    async with session.get(f'{box.url}/metrics') as response:
+        text = await response.text()
     for line in text.splitlines():
         if line.startswith('calicopath_state') and 'of="peer_sent_bytes"' in line:
             return float(line.rsplit(' ', 1)[1])
@@ -97,8 +101,8 @@
     value = {'spec': spec, 'change': {'id': str(number), 'sequence': 1}}
     started = loop.time()
     url = f'{platform.url}/v1/objects/{key}?expected=0'
-    async with session.post(url, data=json.dumps(value)) as answer:
-        version = (await answer.json())['version']
+    async with session.post(url, data=json.dumps(value)) as response:
+        version = (await response.json())['version']
     for box in boxes:
         while (await read_json(session, box, f'/admin/v1/config/{key}'))['version'] < version:
             await asyncio.sleep(0.005)
--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -154,15 +154,15 @@
             'parameters': {'prefix': {'type': 'string', 'default': ''}},
             'stages': [stage_spec(service, deployment.pools[service]) for service in services],
         }
-    for load in (*deployment.workloads, Workload('lookups', 'lookup', 5, 0.0)):
-        specs[f'config/pipelines/{load.workspace}/main'] = {
+    for workload in (*deployment.workloads, Workload('lookups', 'lookup', 5, 0.0)):
+        specs[f'config/pipelines/{workload.workspace}/main'] = {
             'kind': 'pipeline',
-            'workspace': load.workspace,
+            'workspace': workload.workspace,
             'name': 'main',
-            'template': load.template,
-            'parameters': {'prefix': f'{load.workspace}:'},
+            'template': workload.template,
+            'parameters': {'prefix': f'{workload.workspace}:'},
             'deadline_ms': 2000,
-            'priority': load.priority,
+            'priority': workload.priority,
         }
     return specs
 
--- a/bench/load.py
+++ b/bench/load.py
@@ -73,22 +73,22 @@
 async def run_open_loop(send: Callable[[], Awaitable[bool]], rate_per_s: float) -> tuple[int, int]:
     """Send requests at random times; return the numbers answered in time and sent."""
     rng = random.Random(5)
-    good = 0
+    in_time = 0
     total = 0
 
     async def once() -> None:
-        nonlocal good
+        nonlocal in_time
         started = time.monotonic()
         answered = await send()
-        good += answered and time.monotonic() - started <= DEADLINE_S
+        in_time += answered and time.monotonic() - started <= DEADLINE_S
 
     async with asyncio.TaskGroup() as group:
-        ends = time.monotonic() + DURATION_S
-        while time.monotonic() < ends:
+        ends_at = time.monotonic() + DURATION_S
+        while time.monotonic() < ends_at:
             await asyncio.sleep(rng.expovariate(rate_per_s))
             total += 1
             group.create_task(once())
-    return good, total
+    return in_time, total
 
 
 class Deployment:
@@ -113,7 +113,7 @@
             }
         )
         self.documents = [
-            await self.start_endpoint(group, *which) for which in self.replicas(scenario)
+            await self.start_endpoint(group, *replica) for replica in self.replicas(scenario)
         ]
         self.documents += [{**TEMPLATES['answer'], 'stages': stages}, pipeline_spec('answer')]
         path = group.write_documents('config.yaml', self.documents)
@@ -129,9 +129,11 @@
 
     def replicas(self, scenario: Scenario) -> list[tuple[str, int, float]]:
         """Return service, number and slowdown factor of every replica."""
-        found = [(name, n, 1.0) for name in ('encoders', 'retrievers', 'rerankers') for n in (0, 1)]
-        found += [('drafting', n, 1.0) for n in range(1, ENGINES)]
-        return [*found, ('drafting', 0, scenario.slow_factor)]
+        replicas = [
+            (name, n, 1.0) for name in ('encoders', 'retrievers', 'rerankers') for n in (0, 1)
+        ]
+        replicas += [('drafting', n, 1.0) for n in range(1, ENGINES)]
+        return [*replicas, ('drafting', 0, scenario.slow_factor)]
 
     async def start_endpoint(
         self, group: ProcessGroup, service: str, number: int, slow_factor: float
@@ -162,9 +164,9 @@
         url = self.rng.choice(self.boxes).url
         body = msgspec.json.encode({'input': f'{self.last_number} {INPUT_TEXT}'})
         path = '/v1/workspaces/towpath/pipelines/answer/requests'
-        async with self.session.post(url + path, data=body) as answer:
-            await answer.read()
-            return answer.status == 200
+        async with self.session.post(url + path, data=body) as response:
+            await response.read()
+            return response.status == 200
 
     async def run_naively(self) -> bool:
         """Run one request by the naive executor; tell whether it was answered in time."""
@@ -205,9 +207,9 @@
             deployment = Deployment(session=session)
             await deployment.start(group, scenario)
             send = deployment.run_naively if variant == 'naive' else deployment.send_to_box
-            good, total = await run_open_loop(send, scenario.capacity_share * CAPACITY_PER_S)
+            in_time, total = await run_open_loop(send, scenario.capacity_share * CAPACITY_PER_S)
         results.append(
-            Result(scenario.name, variant, good / total, good / DURATION_S / CAPACITY_PER_S)
+            Result(scenario.name, variant, in_time / total, in_time / DURATION_S / CAPACITY_PER_S)
         )
     return results
 
--- a/bench/perf.py
+++ b/bench/perf.py
@@ -70,8 +70,8 @@
         for stage in ('encoders', 'retrievers', 'rerankers'):
             url = f'{self.endpoints[f"{stage}-1"].process.url}/v1/call'
             body = {'call': call, 'stage': stage, 'params': {}, 'input': data, 'priority': 5}
-            async with self.session.post(url, data=msgspec.json.encode(body)) as answer:
-                data.update(msgspec.json.decode(await answer.read())['output'])
+            async with self.session.post(url, data=msgspec.json.encode(body)) as response:
+                data.update(msgspec.json.decode(await response.read())['output'])
         url = f'{self.endpoints["drafting-1"].process.url}/v1/generate'
         body = {
             'call': call,
@@ -81,24 +81,24 @@
             'offset': 0,
             'prefix': '',
         }
-        async with self.session.post(url, data=msgspec.json.encode(body)) as answer:
-            await answer.read()
+        async with self.session.post(url, data=msgspec.json.encode(body)) as response:
+            await response.read()
         return True
 
     async def send_request(self) -> bool:
         """Send one request to the daemon; tell whether it was answered."""
         url = f'{self.daemon.url}/v1/workspaces/towpath/pipelines/answer/requests'
-        async with self.session.post(url, data=msgspec.json.encode(REQUEST_BODY)) as answer:
-            await answer.read()
-            return answer.status == 200
+        async with self.session.post(url, data=msgspec.json.encode(REQUEST_BODY)) as response:
+            await response.read()
+            return response.status == 200
 
     async def stream_request(self) -> bool:
         """Stream one long answer through the daemon; tell whether it was complete."""
         url = f'{self.daemon.url}/v1/workspaces/towpath/pipelines/long/requests'
         body = {'input': LONG_TEXT, 'stream': True}
         last = b''
-        async with self.session.post(url, data=msgspec.json.encode(body)) as answer:
-            async for line in answer.content:
+        async with self.session.post(url, data=msgspec.json.encode(body)) as response:
+            async for line in response.content:
                 if line.startswith(b'event: '):
                     last = line
                     self.tokens += line == b'event: text\n'
@@ -142,9 +142,9 @@
     async def send_once(self, send: Callable[[], Awaitable[bool]]) -> None:
         """Send one request and record its latency and whether it failed."""
         started = time.monotonic()
-        good = await send()
+        succeeded = await send()
         self.latencies_s.append(time.monotonic() - started)
-        self.failed += not good
+        self.failed += not succeeded
 
     def sample(self, offered_per_s: float) -> Sample:
         """Return the figures since the run's start; `offered_per_s` is 0 for a closed loop."""
--- a/bench/permits.py
+++ b/bench/permits.py
@@ -211,12 +211,13 @@
     await asyncio.gather(*tasks)
     measured_calls = [item for item in calls if WARM_UP_S <= item[0] < WARM_UP_S + MEASURED_S]
     call_times_by_replica = [
-        [at for at, name in measured_calls if name == item.id] for item in replicas
+        [window_start for window_start, name in measured_calls if name == item.id]
+        for item in replicas
     ]
     max_calls = max(
-        sum(at <= one < at + WINDOW_S for one in times)
+        sum(window_start <= called_at < window_start + WINDOW_S for called_at in times)
         for times in call_times_by_replica
-        for at in times or [0]
+        for window_start in times or [0]
     )
     message_sizes = getattr(strategy, 'traffic', {}).values()
     return Figures(
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -98,16 +98,16 @@
 def run_all(specs: list[RunSpec], workers: int) -> dict[RunSpec, Measures]:
     """Execute runs on worker processes, or in this process for one worker."""
     if workers == 1:
-        return {job: execute_run(job) for job in specs}
+        return {spec: execute_run(spec) for spec in specs}
     with multiprocessing.get_context('spawn').Pool(workers) as pool:
         return dict(zip(specs, pool.map(execute_run, specs, chunksize=1), strict=True))
 
 
 def summary_rows(results: dict[RunSpec, Measures]) -> list[Row]:
     """Return one row for each deployment, scenario and variant, in the order of the runs."""
-    keys = list(dict.fromkeys(job[:3] for job in results))
+    keys = list(dict.fromkeys(spec[:3] for spec in results))
     return [
-        Row(*key, summarise([found for job, found in results.items() if job[:3] == key]))
+        Row(*key, summarise([measures for spec, measures in results.items() if spec[:3] == key]))
         for key in keys
     ]
 
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -27,7 +27,7 @@
 
 def percentile_ms(values_s: Sequence[float], fraction: float) -> float:
     """Return a percentile in milliseconds of values in seconds, 0 for no values."""
-    found = sorted(values_s)
-    if not found:
+    ordered_s = sorted(values_s)
+    if not ordered_s:
         return 0.0
-    return 1000 * found[min(len(found) - 1, int(fraction * len(found)))]
+    return 1000 * ordered_s[min(len(ordered_s) - 1, int(fraction * len(ordered_s)))]
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -70,9 +70,9 @@
         return dict(zip(specs, pool.map(execute_run, specs, chunksize=1), strict=True))
 
 
-def format_cell(column: Column, found: list[Figures]) -> str:
+def format_cell(column: Column, runs: list[Figures]) -> str:
     """Return the median, minimum and maximum of a column over the seeds."""
-    values = [column.value_of(item) for item in found]
+    values = [column.value_of(item) for item in runs]
     median, least, most = statistics.median(values), min(values), max(values)
     return (
         f'{median:{column.format_spec}} '
@@ -88,12 +88,12 @@
     lines = [f'| {" | ".join(names)} |', f'|{" --- |" * len(names)}']
     for pattern in patterns:
         for variant in variants:
-            found = [
+            runs = [
                 figures
-                for job, figures in results.items()
-                if (job.pattern, job.variant) == (pattern, variant)
+                for spec, figures in results.items()
+                if (spec.pattern, spec.variant) == (pattern, variant)
             ]
-            cells = [format_cell(column, found) for column in COLUMNS]
+            cells = [format_cell(column, runs) for column in COLUMNS]
             lines.append(f'| {pattern} | {variant} | {" | ".join(cells)} |')
     return '\n'.join(lines)
 
@@ -102,7 +102,7 @@
     """Return a Markdown table of the scheduler's processor time per job by boxes."""
     lines = ['| boxes | ms of processor time a job |', '| --- | --- |']
     for boxes in COST_BOXES:
-        values = [figures.cost_ms for job, figures in results.items() if job.boxes == boxes]
+        values = [figures.cost_ms for spec, figures in results.items() if spec.boxes == boxes]
         lines.append(
             f'| {boxes} | {statistics.median(values):.2f} '
             f'({min(values):.2f} to {max(values):.2f}) |'
@@ -118,8 +118,8 @@
         for number, variant in enumerate(variants):
             values = [
                 figures.worth
-                for job, figures in results.items()
-                if (job.pattern, job.variant) == (pattern, variant)
+                for spec, figures in results.items()
+                if (spec.pattern, spec.variant) == (pattern, variant)
             ]
             worth = statistics.median(values)
             top = row * BAR_HEIGHT
--- a/bench/restored.py
+++ b/bench/restored.py
@@ -66,7 +66,7 @@
     name = 'eras, as listed'
 
     def set_up(self, box: FleetBox) -> None:
-        """Bypass the filter that keeps earlier records after a restore."""
+        """Connect the feeds to the record handler directly, without the restore filter."""
         for feed in box.box.feeds.values():
             feed.handler = box.box.records
 
@@ -88,13 +88,13 @@
 
     async def list(self, kind: RecordKind) -> Listing:
         """Return all records of a kind, at a position of era 0."""
-        found = await super().list(kind)
-        return found._replace(position=Position(0, found.position.revision))
+        result = await super().list(kind)
+        return result._replace(position=Position(0, result.position.revision))
 
     async def watch(self, kind: RecordKind, revision: int, wait_s: float) -> Changes:
         """Return the changes after a revision, at a position of era 0."""
-        found = await super().watch(kind, revision, wait_s)
-        return found._replace(position=Position(0, found.position.revision))
+        result = await super().watch(kind, revision, wait_s)
+        return result._replace(position=Position(0, result.position.revision))
 
 
 class AcknowledgedChange(NamedTuple):
@@ -151,9 +151,9 @@
     def make_change(self) -> None:
         """Make one random change in the store and record it as acknowledged."""
         kind = self.rng.choice(('announce', 'drain', 'withdraw', 'configure', 'configure'))
-        held = self.fleet.store.records[RecordKind.REPLICA]
-        known = [name for name in self.replica_names if name in held]
-        if kind == 'configure' or not known:
+        records = self.fleet.store.records[RecordKind.REPLICA]
+        known_names = [name for name in self.replica_names if name in records]
+        if kind == 'configure' or not known_names:
             self.version += 1
             self.fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(self.version))
             self.acknowledged.append(AcknowledgedChange(self.now(), '', False, self.version))
@@ -162,12 +162,12 @@
             name = f'desk-{100 + len(self.acknowledged)}'
             self.fleet.announce(Replica(name, DESK, f'{name}:1', 'north', 6, False))
         elif kind == 'drain':
-            name = self.replica_names.pop(self.replica_names.index(self.rng.choice(known)))
-            entry = held[name]
+            name = self.replica_names.pop(self.replica_names.index(self.rng.choice(known_names)))
+            entry = records[name]
             assert isinstance(entry, Replica)
             self.fleet.announce(entry._replace(draining=True))
         else:
-            name = self.replica_names.pop(self.replica_names.index(self.rng.choice(known)))
+            name = self.replica_names.pop(self.replica_names.index(self.rng.choice(known_names)))
             self.fleet.withdraw(name)
         self.acknowledged.append(AcknowledgedChange(self.now(), name, kind != 'announce', 0))
 
@@ -226,18 +226,18 @@
         await asyncio.sleep(2.0)
         sampling = asyncio.create_task(self.run_sampling())
         await self.make_changes(2.0)
-        copy = fleet.store.copy()
+        snapshot = fleet.store.copy()
         await self.make_changes(rng.uniform(0.5, 10.0))
-        before = sum(box.store.calls for box in fleet.boxes.values())
-        away_s, again_s = rng.uniform(0.0, 5.0), rng.uniform(0.0, 2.0)
-        back = asyncio.create_task(fleet.store.go_back(copy, away_s, again_s))
-        await asyncio.sleep(away_s + TOLERATED_DELAY_S)
+        calls_before = sum(box.store.calls for box in fleet.boxes.values())
+        down_s, rewrite_delay_s = rng.uniform(0.0, 5.0), rng.uniform(0.0, 2.0)
+        restoring = asyncio.create_task(fleet.store.go_back(snapshot, down_s, rewrite_delay_s))
+        await asyncio.sleep(down_s + TOLERATED_DELAY_S)
         self.returned_at = self.now() - TOLERATED_DELAY_S
         await self.make_changes(3.0)
         await asyncio.sleep(AFTER_RETURN_S - 3.0)
-        await back
+        await restoring
         sampling.cancel()
-        calls = sum(box.store.calls for box in fleet.boxes.values()) - before
+        calls = sum(box.store.calls for box in fleet.boxes.values()) - calls_before
         self.figures.store_calls = calls / len(fleet.boxes)
         await fleet.stop()
         return self.figures
--- a/bench/results.py
+++ b/bench/results.py
@@ -61,30 +61,32 @@
 def measure(world: World, duration_s: float) -> Measures:
     """Return the measures of a run whose requests arrived over `duration_s`."""
     records = world.records
-    good = [record for record in records if is_answered_in_time(record)]
-    bad = [record for record in records if not is_answered_in_time(record)]
+    in_time = [record for record in records if is_answered_in_time(record)]
+    not_in_time = [record for record in records if not is_answered_in_time(record)]
     refused = [record for record in records if record.outcome == 'refused']
     failed = [record for record in records if record.outcome == 'failed']
     busy_s = sum(sum(record.busy_s.values()) for record in records)
-    wasted_s = sum(sum(record.busy_s.values()) for record in bad)
+    wasted_s = sum(sum(record.busy_s.values()) for record in not_in_time)
     drafting_s = sum(record.busy_s.get('drafting', 0.0) for record in records)
     workspaces = {record.workspace for record in records}
     shares = [
         attained_share([item for item in records if item.workspace == name]) for name in workspaces
     ]
-    answered = max(1, len(good))
+    in_time_count = max(1, len(in_time))
     return Measures(
         requests=len(records),
         attainment=attained_share(records),
         high=attained_share([item for item in records if item.priority >= HIGH_PRIORITY]),
         low=attained_share([item for item in records if item.priority <= LOW_PRIORITY]),
-        goodput=len(good) / duration_s / world.deployment.capacity_per_s,
+        goodput=len(in_time) / duration_s / world.deployment.capacity_per_s,
         first_token_p95_ms=1000
-        * percentile((item.first_token_s for item in good if item.first_token_s is not None), 0.95),
+        * percentile(
+            (item.first_token_s for item in in_time if item.first_token_s is not None), 0.95
+        ),
         token_p95_ms=1000
-        * percentile((item.token_gap_s for item in good if item.token_gap_s is not None), 0.95),
-        cost_ms=1000 * busy_s / answered,
-        drafting_ms=1000 * drafting_s / answered,
+        * percentile((item.token_gap_s for item in in_time if item.token_gap_s is not None), 0.95),
+        cost_ms=1000 * busy_s / in_time_count,
+        drafting_ms=1000 * drafting_s / in_time_count,
         thrown_away=wasted_s / busy_s if busy_s else 0.0,
         refused=len(refused) / max(1, len(records)),
         refused_after_ms=1000 * percentile((item.duration_s for item in refused), 0.5),
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -1,4 +1,4 @@
-"""Define the scenarios: how requests arrive, and what fails meanwhile."""
+"""Define the scenarios of the bench: arrival rates and injected faults."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 DURATION_S = 20.0
 STEADY_SHARE = 0.6
-"""Share of the capacity that arrives in a scenario that is not about load."""
+"""Arrival rate, as a share of the capacity, in scenarios that do not vary the load."""
 
 LOOKUPS = Workload('lookups', 'lookup', 5, 1.0)
 BALANCER_LAG_S = 1.0
@@ -24,7 +24,11 @@
 
 
 class Scenario(NamedTuple):
-    """Hold a name, the arrivals as a share of capacity at a time, and what goes wrong."""
+    """Hold one scenario.
+
+    `capacity_share` returns the arrival rate as a share of the capacity, by seconds since the
+    start. `burst_workload` arrives in a burst besides the deployment's own workloads.
+    """
 
     name: str
     capacity_share: Callable[[float], float]
@@ -34,14 +38,14 @@
     caller_retries: int = 0
 
 
-def steady(at: float) -> float:
-    """Return the usual load."""
+def steady(at_s: float) -> float:
+    """Return the usual share at every time."""
     return STEADY_SHARE
 
 
-def burst(at: float) -> float:
-    """Return the usual load with a burst of 2.5 times the capacity for four seconds."""
-    return 2.5 if 6.0 <= at < 10.0 else STEADY_SHARE
+def burst(at_s: float) -> float:
+    """Return the usual share, or 2.5 times the capacity between 6 s and 10 s."""
+    return 2.5 if 6.0 <= at_s < 10.0 else STEADY_SHARE
 
 
 async def slow_replica(world: World) -> None:
@@ -50,13 +54,13 @@
 
 
 async def dead_replica(world: World) -> None:
-    """Let one drafting replica refuse every connection from 5 s on."""
+    """Make one drafting replica refuse every connection from 5 s on."""
     await asyncio.sleep(5)
     world.fleet['drafting-0'].down = True
 
 
 async def failure_domain_outage(world: World) -> None:
-    """Let a failure domain's endpoints refuse every connection from 5 s to 15 s."""
+    """Make the endpoints of one failure domain refuse every connection from 5 s to 15 s."""
     endpoints = [
         item
         for item in world.fleet.endpoints.values()
@@ -71,19 +75,19 @@
 
 
 async def late_reports(world: World) -> None:
-    """Let load reports be three seconds old, and every other one be missing."""
+    """Delay load reports by three seconds, and drop every other one."""
     for box in world.boxes:
         box.reported_loads.lag_s = 3.0
         box.reported_loads.drops_every_other = True
 
 
 async def outage_during_drain(world: World) -> None:
-    """Drain a replica, lose the platform right after, and then stop the replica for good."""
+    """Drain a replica, take the platform down, and stop the replica meanwhile."""
     await asyncio.sleep(5)
     key = 'config/endpoints/drafting-0'
-    held = world.state.objects[key]
-    spec = {**held.value['spec'], 'state': EndpointState.DRAINING.value}
-    world.state.write(key, {'spec': spec, 'change': {}}, held.version)
+    stored = world.state.objects[key]
+    spec = {**stored.value['spec'], 'state': EndpointState.DRAINING.value}
+    world.state.write(key, {'spec': spec, 'change': {}}, stored.version)
     await asyncio.sleep(0.5)
     world.state.down = True
     world.state.end_watches()
@@ -94,14 +98,14 @@
 
 
 async def rolling_restart(world: World) -> None:
-    """Restart every box in turn; the balancer learns of it a second late."""
+    """Restart every box in turn; the load balancer reacts `BALANCER_LAG_S` late."""
     await asyncio.sleep(2)
     for box in world.boxes:
         await restart(world, box)
 
 
 async def restart(world: World, box: SimulatedBox) -> None:
-    """Restart one box: ours leaves as the daemon does, the naive one just ends."""
+    """Restart one box: ours drains as the daemon does, the naive one aborts its requests."""
     if world.variant.is_naive:
         box.is_accepting = False
         for task in list(box.tasks):
@@ -123,20 +127,20 @@
     Scenario('steady', steady),
     Scenario('burst-generation', burst),
     Scenario('burst-encoding', steady, burst_workload=LOOKUPS),
-    Scenario('overload', lambda at: 2.0),
+    Scenario('overload', lambda at_s: 2.0),
     Scenario('slow-replica', steady, slow_replica),
     Scenario('dead-replica', steady, dead_replica),
     Scenario('domain-gone', steady, failure_domain_outage),
-    Scenario('late-reports', lambda at: 0.8, late_reports),
-    Scenario('greedy-workspace', lambda at: 1.4, has_greedy_workspace=True),
-    Scenario('retry-storm', lambda at: 1.3, caller_retries=4),
+    Scenario('late-reports', lambda at_s: 0.8, late_reports),
+    Scenario('greedy-workspace', lambda at_s: 1.4, has_greedy_workspace=True),
+    Scenario('retry-storm', lambda at_s: 1.3, caller_retries=4),
     Scenario('outage-in-drain', steady, outage_during_drain),
     Scenario('rolling-restart', steady, rolling_restart),
 )
 
 
 async def run_scenario(world: World, scenario: Scenario) -> None:
-    """Let requests arrive for the scenario's time, while its faults happen."""
+    """Run a world under a scenario's arrivals and faults for `DURATION_S`."""
     world.caller_retries = scenario.caller_retries
     await world.start()
     loop = asyncio.get_running_loop()
@@ -154,35 +158,35 @@
 
 
 async def run_faults(inject_faults: Callable[[World], Awaitable[None]], world: World) -> None:
-    """Carry out what goes wrong."""
+    """Await a fault injector in a coroutine, as `create_task` requires one."""
     await inject_faults(world)
 
 
 async def generate_requests(world: World, scenario: Scenario) -> None:
-    """Let requests arrive at random, open loop: nobody waits for answers."""
+    """Start requests at random times, as an open loop that does not wait for answers."""
     rng = random.Random(world.rng.random())
     loop = asyncio.get_running_loop()
     started = loop.time()
     workloads = world.deployment.workloads
-    weights = [load.share for load in workloads]
+    weights = [item.share for item in workloads]
     if scenario.has_greedy_workspace:
-        # The workspace that usually asks most asks for four times as much.
+        # The workspace with the most requests sends four times as many.
         largest = max(range(len(workloads)), key=lambda index: weights[index])
         weights[largest] *= 4
-    while (at := loop.time() - started) < DURATION_S:
-        rate = scenario.capacity_share(at) * world.deployment.capacity_per_s
+    while (at_s := loop.time() - started) < DURATION_S:
+        rate = scenario.capacity_share(at_s) * world.deployment.capacity_per_s
         await asyncio.sleep(rng.expovariate(rate))
         world.start_request(rng.choices(workloads, weights)[0])
 
 
 async def generate_burst(world: World, workload: Workload) -> None:
-    """Let requests of one kind arrive at 1.5 times what the encoders can do, for four seconds."""
+    """Start requests of one workload at 1.5 times the encoders' capacity, from 6 s to 10 s."""
     rng = random.Random(world.rng.random())
     loop = asyncio.get_running_loop()
     pool = world.deployment.pools['encoders']
     rate = 1.5 * pool.replicas * pool.concurrency / pool.timing.service_s
     await asyncio.sleep(6)
-    ends = loop.time() + 4
-    while loop.time() < ends:
+    ends_at = loop.time() + 4
+    while loop.time() < ends_at:
         await asyncio.sleep(rng.expovariate(rate))
         world.start_request(workload)
--- a/bench/selectors.py
+++ b/bench/selectors.py
@@ -1,4 +1,4 @@
-"""Hold ways of choosing an endpoint that were measured and not kept."""
+"""Define endpoint selectors that the bench compares with the one in use."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 
 class RandomSelector(Selector):
-    """Choose at random."""
+    """Choose a candidate at random."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self.rng = rng
 
     def choose(self, candidates: Sequence[Replica], affinity: str | None) -> Replica:
-        """Return any candidate."""
+        """Return a random candidate."""
         return self.rng.choice(candidates)
 
 
 class LoadReport(NamedTuple):
-    """Hold what an endpoint said of its load, and our own calls when it was read."""
+    """Hold an endpoint's reported load, and this box's calls in flight at `read_at`."""
 
     load: int
     own_calls: int
@@ -38,7 +38,7 @@
 
 
 class ReportedLoads:
-    """Read every endpoint's load now and then, as it was `lag_s` ago."""
+    """Poll the load of every endpoint, as it was `lag_s` ago."""
 
     def __init__(self, *, fleet: FakeFleet, lag_s: float) -> None:
         self.fleet = fleet
@@ -48,7 +48,7 @@
         self.drops_every_other = False
 
     async def run(self, replicas: dict[str, Replica]) -> None:
-        """Poll until cancelled; every other read is left out while `gap` is on."""
+        """Poll until cancelled; skip every other poll while `drops_every_other` is set."""
         reads = 0
         while True:
             reads += 1
@@ -63,32 +63,38 @@
 
 
 class LeastLoadedSelector(Selector):
-    """Choose the least load reported; boxes that trust the same late report herd."""
+    """Choose the least reported load.
+
+    Boxes that use the same late report choose the same endpoint and overload it.
+    """
 
     def __init__(self, *, rng: random.Random, loads: ReportedLoads) -> None:
         self.rng = rng
         self.reported_loads = loads
 
     def choose(self, candidates: Sequence[Replica], affinity: str | None) -> Replica:
-        """Return the candidate with the least reported load."""
+        """Return the candidate with the least reported load, at random among equals."""
         return min(candidates, key=lambda replica: (self.load_of(replica), self.rng.random()))
 
     def load_of(self, replica: Replica) -> float:
-        """Return the load as reported."""
+        """Return the reported load, or this box's calls in flight without a report."""
         report = self.reported_loads.reports.get(replica.name)
         return float(report.load if report else replica.in_flight)
 
 
 class TwoChoicesSelector(LeastLoadedSelector):
-    """Draw two candidates and take the less loaded, correcting the report by our own calls."""
+    """Choose the less loaded of two random candidates, by reports and this box's own calls."""
 
     def choose(self, candidates: Sequence[Replica], affinity: str | None) -> Replica:
-        """Return the better of two candidates."""
+        """Return the less loaded of two random candidates."""
         drawn = self.rng.sample(list(candidates), min(2, len(candidates)))
         return min(drawn, key=self.load_of)
 
     def load_of(self, replica: Replica) -> float:
-        """Return our calls and an ageing estimate of the other boxes'."""
+        """Return the calls of this box and an estimate of the others', scaled by slowness.
+
+        The estimate falls to 0 as the report reaches `MAX_REPORT_AGE_S`.
+        """
         report = self.reported_loads.reports.get(replica.name)
         if report is None:
             return replica.slowness.value * replica.in_flight
--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -1,4 +1,4 @@
-"""Run one scenario with one policy: real decisions, fake endpoints, simulated clock."""
+"""Simulate a deployment: the daemon's decision code, fake endpoints, and virtual time."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 class RequestRecord(NamedTuple):
-    """Hold what became of one request; times are in seconds."""
+    """Hold the result of one request; `busy_s` is endpoint time by service."""
 
     workspace: str
     priority: int
@@ -68,31 +68,31 @@
 
 
 class TimedSink(TokenSink):
-    """Note when tokens came."""
+    """Record the times of the tokens that arrive."""
 
     def __init__(self, *, arrived_at: float) -> None:
         self.arrived_at = arrived_at
         self.token_times: list[float] = []
 
     async def write(self, text: str) -> None:
-        """Note the time."""
+        """Record the arrival of a token."""
         self.token_times.append(asyncio.get_running_loop().time())
 
     @property
     def first_token_s(self) -> float | None:
-        """Return the time to the first token."""
+        """Return the seconds from the request's arrival to its first token."""
         return self.token_times[0] - self.arrived_at if self.token_times else None
 
     @property
     def token_gap_s(self) -> float | None:
-        """Return the mean time between tokens."""
+        """Return the mean seconds between tokens, `None` for less than two."""
         if len(self.token_times) < 2:
             return None
         return (self.token_times[-1] - self.token_times[0]) / (len(self.token_times) - 1)
 
 
 class SimulatedBox:
-    """Hold one box's decisions."""
+    """Run the decision code of one box: pools, limits, admission, claims and execution."""
 
     def __init__(self, *, name: str, world: World, seed: int) -> None:
         self.name = name
@@ -131,7 +131,7 @@
         self.tasks: set[asyncio.Task[AnyOutcome]] = set()
 
     def new_pool(self, service: str) -> ServicePool:
-        """Return a pool with the variant's policy."""
+        """Return a pool with the variant's selector and limit."""
         return ServicePool(
             service=service,
             clock=self.clock,
@@ -140,7 +140,7 @@
         )
 
     def new_selector(self) -> Selector:
-        """Return the variant's way of choosing an endpoint."""
+        """Return the variant's endpoint selector."""
         name = self.world.variant.selector
         if name == 'random':
             return RandomSelector(rng=self.rng)
@@ -151,7 +151,7 @@
         return ExpectedCompletionSelector(rng=self.rng)
 
     def new_limit(self, endpoint: Endpoint) -> ConcurrencyLimit:
-        """Return the variant's limit of an endpoint."""
+        """Return the variant's concurrency limit for an endpoint."""
         boxes = self.world.deployment.boxes
         name = self.world.variant.limit
         if name == 'none':
@@ -161,13 +161,13 @@
         return GradientLimit(concurrency=endpoint.concurrency, boxes=boxes)
 
     def replicas(self) -> dict[str, Replica]:
-        """Return what this box knows of each endpoint."""
+        """Return this box's replica state by endpoint name."""
         return {
             name: item for pool in self.pools.pools.values() for name, item in pool.replicas.items()
         }
 
     async def handle(self, request: PipelineRequest, plan: Plan, sink: TokenSink) -> Outcome:
-        """Run a request by our policy or the naive one."""
+        """Run a request by the pipeline executor, or by the naive one."""
         if not self.is_accepting:
             return Refused(RefusalReason.STOPPING, 'stopping', 0.5)
         if not self.world.variant.is_naive:
@@ -183,7 +183,7 @@
 
 
 class World:
-    """Hold boxes, endpoints, platform and what became of the requests."""
+    """Hold the boxes, endpoints and platform of a run, and the records of its requests."""
 
     def __init__(self, *, deployment: Deployment, variant: Variant, seed: int) -> None:
         self.deployment = deployment
@@ -204,7 +204,7 @@
         self.caller_retries = 0
 
     def claim_executor(self, local: LocalExecutor) -> ClaimExecutor:
-        """Let the first box write the claims of all, as daemons do."""
+        """Return an executor that forwards claims to the first box, as daemons do to owners."""
         if self.claim_owner is None:
             self.claim_owner = local
             return local
@@ -213,11 +213,11 @@
         )
 
     def new_id(self) -> str:
-        """Return a fresh identifier."""
+        """Return a new identifier, unique in this world."""
         return f'id{next(self.id_numbers)}'
 
     async def start(self) -> None:
-        """Start the boxes' background work and wait for their first view."""
+        """Start the boxes' background tasks and wait until they have a configuration."""
         loop = asyncio.get_running_loop()
         self.background_tasks = []
         for box in self.boxes:
@@ -230,7 +230,7 @@
                 )
 
     async def stop(self) -> None:
-        """Let the last requests end, then end the background work."""
+        """Wait for the requests in progress, then cancel the background tasks."""
         while self.request_tasks:
             await asyncio.wait(set(self.request_tasks))
         for task in self.background_tasks:
@@ -238,13 +238,13 @@
         await asyncio.gather(*self.background_tasks, return_exceptions=True)
 
     def start_request(self, workload: Workload) -> None:
-        """Let one request arrive, without waiting for it."""
+        """Start one request as a task."""
         task = asyncio.get_running_loop().create_task(self.send_with_retries(workload))
         self.request_tasks.add(task)
         task.add_done_callback(self.request_tasks.discard)
 
     async def send_with_retries(self, workload: Workload) -> None:
-        """Ask as a caller does, again if the caller is one that retries."""
+        """Send a request and its retries as a caller does, and record the result."""
         loop = asyncio.get_running_loop()
         arrived_at = loop.time()
         busy_by_service: dict[str, float] = {}
@@ -279,7 +279,7 @@
     async def send_once(
         self, box: SimulatedBox, workload: Workload, sink: TimedSink, arrived_at: float
     ) -> tuple[str, Outcome]:
-        """Send one request to a box."""
+        """Send one attempt to a box and return its identifier and outcome."""
         result = box.view.plan(workload.workspace, 'main')
         assert result is not None
         plan = result.unwrap()
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,4 @@
-"""Measure what one box's control work costs, piece by piece, on this machine."""
+"""Measure the control cost of one box by operation, on this machine."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Measurement(NamedTuple):
-    """Hold one measured figure with its unit."""
+    """Hold one figure with its printed name and unit."""
 
     name: str
     value: float
@@ -43,24 +43,24 @@
 
 
 class CapturingTransport(PeerTransport):
-    """Keep what is sent, send nothing."""
+    """Record messages instead of sending them."""
 
     def __init__(self) -> None:
         self.sent: list[bytes] = []
 
     def send(self, address: str, data: bytes) -> None:
-        """Keep a message."""
+        """Record a message."""
         self.sent.append(data)
 
     def listen(self, handler: Callable[[bytes], None]) -> None:
-        """Ignore the handler."""
+        """Ignore the handler, since no message arrives."""
 
     def drop_connection(self, address: str) -> None:
-        """Do nothing: there is no connection."""
+        """Do nothing, since there is no connection."""
 
 
 def new_member(number: int) -> MemberInfo:
-    """Return a box of a large fleet."""
+    """Return the member information of one box of a large fleet."""
     return MemberInfo(
         f'box-{number:05d}',
         f'domain-{number % FAILURE_DOMAINS}',
@@ -72,7 +72,7 @@
 
 
 def new_endpoint(number: int) -> Endpoint:
-    """Return a replica of a large fleet."""
+    """Return one engine endpoint of a large fleet."""
     return Endpoint(
         f'model-{number % MODEL_COUNT}-{number:05d}',
         f'model-{number % MODEL_COUNT}',
@@ -84,20 +84,20 @@
 
 
 def new_updates(workspaces: int, pipelines: int, endpoints: int) -> list[ViewUpdate]:
-    """Return a large configuration."""
+    """Return the updates that load a configuration of a given size."""
     updates = [ViewUpdate(f'config/templates/{name}', 1, spec) for name, spec in TEMPLATES.items()]
     for number in range(endpoints):
         item = new_endpoint(number)
         updates.append(ViewUpdate(f'config/endpoints/{item.name}', 1, endpoint_spec(item)))
     for number in range(workspaces):
-        for which in range(pipelines):
-            spec = {**pipeline_spec('answer', workspace=f'w{number}'), 'name': f'p{which}'}
-            updates.append(ViewUpdate(f'config/pipelines/w{number}/p{which}', 1, spec))
+        for index in range(pipelines):
+            spec = {**pipeline_spec('answer', workspace=f'w{number}'), 'name': f'p{index}'}
+            updates.append(ViewUpdate(f'config/pipelines/w{number}/p{index}', 1, spec))
     return updates
 
 
 class ControlState:
-    """Hold the control state of one box, as the daemon does."""
+    """Hold the control state that the daemon keeps on one box."""
 
     def __init__(self) -> None:
         self.clock = VirtualClock()
@@ -119,7 +119,7 @@
         )
 
     def new_pool(self, service: str) -> ServicePool:
-        """Return a pool."""
+        """Return a pool with a fixed limit for each endpoint."""
         return ServicePool(
             service=service,
             clock=self.clock,
@@ -129,7 +129,7 @@
 
 
 def cpu_time_s(call: Callable[[], Any], repeats: int) -> float:
-    """Return the processor seconds that one call takes."""
+    """Return the mean processor seconds of a call, after one call as warm-up."""
     call()
     started = time.process_time()
     for _ in range(repeats):
@@ -138,7 +138,7 @@
 
 
 async def measure_state(objects: tuple[int, int, int]) -> list[Measurement]:
-    """Measure memory and time of a whole configuration."""
+    """Measure the memory, wire size and load time of a configuration per object."""
     updates = new_updates(*objects)
     gc.collect()
     tracemalloc.start()
@@ -163,7 +163,7 @@
 
 
 async def measure_changes(objects: tuple[int, int, int]) -> list[Measurement]:
-    """Measure what one change costs a box that holds a large configuration."""
+    """Measure the cost of one change at a box that holds a large configuration."""
     control = ControlState()
     updates = new_updates(*objects)
     control.view.apply_all(updates)
@@ -187,7 +187,7 @@
 
 
 async def measure_members(count: int) -> list[Measurement]:
-    """Measure what heartbeats cost a box that knows so many others."""
+    """Measure the cost of heartbeats and of the role's choice in a fleet of `count` boxes."""
     control = ControlState()
     for number in range(1, count):
         control.members.on_heard(new_member(number), 0.0, direct=True)
@@ -208,7 +208,7 @@
 
 
 async def measure_bucket_comparison() -> list[Measurement]:
-    """Measure a repair's first step."""
+    """Measure the first step of a repair between two boxes, the comparison of buckets."""
     view = ConfigView()
     index = BucketIndex(view=view)
     view.apply_all([ViewUpdate(f'config/k{n}', 1, {}) for n in range(10_000)])
@@ -221,7 +221,7 @@
 
 
 async def measure_subset(replicas_per_model: int, boxes: int) -> list[Measurement]:
-    """Measure how even subsets are and how much a change moves."""
+    """Measure how evenly subsets cover the replicas and how much one departure moves."""
     endpoints = [
         item
         for item in map(new_endpoint, range(replicas_per_model * MODEL_COUNT))
@@ -253,16 +253,16 @@
 def measure_all(
     objects: tuple[int, int, int], boxes: int, replicas_per_model: int
 ) -> list[Measurement]:
-    """Return every slope."""
+    """Return the results of all measurements."""
 
-    async def everything() -> list[Measurement]:
-        found = await measure_state(objects)
-        found += await measure_changes(objects)
+    async def measure() -> list[Measurement]:
+        measurements = await measure_state(objects)
+        measurements += await measure_changes(objects)
         for count in (boxes // 16, boxes // 4, boxes):
-            found += await measure_members(count)
-        found += await measure_bucket_comparison()
-        found += await measure_subset(replicas_per_model, boxes)
+            measurements += await measure_members(count)
+        measurements += await measure_bucket_comparison()
+        measurements += await measure_subset(replicas_per_model, boxes)
         await asyncio.sleep(0)
-        return found
+        return measurements
 
-    return run_virtual(everything())
+    return run_virtual(measure())
--- a/bench/spreading.py
+++ b/bench/spreading.py
@@ -1,4 +1,4 @@
-"""Measure how changes spread and what that costs, with many boxes in one process."""
+"""Measure delay and cost of spreading changes among many boxes in one process."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 class SpreadFigures(NamedTuple):
-    """Hold what one fleet did; times in seconds, bytes and calls a second."""
+    """Hold the figures of one fleet.
+
+    Bytes are per second and box, on average or at the busiest box; calls per second in total.
+    """
 
     boxes: int
     domains: int
@@ -35,23 +38,23 @@
 
 
 def percentile(values: Sequence[float], fraction: float) -> float:
-    """Return a percentile."""
-    found = sorted(values)
-    return found[min(len(found) - 1, int(fraction * len(found)))]
+    """Return a percentile of at least one value."""
+    ordered = sorted(values)
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 def sent_bytes(fleet: PeerFleet) -> dict[str, int]:
-    """Return the bytes that each box has sent."""
+    """Return the bytes that each box has sent so far."""
     return {name: box.gossip.counts.sent_bytes for name, box in fleet.boxes.items()}
 
 
 def platform_calls(fleet: PeerFleet) -> int:
-    """Return the platform calls so far, a watch counted when it begins."""
+    """Return the platform calls so far; a watch counts when it starts."""
     return fleet.state.counts.total()
 
 
 async def simulate_fleet(count: int) -> SpreadFigures:
-    """Measure one fleet: idle, under changes, with relays killed, with half the domains cut."""
+    """Measure a fleet when idle, under changes, and with relays or failure domains lost."""
     domains = max(2, count // BOXES_PER_DOMAIN)
     fleet = PeerFleet(count=count, domains=domains)
     await fleet.start(15.0)
@@ -88,21 +91,21 @@
 
 
 async def measure_delays(fleet: PeerFleet, key: str, version: int) -> list[float]:
-    """Return each box's time until a version is in force, shortest first."""
+    """Return the seconds until each box has a version, shortest first, 30 at most."""
     loop = asyncio.get_running_loop()
     started = loop.time()
     waiting = set(fleet.boxes)
-    found: list[float] = []
+    delays_s: list[float] = []
     while waiting and loop.time() - started < 30.0:
         done = {name for name in waiting if fleet.boxes[name].view.version(key) >= version}
-        found += [loop.time() - started] * len(done)
+        delays_s += [loop.time() - started] * len(done)
         waiting -= done
         await asyncio.sleep(0.01)
-    return found + [30.0] * len(waiting)
+    return delays_s + [30.0] * len(waiting)
 
 
 async def delay_with_relays_killed(fleet: PeerFleet) -> float:
-    """Kill every relay at the moment of a change and return the worst delay."""
+    """Kill all relays right before a change and return the longest delay."""
     for name in fleet.relays():
         await fleet.boxes.pop(name).kill()
     version = fleet.put('config/endpoints/killed', 1)
@@ -110,17 +113,17 @@
 
 
 async def delay_with_domains_cut(fleet: PeerFleet) -> float:
-    """Cut half of the domains from the platform and return the worst delay of a change."""
+    """Cut half of the failure domains off the platform and return a change's longest delay."""
     await asyncio.sleep(10)
-    domain = {record.name: record.failure_domain for record in fleet.records}
-    names = sorted(set(domain.values()))
-    cut = set(names[: len(names) // 2])
+    domain_by_box = {record.name: record.failure_domain for record in fleet.records}
+    names = sorted(set(domain_by_box.values()))
+    cut_domains = set(names[: len(names) // 2])
     for name, box in fleet.boxes.items():
-        box.store.cut = domain[name] in cut
+        box.store.cut = domain_by_box[name] in cut_domains
     version = fleet.put('config/endpoints/cut', 1)
     return max(await measure_delays(fleet, 'config/endpoints/cut', version))
 
 
 def measure_fleet(count: int) -> SpreadFigures:
-    """Measure a fleet on virtual time."""
+    """Run `simulate_fleet` on virtual time."""
     return run_virtual(simulate_fleet(count))
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -1,4 +1,4 @@
-"""Name the policies that the bench compares: the naive one, ours, and ours with one change."""
+"""Define the policies that the bench compares: naive, ours, and ours with one change."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Variant(NamedTuple):
-    """Hold one policy as a set of choices."""
+    """Hold the settings of one policy; `retry_share` is the retries earned per success."""
 
     name: str
     is_naive: bool = False
