--- a/bench/permits.py
+++ b/bench/permits.py
@@ -195,14 +195,14 @@
     loop = asyncio.get_running_loop()
     rng = random.Random(2)
     calls: list[tuple[float, str]] = []
-    waits: list[float] = []
+    waits_s: list[float] = []
 
     async def request(box: int) -> None:
         requested_at = loop.time()
         replica = await strategy.acquire(box)
         if replica:
             calls.append((loop.time(), replica))
-            waits.append(loop.time() - requested_at)
+            waits_s.append(loop.time() - requested_at)
 
     tasks = []
     while loop.time() < WARM_UP_S + MEASURED_S:
@@ -225,7 +225,7 @@
         max_calls=max_calls,
         tolerated_calls=1.5 * WINDOW_S * per_s + 5,
         utilization=len(measured_calls) / (per_s * replica_count * MEASURED_S),
-        mean_wait_ms=1000 * statistics.fmean(waits) if waits else 0.0,
+        mean_wait_ms=1000 * statistics.fmean(waits_s) if waits_s else 0.0,
         max_messages_per_s=max((len(item) for item in message_sizes), default=0)
         / (WARM_UP_S + MEASURED_S),
         max_bytes_per_s=max((sum(item) for item in message_sizes), default=0)
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -156,19 +156,19 @@
     """Return a line for each target that the medians of one scenario miss."""
     missed = []
 
-    def target(name: str, value: float, bound: float, *, at_least: bool) -> None:
+    def check_target(name: str, value: float, bound: float, *, at_least: bool) -> None:
         if (value < bound) if at_least else (value > bound):
             missed.append(f'{label}: {name} {value:.3f}, target {bound:.3f}')
 
     attained = ours['attainment'].median
-    target('attainment against naive', attained, naive['attainment'].median, at_least=True)
-    target('thrown away', ours['thrown_away'].median, 0.05, at_least=False)
+    check_target('attainment against naive', attained, naive['attainment'].median, at_least=True)
+    check_target('thrown away', ours['thrown_away'].median, 0.05, at_least=False)
     if scenario == 'overload':
-        target('goodput', ours['goodput'].median, 0.9, at_least=True)
+        check_target('goodput', ours['goodput'].median, 0.9, at_least=True)
     if scenario == 'slow-replica':
-        target('attainment', attained, healthy['attainment'].median - 0.02, at_least=True)
+        check_target('attainment', attained, healthy['attainment'].median - 0.02, at_least=True)
     if scenario == 'steady':
-        target('cost', ours['cost_ms'].median, naive['cost_ms'].median, at_least=False)
+        check_target('cost', ours['cost_ms'].median, naive['cost_ms'].median, at_least=False)
     return missed
 
 
