--- a/bench/restored.py
+++ b/bench/restored.py
@@ -1,4 +1,6 @@
-"""Compare ways to follow a store that comes back from a copy, on drawn schedules in virtual time.
+"""Compare strategies of boxes that follow a store which is restored from a snapshot.
+
+Schedules of changes and outages are drawn at random and run on virtual time:
 
 python -m bench.restored --boxes 8,60 --schedules 40
 """
@@ -27,158 +29,165 @@
 
     from testkit.gateway import FleetBox
 
-HELP_BOXES = 'Sizes of fleets, separated by commas.'
-HELP_SCHEDULES = 'How many schedules to draw for each size.'
+HELP_BOXES = 'Fleet sizes in boxes, separated by commas.'
+HELP_SCHEDULES = 'Number of random schedules for each size.'
 
-STEP_S = 0.1
-DRAIN_S = 2.0
-AFTER_S = 14.0
-"""How long a schedule goes on after the store's return."""
+TOLERATED_DELAY_S = 0.1
+DRAIN_ALLOWANCE_S = 2.0
+AFTER_RETURN_S = 14.0
+"""How long a schedule continues after the store is back."""
 
 REPLICAS = 24
 DESK = 'desk'
 
 
-class Way(ABC):
-    """Say how boxes follow the store."""
+class FollowStrategy(ABC):
+    """Define how boxes order the store's states and treat its records after a restore."""
 
     name: str
 
     @abstractmethod
     def set_up(self, box: FleetBox) -> None:
-        """Have a box that was not started yet follow the store so."""
+        """Prepare a box that has not been started."""
 
 
-class WithEras(Way):
-    """Order by era, and keep what was acknowledged."""
+class EraOrder(FollowStrategy):
+    """Order states by era and revision, and keep the changes seen before the restore."""
 
     name = 'eras, kept'
 
     def set_up(self, box: FleetBox) -> None:
-        """Leave the box as it is."""
+        """Leave the box unchanged: this is the strategy of the gateway."""
 
 
-class AsListed(Way):
-    """Order by era, and take the first list as after an outage."""
+class FirstListTrusted(FollowStrategy):
+    """Order states by era and revision, and apply the first list after the restore at once."""
 
     name = 'eras, as listed'
 
     def set_up(self, box: FleetBox) -> None:
-        """Take what holds back and keeps out of the way."""
+        """Connect the feeds to the record handler directly, without the restore filter."""
         for feed in box.box.feeds.values():
             feed.handler = box.box.records
 
 
-class ByRevision(Way):
-    """Order by revision alone."""
+class RevisionOrder(FollowStrategy):
+    """Order states by revision alone."""
 
     name = 'revisions'
 
     def set_up(self, box: FleetBox) -> None:
-        """Hide the era from the box."""
+        """Give the box a store client that hides the era."""
         box.box.store = box.store = EralessClient(store=box.store.store)
         for feed in box.box.feeds.values():
             feed.store = box.store
 
 
 class EralessClient(FakeStoreClient):
-    """Give one box the store without its eras."""
+    """Store client that reports every position with era 0."""
 
     async def list(self, kind: RecordKind) -> Listing:
-        """Return every record."""
-        found = await super().list(kind)
-        return found._replace(position=Position(0, found.position.revision))
+        """Return all records of a kind, at a position of era 0."""
+        result = await super().list(kind)
+        return result._replace(position=Position(0, result.position.revision))
 
     async def watch(self, kind: RecordKind, revision: int, wait_s: float) -> Changes:
-        """Return what has changed."""
-        found = await super().watch(kind, revision, wait_s)
-        return found._replace(position=Position(0, found.position.revision))
+        """Return the changes after a revision, at a position of era 0."""
+        result = await super().watch(kind, revision, wait_s)
+        return result._replace(position=Position(0, result.position.revision))
+
 
+class AcknowledgedChange(NamedTuple):
+    """Hold a change that the store has acknowledged.
 
-class Acknowledged(NamedTuple):
-    """Hold a change that the store has acknowledged: a replica's state, or a configuration."""
+    It concerns one replica, or the configuration if `version` is not 0.
+    """
 
-    at: float
+    acknowledged_at: float
     replica: str
-    leaves: bool
+    removes_replica: bool
     version: int
 
 
 class Figures:
-    """Hold what a schedule showed; times are seconds, sums are over boxes."""
+    """Hold the figures of schedules; `stale_use_s` and `unused_s` are sums over boxes.
+
+    `max_delay_s` is the longest time until a change was in force at a box. A box-second counts as
+    stale use if a removed replica is still called, as unused if a present one is not called.
+    """
 
     def __init__(self) -> None:
-        self.force_s = 0.0
-        self.left_s = 0.0
-        self.unknown_s = 0.0
-        self.calls = 0.0
+        self.max_delay_s = 0.0
+        self.stale_use_s = 0.0
+        self.unused_s = 0.0
+        self.store_calls = 0.0
 
-    def join(self, other: Figures) -> None:
-        """Take another schedule's figures in."""
-        self.force_s = max(self.force_s, other.force_s)
-        self.left_s += other.left_s
-        self.unknown_s += other.unknown_s
-        self.calls += other.calls
+    def add(self, other: Figures) -> None:
+        """Add the figures of another schedule, with the larger of the two delays."""
+        self.max_delay_s = max(self.max_delay_s, other.max_delay_s)
+        self.stale_use_s += other.stale_use_s
+        self.unused_s += other.unused_s
+        self.store_calls += other.store_calls
 
 
 class Schedule:
-    """Play one drawn schedule."""
+    """Run one schedule of changes, with a restore, that the seed determines."""
 
-    def __init__(self, *, way: Way, boxes: int, seed: int) -> None:
+    def __init__(self, *, strategy: FollowStrategy, boxes: int, seed: int) -> None:
         self.rng = random.Random(seed)
         self.fleet = NoticeFleet(count=boxes)
         for box in self.fleet.boxes.values():
-            way.set_up(box)
-        self.acknowledged: list[Acknowledged] = []
+            strategy.set_up(box)
+        self.acknowledged: list[AcknowledgedChange] = []
         self.version = 1
-        self.names = [f'desk-{number}' for number in range(10, 10 + REPLICAS)]
+        self.replica_names = [f'desk-{number}' for number in range(10, 10 + REPLICAS)]
         self.figures = Figures()
         self.returned_at = float('inf')
 
     def now(self) -> float:
-        """Return the loop's time."""
+        """Return the event loop's time in seconds."""
         return asyncio.get_running_loop().time()
 
-    def change(self) -> None:
-        """Have the store acknowledge one drawn change."""
+    def make_change(self) -> None:
+        """Make one random change in the store and record it as acknowledged."""
         kind = self.rng.choice(('announce', 'drain', 'withdraw', 'configure', 'configure'))
-        held = self.fleet.store.records[RecordKind.REPLICA]
-        known = [name for name in self.names if name in held]
-        if kind == 'configure' or not known:
+        records = self.fleet.store.records[RecordKind.REPLICA]
+        known_names = [name for name in self.replica_names if name in records]
+        if kind == 'configure' or not known_names:
             self.version += 1
             self.fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(self.version))
-            self.acknowledged.append(Acknowledged(self.now(), '', False, self.version))
+            self.acknowledged.append(AcknowledgedChange(self.now(), '', False, self.version))
             return
         if kind == 'announce':
             name = f'desk-{100 + len(self.acknowledged)}'
             self.fleet.announce(Replica(name, DESK, f'{name}:1', 'north', 6, False))
         elif kind == 'drain':
-            name = self.names.pop(self.names.index(self.rng.choice(known)))
-            entry = held[name]
+            name = self.replica_names.pop(self.replica_names.index(self.rng.choice(known_names)))
+            entry = records[name]
             assert isinstance(entry, Replica)
             self.fleet.announce(entry._replace(draining=True))
         else:
-            name = self.names.pop(self.names.index(self.rng.choice(known)))
+            name = self.replica_names.pop(self.replica_names.index(self.rng.choice(known_names)))
             self.fleet.withdraw(name)
-        self.acknowledged.append(Acknowledged(self.now(), name, kind != 'announce', 0))
+        self.acknowledged.append(AcknowledgedChange(self.now(), name, kind != 'announce', 0))
 
-    async def changes(self, for_s: float) -> None:
-        """Have changes come for a while."""
-        ends_at = self.now() + for_s
+    async def make_changes(self, duration_s: float) -> None:
+        """Make random changes for a time, except while the store is down."""
+        ends_at = self.now() + duration_s
         while self.now() < ends_at:
-            await asyncio.sleep(min(self.rng.expovariate(1.5), for_s))
+            await asyncio.sleep(min(self.rng.expovariate(1.5), duration_s))
             if not self.fleet.store.down:
-                self.change()
+                self.make_change()
 
-    def is_in_force(self, box: FleetBox, item: Acknowledged) -> bool:
-        """Tell whether a box goes by a change."""
+    def is_in_force(self, box: FleetBox, item: AcknowledgedChange) -> bool:
+        """Tell whether a box applies a change."""
         if item.version:
             return box.box.config_version() >= item.version
         usable = any(item.replica == known.id for known in box.box.replicas.usable(DESK))
-        return usable != item.leaves
+        return usable != item.removes_replica
 
-    async def sample(self) -> None:
-        """Look again and again which changes are in force where."""
+    async def run_sampling(self) -> None:
+        """Check at every tick which changes are late at which box, until cancelled."""
         while True:
             now = self.now()
             for box in self.fleet.boxes.values():
@@ -186,59 +195,64 @@
                 late = [
                     item
                     for item in self.acknowledged
-                    if now - item.at > STEP_S and not self.is_in_force(box, item)
+                    if now - item.acknowledged_at > TOLERATED_DELAY_S
+                    and not self.is_in_force(box, item)
                 ]
-                self.note(late, now)
+                self.record_late_changes(late, now)
             await asyncio.sleep(TICK_INTERVAL_S)
 
-    def note(self, late: list[Acknowledged], now: float) -> None:
-        """Note changes that a box does not go by; what is down excuses the time that it is."""
+    def record_late_changes(self, late: list[AcknowledgedChange], now: float) -> None:
+        """Count the late changes of one box, but not the time that the store is down."""
         if self.fleet.store.down:
             return
         for item in late:
-            since = max(item.at, self.returned_at) if now >= self.returned_at else item.at
-            self.figures.force_s = max(self.figures.force_s, now - since)
-            if item.leaves and now - since > DRAIN_S:
-                self.figures.left_s += TICK_INTERVAL_S
-            elif item.replica and not item.leaves:
-                self.figures.unknown_s += TICK_INTERVAL_S
-
-    async def play(self) -> Figures:
-        """Play it."""
+            since = (
+                max(item.acknowledged_at, self.returned_at)
+                if now >= self.returned_at
+                else item.acknowledged_at
+            )
+            self.figures.max_delay_s = max(self.figures.max_delay_s, now - since)
+            if item.removes_replica and now - since > DRAIN_ALLOWANCE_S:
+                self.figures.stale_use_s += TICK_INTERVAL_S
+            elif item.replica and not item.removes_replica:
+                self.figures.unused_s += TICK_INTERVAL_S
+
+    async def run(self) -> Figures:
+        """Run the schedule and return its figures."""
         fleet, rng = self.fleet, self.rng
-        for name in self.names:
+        for name in self.replica_names:
             fleet.announce(Replica(name, DESK, f'{name}:1', 'north', 6, False))
         await fleet.start()
         await asyncio.sleep(2.0)
-        sampling = asyncio.create_task(self.sample())
-        await self.changes(2.0)
-        copy = fleet.store.copy()
-        await self.changes(rng.uniform(0.5, 10.0))
-        before = sum(box.store.calls for box in fleet.boxes.values())
-        away_s, again_s = rng.uniform(0.0, 5.0), rng.uniform(0.0, 2.0)
-        back = asyncio.create_task(fleet.store.go_back(copy, away_s, again_s))
-        await asyncio.sleep(away_s + STEP_S)
-        self.returned_at = self.now() - STEP_S
-        await self.changes(3.0)
-        await asyncio.sleep(AFTER_S - 3.0)
-        await back
+        sampling = asyncio.create_task(self.run_sampling())
+        await self.make_changes(2.0)
+        snapshot = fleet.store.copy()
+        await self.make_changes(rng.uniform(0.5, 10.0))
+        calls_before = sum(box.store.calls for box in fleet.boxes.values())
+        down_s, rewrite_delay_s = rng.uniform(0.0, 5.0), rng.uniform(0.0, 2.0)
+        restoring = asyncio.create_task(fleet.store.go_back(snapshot, down_s, rewrite_delay_s))
+        await asyncio.sleep(down_s + TOLERATED_DELAY_S)
+        self.returned_at = self.now() - TOLERATED_DELAY_S
+        await self.make_changes(3.0)
+        await asyncio.sleep(AFTER_RETURN_S - 3.0)
+        await restoring
         sampling.cancel()
-        calls = sum(box.store.calls for box in fleet.boxes.values()) - before
-        self.figures.calls = calls / len(fleet.boxes)
+        calls = sum(box.store.calls for box in fleet.boxes.values()) - calls_before
+        self.figures.store_calls = calls / len(fleet.boxes)
         await fleet.stop()
         return self.figures
 
 
-async def play(way: Way, boxes: int, seed: int) -> Figures:
-    """Play one schedule."""
-    return await Schedule(way=way, boxes=boxes, seed=seed).play()
+async def run_schedule(strategy: FollowStrategy, boxes: int, seed: int) -> Figures:
+    """Create and run one schedule in the current loop."""
+    return await Schedule(strategy=strategy, boxes=boxes, seed=seed).run()
 
 
-def measure(way: Callable[[], Way], boxes: int, schedules: int) -> Figures:
-    """Play many schedules."""
+def measure(new_strategy: Callable[[], FollowStrategy], boxes: int, schedules: int) -> Figures:
+    """Return the figures of the schedules of all seeds together."""
     total = Figures()
     for seed in range(schedules):
-        total.join(run_virtual(play(way(), boxes, seed)))
+        total.add(run_virtual(run_schedule(new_strategy(), boxes, seed)))
     return total
 
 
@@ -246,16 +260,17 @@
     boxes: Annotated[str, typer.Option(help=HELP_BOXES)] = '8,60',
     schedules: Annotated[int, typer.Option(help=HELP_SCHEDULES)] = 40,
 ) -> None:
-    """Print a line for each way and size."""
+    """Print a line for each strategy and fleet size."""
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
     print('boxes, way: longest to force; box-seconds a schedule in which a replica is called that')
     print('left over 2 s ago; in which one is not called that is there; calls to the store a box')
     for count in (int(item) for item in boxes.split(',')):
-        for way in (ByRevision, AsListed, WithEras):
-            found = measure(way, count, schedules)
+        for strategy in (RevisionOrder, FirstListTrusted, EraOrder):
+            figures = measure(strategy, count, schedules)
             print(
-                f'{count}, {way.name}: {found.force_s:.1f} s; {found.left_s / schedules:.2f}; '
-                f'{found.unknown_s / schedules:.2f}; {found.calls / schedules:.0f}',
+                f'{count}, {strategy.name}: {figures.max_delay_s:.1f} s; '
+                f'{figures.stale_use_s / schedules:.2f}; '
+                f'{figures.unused_s / schedules:.2f}; {figures.store_calls / schedules:.0f}',
                 flush=True,
             )
 
