--- a/packages/core/calicopath_core/config/parsers.py
+++ b/packages/core/calicopath_core/config/parsers.py
@@ -117,7 +117,7 @@
     Also check the number of stages, and that at most one is marked not repeatable.
     """
     if len(stages) > MAX_STAGES:
-        problems.add('stages', f'must have at most {MAX_STAGES} stages')
+        problems.add('stages', f'at most {MAX_STAGES} stages')
     known = {parameter.name for parameter in parameters}
     names: set[str] = set()
     for index, stage in enumerate(stages):
--- a/packages/core/calicopath_core/config/plans.py
+++ b/packages/core/calicopath_core/config/plans.py
@@ -32,9 +32,7 @@
     values = resolve_parameters(spec, template, problems)
     needed_ms = sum(stage.expected_ms for stage in template.stages)
     if spec.deadline_ms < needed_ms:
-        problems.add(
-            'deadline_ms', f'{spec.deadline_ms} is below the {needed_ms} that the stages need'
-        )
+        problems.add('deadline_ms', f"{spec.deadline_ms} is below the stages' {needed_ms}")
     if problems.problems:
         return Failure(problems.problems)
     stages = tuple(resolve_stage(stage, values) for stage in template.stages)
--- a/packages/core/calicopath_core/config/tests/documents_tests.py
+++ b/packages/core/calicopath_core/config/tests/documents_tests.py
@@ -51,9 +51,7 @@
 
     def test_a_deadline_below_what_the_stages_need_is_an_error(self) -> None:
         found = problems_of({**pipeline_spec('answer'), 'deadline_ms': 20})
-        self.assertEqual(
-            ['file.yaml: deadline_ms: 20 is below the 330 that the stages need'], found
-        )
+        self.assertEqual(["file.yaml: deadline_ms: 20 is below the stages' 330"], found)
 
     def test_unknown_and_missing_and_wrongly_typed_parameters_are_errors(self) -> None:
         stage = {'name': 's', 'kind': 'encoder', 'service': 'encoders', 'expected_ms': 5}
--- a/packages/core/calicopath_core/execution/admission.py
+++ b/packages/core/calicopath_core/execution/admission.py
@@ -41,7 +41,7 @@
         if now + unloaded_s > deadline:
             return Refused(
                 RefusalReason.DEADLINE_TOO_SHORT,
-                f'the stages need {unloaded_s:.3f} s when unloaded',
+                f'the stages need {unloaded_s:.3f} s when idle',
                 None,
             )
         for stage in plan.stages:
@@ -56,7 +56,7 @@
     def check_load(self, plan: Plan, priority: int, now: float, deadline: float) -> Refused | None:
         """Refuse a request that the current load would make late; suggest when to retry."""
         if self.lag.is_too_high:
-            detail = f'the event loop of this box lags by {self.lag.value_s:.3f} s'
+            detail = f'this box is {self.lag.value_s:.3f} s behind'
             return Refused(RefusalReason.OVERLOADED, detail, LAGGING_BOX_RETRY_S)
         needed_s = self.estimated_response_s(plan, priority)
         excess_s = now + needed_s * self.margin - deadline
@@ -64,7 +64,7 @@
             return None
         return Refused(
             RefusalReason.OVERLOADED,
-            f'the estimated response time is {needed_s:.3f} s under the current load',
+            f'{needed_s:.3f} s would be needed',
             max(MIN_RETRY_AFTER_S, excess_s),
         )
 
--- a/packages/core/calicopath_core/execution/attempts.py
+++ b/packages/core/calicopath_core/execution/attempts.py
@@ -124,7 +124,7 @@
     """Raise `StageFailed` if the request is blocked for crashing the stage's endpoints."""
     wait_s = context.crashes.blocked_s(run.content, [budget.stage.service])
     if wait_s is not None:
-        detail = f'this request is blocked: it crashes endpoints of stage {budget.stage.name!r}'
+        detail = f'endpoints of stage {budget.stage.name!r} end under this request'
         raise StageFailed(FailureReason.CRASHES_ENDPOINTS, detail, retry_after_s=wait_s)
 
 
@@ -164,7 +164,7 @@
     if isinstance(last, NotStarted):
         detail = f'no endpoint of stage {budget.stage.name!r} could be reached'
     else:
-        detail = f'an endpoint of stage {budget.stage.name!r} gave no complete answer'
+        detail = f'an endpoint of stage {budget.stage.name!r} gave no whole answer'
     return StageFailed(reason, detail, retry_after_s=FAILED_STAGE_RETRY_S, cause=str(last))
 
 
--- a/packages/core/calicopath_core/execution/executor.py
+++ b/packages/core/calicopath_core/execution/executor.py
@@ -89,7 +89,7 @@
         wait_s = self.context.crashes.blocked_s(run.content, services)
         if wait_s is None:
             return None
-        detail = 'this request crashes endpoints and is blocked for now'
+        detail = 'endpoints end under this request; it is not sent on for now'
         return Refused(RefusalReason.CRASHES_ENDPOINTS, detail, wait_s)
 
     async def run_claimed(self, run: PipelineRun) -> Outcome:
@@ -213,26 +213,20 @@
     """
     if claim is None:
         return Failed(
-            FailureReason.ALREADY_CLAIMED,
-            'the key is too old to tell whether its request ran',
-            None,
+            FailureReason.ALREADY_CLAIMED, 'the key is too old to tell whether it ran', None
         )
     if claim['body'] != run.request.body_digest:
         return Refused(
-            RefusalReason.KEY_REUSED, 'the key was used before for a different request', None
+            RefusalReason.KEY_REUSED, 'the key was used before with another request', None
         )
     if claim['state'] == ClaimState.STARTED:
         return Failed(
-            FailureReason.ALREADY_CLAIMED,
-            'a request with this key was already started and has no answer yet',
-            CLAIM_RETRY_S,
+            FailureReason.ALREADY_CLAIMED, 'the request was started before', CLAIM_RETRY_S
         )
     answer = claim.get('answer')
     if answer is None:
         return Failed(
-            FailureReason.ANSWER_NOT_KEPT,
-            'the request ran, but its answer was too large to keep',
-            None,
+            FailureReason.ANSWER_NOT_KEPT, 'the request ran; its answer was too large to keep', None
         )
     return Answered(
         output=answer['output'],
