--- a/bench/permits.py
+++ b/bench/permits.py
@@ -16,7 +16,7 @@
 from calicopath_core.membership.messages import encode
 from calicopath_core.permits.buckets import PermitBucket
 from calicopath_core.permits.client import PermitClient
-from calicopath_core.permits.holder import LimitIssuer, PermitObserver
+from calicopath_core.permits.issuer import LimitIssuer, PermitObserver
 from calicopath_core.permits.limits import AdvertisedLimits
 from calicopath_core.permits.messages import PermitAnswer, PermitRequest
 from testkit.virtual import VirtualClock, run_virtual
--- a/packages/core/calicopath_core/claims/tests/forwarding_tests.py
+++ b/packages/core/calicopath_core/claims/tests/forwarding_tests.py
@@ -48,13 +48,13 @@
     def new_boxes(self, state: StoreState, count: int) -> tuple[list[ClaimRegistry], FakePeers]:
         """Return registries that all forward to one owner, and the network between them."""
         owner = new_registry(state, 'owner')
-        peers = FakePeers(owner=owner.local)
+        shard_owners = FakePeers(owner=owner.local)
         boxes = []
         for number in range(count):
             box = new_registry(state, f'box{number}-')
-            box.executor = ForwardingExecutor(local=box.local, shard_owners=peers)
+            box.executor = ForwardingExecutor(local=box.local, shard_owners=shard_owners)
             boxes.append(box)
-        return boxes, peers
+        return boxes, shard_owners
 
     def test_claims_of_many_boxes_share_few_updates(self) -> None:
         async def scenario() -> None:
@@ -75,8 +75,8 @@
         async def scenario() -> None:
             for fault in ('lose_request', 'lose_reply'):
                 state = StoreState()
-                boxes, peers = self.new_boxes(state, 2)
-                setattr(peers, fault, True)
+                boxes, shard_owners = self.new_boxes(state, 2)
+                setattr(shard_owners, fault, True)
                 first = await boxes[0].claim(key(), 'body', 1)
                 second = await boxes[1].claim(key(), 'body', 1)
                 self.assertIsInstance(first, Granted)
@@ -87,8 +87,8 @@
     def test_a_forwarded_claim_given_up_on_is_given_back(self) -> None:
         async def scenario() -> None:
             state = StoreState()
-            boxes, peers = self.new_boxes(state, 2)
-            peers.lose_reply = True
+            boxes, shard_owners = self.new_boxes(state, 2)
+            shard_owners.lose_reply = True
             with self.assertRaises(StoreUnavailable):
                 await boxes[0].claim(key(), 'body', 0.1)
             await asyncio.sleep(1)
--- a/packages/core/calicopath_core/crashes/guard.py
+++ b/packages/core/calicopath_core/crashes/guard.py
@@ -17,8 +17,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from calicopath_core.crashes.fate import CrashProbe
     from calicopath_core.crashes.ledger import CrashLedger
+    from calicopath_core.crashes.probes import CrashProbe
     from calicopath_core.crashes.sharing import CrashSharing
 
 
--- a/packages/core/calicopath_core/crashes/fate.py
+++ b/packages/core/calicopath_core/crashes/probes.py
@@ -42,19 +42,19 @@
 class ReplicaCrashProbe(CrashProbe):
     """Check a replica that registers itself in the store."""
 
-    def __init__(self, *, reach: ReplicaProber, replicas: ReplicaTable, replica: Replica) -> None:
-        self.reach = reach
+    def __init__(self, *, prober: ReplicaProber, replicas: ReplicaTable, replica: Replica) -> None:
+        self.prober = prober
         self.replicas = replicas
         self.replica = replica
         self.name = replica.id
 
     async def has_crashed(self) -> bool:
         """Return whether its port refuses connections."""
-        return await self.reach.probe(self.replica, 0.0) is ProbeResult.REFUSED
+        return await self.prober.probe(self.replica, 0.0) is ProbeResult.REFUSED
 
     async def confirm_crash(self) -> bool:
         """Return whether its port refuses connections, or its entry expires if it is silent."""
-        found = await self.reach.probe(self.replica, PORT_WATCH_S)
+        found = await self.prober.probe(self.replica, PORT_WATCH_S)
         if found is not ProbeResult.SILENT:
             return found is ProbeResult.REFUSED
         return await self.entry_expires()
@@ -76,15 +76,15 @@
 class EndpointCrashProbe(CrashProbe):
     """Check an endpoint that operators have added; a silent one does not count as crashed."""
 
-    def __init__(self, *, reach: EndpointProber, endpoint: Endpoint) -> None:
-        self.reach = reach
+    def __init__(self, *, prober: EndpointProber, endpoint: Endpoint) -> None:
+        self.prober = prober
         self.endpoint = endpoint
         self.name = endpoint.name
 
     async def has_crashed(self) -> bool:
         """Return whether its port refuses connections."""
-        return await self.reach.probe(self.endpoint, 0.0) is ProbeResult.REFUSED
+        return await self.prober.probe(self.endpoint, 0.0) is ProbeResult.REFUSED
 
     async def confirm_crash(self) -> bool:
         """Return whether its port refuses connections within `PORT_WATCH_S`."""
-        return await self.reach.probe(self.endpoint, PORT_WATCH_S) is ProbeResult.REFUSED
+        return await self.prober.probe(self.endpoint, PORT_WATCH_S) is ProbeResult.REFUSED
--- a/packages/core/calicopath_core/crashes/tests/ledger_tests.py
+++ b/packages/core/calicopath_core/crashes/tests/ledger_tests.py
@@ -260,7 +260,7 @@
 
         self.run_virtual(scenario())
 
-    def test_who_is_told_what_is_kept_tells_all_of_it_to_those_that_wait_for_its_word(self) -> None:
+    def test_a_box_that_learns_the_stored_requests_sends_them_to_all_boxes_that_asked(self) -> None:
         # Guards against a relay that receives the stored blocks and sends `complete=True` to its
         # subscribers before it has merged the evidence: they would become ready without the
         # evidence and dispatch blocked requests.
@@ -278,7 +278,7 @@
 
         self.run_virtual(scenario())
 
-    def test_one_box_is_told_everything_a_few_times_a_second_at_most(self) -> None:
+    def test_full_news_is_sent_to_one_box_a_few_times_a_second_at_most(self) -> None:
         async def scenario() -> None:
             _, hub, sent = self.pair()
             await add_crashes(hub.ledger, 'r1', 'r2')
--- a/packages/core/calicopath_core/exchanges/plain.py
+++ b/packages/core/calicopath_core/exchanges/plain.py
@@ -12,7 +12,7 @@
     NotStarted,
     WrongAnswer,
 )
-from calicopath_core.crashes.fate import ReplicaCrashProbe
+from calicopath_core.crashes.probes import ReplicaCrashProbe
 from calicopath_core.exchanges.context import (
     SHORT_RETRY_AFTER_S,
     STATUS_BAD_GATEWAY,
@@ -97,7 +97,7 @@
     ran = not isinstance(error, NotStarted | WrongAnswer)
     if ran and not state.expired(context.clock.monotonic()):
         probe = ReplicaCrashProbe(
-            reach=context.replica_client, replicas=context.replicas, replica=replica
+            prober=context.replica_client, replicas=context.replicas, replica=replica
         )
         contents = [state.content]
         await context.crashes.on_failed(
--- a/packages/core/calicopath_core/exchanges/tests/cold_tests.py
+++ b/packages/core/calicopath_core/exchanges/tests/cold_tests.py
@@ -35,7 +35,7 @@
     )
 
 
-class Cold(testtools.TestCase):
+class ColdReplicas(testtools.TestCase):
     def test_boxes_that_do_not_know_of_each_other_keep_together_to_what_it_bears(self) -> None:
         replicas = table(True)
         boxes = [balancer(replicas, seed, COLD_RATE_PER_S / BOXES) for seed in range(BOXES)]
--- a/packages/core/calicopath_core/exchanges/tests/parts_tests.py
+++ b/packages/core/calicopath_core/exchanges/tests/parts_tests.py
@@ -81,7 +81,7 @@
         assert found is not None
         return found.id
 
-    def test_the_own_zone_is_preferred_until_it_is_busy(self) -> None:
+    def test_the_own_failure_domain_is_preferred_until_it_is_busy(self) -> None:
         self.assertEqual('near', self.chosen())
         self.balancer.stats_of(self.near).on_report(LoadReport(4, 3, 4), 0.0)
         self.assertEqual('far', self.chosen())
--- a/packages/core/calicopath_core/execution/attempts.py
+++ b/packages/core/calicopath_core/execution/attempts.py
@@ -11,7 +11,7 @@
     NotStarted,
     WrongAnswer,
 )
-from calicopath_core.crashes.fate import EndpointCrashProbe
+from calicopath_core.crashes.probes import EndpointCrashProbe
 from calicopath_core.execution.requests import CallResult
 from calicopath_core.execution.run import PipelineRun, StageFailed
 from calicopath_core.routing.pools import NoEndpoint, NoFreeSlot, Slot, SlotRequest
@@ -142,7 +142,7 @@
     `answered` tells whether part of the response had arrived.
     """
     if isinstance(error, ConnectionBroken):
-        probe = EndpointCrashProbe(reach=context.backends.prober, endpoint=slot.endpoint)
+        probe = EndpointCrashProbe(prober=context.backends.prober, endpoint=slot.endpoint)
         await context.crashes.on_failed(
             [run.content], service, probe, error, run_started_at=run.last_sent_at, answered=answered
         )
--- a/packages/core/calicopath_core/fleet/relays.py
+++ b/packages/core/calicopath_core/fleet/relays.py
@@ -42,9 +42,9 @@
 silent: two lost messages and some delay."""
 
 MAX_CONTACT_AGE_S = 1.6
-"""Maximum age of a relay's last contact with the store; its watches wait up to 1 s. A box whose
-relays are all cut off without knowing it then watches the store itself, so that a change is in
-force in under 2 s."""
+"""Maximum age of a relay's last contact with the store; its watches wait up to
+`RELAY_WATCH_WAIT_S`. A box whose relays are all cut off without knowing it then watches the store
+itself, so that a change is in force in under 2 s."""
 
 
 class RelayState:
--- a/packages/core/calicopath_core/fleet/tests/evacuations_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/evacuations_tests.py
@@ -34,7 +34,9 @@
         """Return the replicas that may get new work."""
         return [item.id for item in self.table.usable('s')]
 
-    def test_replicas_of_a_zone_taken_out_get_no_new_work_until_it_is_given_back(self) -> None:
+    def test_replicas_of_a_failure_domain_taken_out_get_no_new_work_until_it_is_restored(
+        self,
+    ) -> None:
         self.evacuations.apply_changes([('a', Evacuation('a', 7))])
         self.assertEqual(['r-b'], self.usable())
         self.assertEqual(Exclusion.EVACUATED, self.table.exclusion_of(self.table.replicas['r-a']))
@@ -42,7 +44,7 @@
         self.assertEqual(['r-a', 'r-b'], sorted(self.usable()))
         self.assertEqual(['out a', 'back a'], self.changes)
 
-    def test_a_replica_that_comes_to_a_zone_taken_out_gets_nothing_either(self) -> None:
+    def test_a_new_replica_in_a_failure_domain_taken_out_gets_no_work_either(self) -> None:
         self.evacuations.apply_changes([('a', Evacuation('a', 7))])
         self.table.put(Replica('new', 's', 'a:2', 'a', 1, False))
         self.assertEqual(['r-b'], self.usable())
@@ -53,7 +55,7 @@
         self.evacuations.replace_all([Evacuation('b', 8)])
         self.assertEqual(['r-a'], self.usable())
 
-    def test_a_record_written_anew_keeps_since_when_the_zone_is_out(self) -> None:
+    def test_a_rewritten_record_keeps_the_time_since_which_the_failure_domain_is_out(self) -> None:
         self.evacuations.apply_changes([('a', Evacuation('a', 7))])
         self.now = 105.0
         self.evacuations.apply_changes([('a', Evacuation('a', 9))])
@@ -61,11 +63,11 @@
         self.assertEqual((100.0, 9), (held.since, held.evacuation.revision))
         self.assertEqual(['out a'], self.changes)
 
-    def test_out_and_back_in_one_change_of_the_feed_leaves_the_zone_in(self) -> None:
+    def test_out_and_back_in_one_change_of_the_feed_leaves_the_failure_domain_in(self) -> None:
         self.evacuations.apply_changes([('a', Evacuation('a', 7)), ('a', None)])
         self.assertEqual(['r-a', 'r-b'], sorted(self.usable()))
 
-    def test_a_name_that_is_no_zone_stops_nothing(self) -> None:
+    def test_a_name_that_is_no_failure_domain_has_no_effect(self) -> None:
         self.evacuations.apply_changes(
             [('nowhere', Evacuation('nowhere', 7)), ('', Evacuation('', 8))]
         )
--- a/packages/core/calicopath_core/fleet/tests/gate_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/gate_tests.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from calicopath_core.crashes.fate import ReplicaCrashProbe
+from calicopath_core.crashes.probes import ReplicaCrashProbe
 from calicopath_core.exchanges.messages import ReplicaProber
 from calicopath_core.fleet.backoffs import (
     MAX_BACKOFF_S,
@@ -181,8 +181,8 @@
                 gate.on_notice(FIRST, LEAVES)
                 if is_removed:
                     gate.replicas.remove('i', 0.0)
-                fate = ReplicaCrashProbe(reach=Silent(), replicas=gate.replicas, replica=FIRST)
-                self.assertFalse(await fate.entry_expires())
+                probe = ReplicaCrashProbe(prober=Silent(), replicas=gate.replicas, replica=FIRST)
+                self.assertFalse(await probe.entry_expires())
 
         self.play(work)
 
--- a/packages/core/calicopath_core/fleet/tests/relays_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/relays_tests.py
@@ -47,7 +47,7 @@
         """Return the names of the relays among boxes."""
         return [item.name for item in choose_relays(boxes)]
 
-    def test_relays_are_old_boxes_of_several_zones_that_do_not_schedule(self) -> None:
+    def test_relays_are_old_boxes_of_several_failure_domains_that_do_not_schedule(self) -> None:
         boxes = [box(number, 'ab'[number % 2]) for number in range(1, 9)]
         self.assertEqual(['b4', 'b5', 'b6'], sorted(self.names(boxes)))
         self.assertEqual(MIN_RELAYS, len(self.names(boxes)))
--- a/packages/core/calicopath_core/permits/tests/holder_tests.py
+++ b/packages/core/calicopath_core/permits/tests/issuer_tests.py
@@ -13,7 +13,7 @@
 from calicopath_core.fleet.notices import Notice, NoticeObserver
 from calicopath_core.fleet.replicas import Replica, ReplicaTable
 from calicopath_core.permits.client import PERMIT_TTL_S, Permit, PermitClient
-from calicopath_core.permits.holder import CONTESTED_S, LimitIssuer, PermitObserver
+from calicopath_core.permits.issuer import CONTESTED_S, LimitIssuer, PermitObserver
 from calicopath_core.permits.limits import AdvertisedLimits
 from calicopath_core.permits.messages import PermitAnswer, PermitRequest
 from testkit.cases import VirtualCase
@@ -56,7 +56,7 @@
             )
             for number in range(boxes)
         ]
-        self.holders = [
+        self.issuers = [
             LimitIssuer(
                 clock=clock,
                 limits=self.limits,
@@ -75,7 +75,7 @@
         number = int(address)
         if number not in self.lost_issuers:
             loop = asyncio.get_running_loop()
-            loop.call_later(self.delay_s, self.holders[number].on_request, message)
+            loop.call_later(self.delay_s, self.issuers[number].on_request, message)
 
     def to_client(self, address: str, message: msgspec.Struct) -> None:
         """Deliver an answer to a box."""
@@ -106,7 +106,7 @@
         self.lost_issuers.add(self.issuer)
         self.issuer = 1 - self.issuer
         self.lost_issuers.discard(self.issuer)
-        self.holders[self.issuer].on_activate()
+        self.issuers[self.issuer].on_activate()
         for client in self.clients:
             client.on_issuer_changed()
 
@@ -117,13 +117,13 @@
         return max((end - begin for begin, end in enumerate(ends)), default=0)
 
 
-class HolderCase(VirtualCase):
+class IssuerCase(VirtualCase):
     def play(self, work: Callable[[], Coroutine[None, None, None]]) -> None:
         """Run a coroutine on virtual time."""
         self.run_virtual(work())
 
 
-class Limits(HolderCase):
+class Limits(IssuerCase):
     @seed(1)
     @settings(max_examples=30, deadline=None)
     @given(
@@ -206,8 +206,8 @@
         self.play(work)
 
 
-class Asks(HolderCase):
-    def test_what_can_get_no_permit_in_time_is_told_so_at_once(self) -> None:
+class PermitRequests(IssuerCase):
+    def test_a_request_that_gets_no_permit_in_time_is_refused_at_once(self) -> None:
         async def work() -> None:
             fleet = Fleet(boxes=4, per_s=[1.0])
             await asyncio.sleep(CONTESTED_S)
@@ -239,14 +239,14 @@
 
         self.play(work)
 
-    def test_what_waits_at_a_box_that_is_lost_is_asked_of_the_next(self) -> None:
+    def test_waiting_requests_of_a_lost_issuer_are_sent_to_the_next(self) -> None:
         async def work() -> None:
             fleet = Fleet(boxes=4, per_s=[2.0])
             await asyncio.sleep(CONTESTED_S)
             await fleet.request(0)
             waiting = [asyncio.create_task(fleet.request(n, wait_s=3.0)) for n in range(2)]
             await asyncio.sleep(0.1)
-            fleet.holders[0].waiting.clear()
+            fleet.issuers[0].waiting.clear()
             fleet.switch_issuer()
             permits = await asyncio.gather(*waiting)
             self.assertTrue(all(permit.replica for permit in permits))
--- a/packages/core/calicopath_core/routing/tests/backoff_tests.py
+++ b/packages/core/calicopath_core/routing/tests/backoff_tests.py
@@ -64,7 +64,7 @@
 
         self.run_virtual(scenario())
 
-    def test_a_shorter_wish_does_not_end_a_longer_one(self) -> None:
+    def test_a_shorter_backoff_does_not_end_a_longer_one(self) -> None:
         async def scenario() -> None:
             pool = new_pool('ab', concurrency=8)
             slots = [await pool.acquire(slot_request()) for _ in range(6)]
--- a/packages/core/calicopath_core/scheduling/election.py
+++ b/packages/core/calicopath_core/scheduling/election.py
@@ -355,6 +355,6 @@
         """
         return len(self.candidates) + 1
 
-    def share_of(self, replicas: list[Replica]) -> list[Replica]:
+    def replicas_of_group(self, replicas: list[Replica]) -> list[Replica]:
         """Return the replicas that this box's group calls; all of them if the group has too few."""
-        return self.failure_domain_groups.share_of(replicas, self.group)
+        return self.failure_domain_groups.replicas_of_group(replicas, self.group)
--- a/packages/core/calicopath_core/scheduling/engine_pools.py
+++ b/packages/core/calicopath_core/scheduling/engine_pools.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from calicopath_core.permits.holder import PermitIssuer, UnlimitedIssuer
+from calicopath_core.permits.issuer import PermitIssuer, UnlimitedIssuer
 from calicopath_core.scheduling.backoffs import FleetBackoffs
 from calicopath_core.scheduling.engines import EnginePool
 from calicopath_core.scheduling.starts import start_limit_of
@@ -55,11 +55,11 @@
         self[service.name].start_limit = start_limit
 
     def set_replicas(
-        self, replicas: ReplicaTable, share_of: Callable[[list[Replica]], list[Replica]]
+        self, replicas: ReplicaTable, select_replicas: Callable[[list[Replica]], list[Replica]]
     ) -> None:
         """Set which engines exist, and which of them `share_of` lets this box choose."""
         for name, pool in self.items():
-            pool.set_replicas(share_of(replicas.usable(name)), replicas.replicas)
+            pool.set_replicas(select_replicas(replicas.usable(name)), replicas.replicas)
 
     def on_activated(self, now: float) -> None:
         """Record that another box may place runs a moment longer."""
--- a/packages/core/calicopath_core/scheduling/engines.py
+++ b/packages/core/calicopath_core/scheduling/engines.py
@@ -6,7 +6,7 @@
 from collections import OrderedDict
 from typing import TYPE_CHECKING, NamedTuple
 
-from calicopath_core.permits.holder import PermitIssuer, UnlimitedIssuer
+from calicopath_core.permits.issuer import PermitIssuer, UnlimitedIssuer
 from calicopath_core.scheduling.backoffs import FleetBackoffs
 from calicopath_core.scheduling.starts import START_WINDOW_S, RecentStarts
 
--- a/packages/core/calicopath_core/scheduling/groups.py
+++ b/packages/core/calicopath_core/scheduling/groups.py
@@ -130,7 +130,7 @@
             groups = range(number % self.groups, number % self.groups + 1)
         return max(groups, key=functools.partial(rendezvous_hash, name))
 
-    def share_of(self, replicas: Sequence[Replica], group: int) -> list[Replica]:
+    def replicas_of_group(self, replicas: Sequence[Replica], group: int) -> list[Replica]:
         """Return the replicas of a service that a group calls; all if its own are too few."""
         own = [item for item in replicas if self.group_of(item.id, item.failure_domain) == group]
         min_count = MIN_REPLICA_SHARE * len(replicas) / self.groups
--- a/packages/core/calicopath_core/scheduling/interfaces.py
+++ b/packages/core/calicopath_core/scheduling/interfaces.py
@@ -93,7 +93,7 @@
         """Record results that could not be freed; they expire by themselves."""
 
 
-class JobKeeper(ABC):
+class JobController(ABC):
     """Manage the jobs that stage calls belong to; `unplaced` holds those without an engine."""
 
     unplaced: dict[str, Job]
--- a/packages/core/calicopath_core/scheduling/placing.py
+++ b/packages/core/calicopath_core/scheduling/placing.py
@@ -15,7 +15,7 @@
     from collections.abc import Iterable, Mapping
 
     from calicopath_core.fleet.deployment import StageSpec
-    from calicopath_core.permits.holder import PermitIssuer
+    from calicopath_core.permits.issuer import PermitIssuer
     from calicopath_core.scheduling.jobs import Piece
     from calicopath_core.scheduling.stage_replicas import StageReplica
 
--- a/packages/core/calicopath_core/scheduling/rejections.py
+++ b/packages/core/calicopath_core/scheduling/rejections.py
@@ -11,7 +11,7 @@
     from collections.abc import Callable, Iterator, Mapping
 
     from calicopath_core.crashes.guard import CrashGuard
-    from calicopath_core.permits.holder import PermitIssuer
+    from calicopath_core.permits.issuer import PermitIssuer
     from calicopath_core.scheduling.admission import Admission
     from calicopath_core.scheduling.engine_pools import EnginePools
     from calicopath_core.scheduling.engine_queue import EngineQueue
--- a/packages/core/calicopath_core/scheduling/release.py
+++ b/packages/core/calicopath_core/scheduling/release.py
@@ -13,7 +13,7 @@
     from calicopath_core.clock import Clock
     from calicopath_core.fleet.replicas import ReplicaTable
     from calicopath_core.scheduling.freeing import ResultFreeing
-    from calicopath_core.scheduling.interfaces import JobKeeper
+    from calicopath_core.scheduling.interfaces import JobController
     from calicopath_core.scheduling.jobs import Job, Piece, Result
     from calicopath_core.scheduling.stages import StageBatch, StageQueue
 
@@ -42,13 +42,13 @@
         *,
         clock: Clock,
         replicas: ReplicaTable,
-        keeper: JobKeeper,
+        job_controller: JobController,
         queues: dict[str, StageQueue],
         freeing: ResultFreeing,
     ) -> None:
         self.clock = clock
         self.replicas = replicas
-        self.keeper = keeper
+        self.job_controller = job_controller
         self.queues = queues
         self.freeing = freeing
         self.sole_scheduler_from = 0.0
@@ -94,7 +94,7 @@
                 self.free_soon(kept)
                 freed.append(number)
         if freed:
-            self.keeper.report_progress(job, (), tuple(freed))
+            self.job_controller.report_progress(job, (), tuple(freed))
 
     def free_soon(self, results: list[Result]) -> None:
         """Free results at their producers soon."""
@@ -130,4 +130,4 @@
             ]
             results = tuple(item for item in made if item is not None)
             if results:
-                self.keeper.report_progress(job, results, ())
+                self.job_controller.report_progress(job, results, ())
--- a/packages/core/calicopath_core/scheduling/scheduler.py
+++ b/packages/core/calicopath_core/scheduling/scheduler.py
@@ -5,14 +5,14 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from calicopath_core.permits.holder import PermitIssuer, UnlimitedIssuer
+from calicopath_core.permits.issuer import PermitIssuer, UnlimitedIssuer
 from calicopath_core.scheduling.admission import Admission
 from calicopath_core.scheduling.engine_pools import EnginePools
 from calicopath_core.scheduling.engine_queue import EngineQueue
 from calicopath_core.scheduling.estimates import EngineTimes
 from calicopath_core.scheduling.evenness import Evenness
 from calicopath_core.scheduling.fairness import Allowances
-from calicopath_core.scheduling.interfaces import JobKeeper
+from calicopath_core.scheduling.interfaces import JobController
 from calicopath_core.scheduling.jobs import Job, Piece
 from calicopath_core.scheduling.messages import (
     Placed,
@@ -58,7 +58,7 @@
 """Retry delay of a rejected job when no estimate is available."""
 
 
-class Scheduler(JobKeeper):
+class Scheduler(JobController):
     """Schedule the jobs assigned to this box.
 
     `send` sends a message to an address. `share_of` selects the replicas that this scheduler may
@@ -75,7 +75,7 @@
         send: Callable[[str, msgspec.Struct], None],
         observer: SchedulerObserver,
         own_address: str,
-        share_of: Callable[[list[Replica]], list[Replica]],
+        select_replicas: Callable[[list[Replica]], list[Replica]],
         crashes: CrashGuard,
         warmup: WarmupTerms = NO_OVERAGE,
         pool_factory: Callable[[EngineSpec], EnginePool] | None = None,
@@ -89,7 +89,7 @@
         self.send = send
         self.observer = observer
         self.own_address = own_address
-        self.share_of = share_of
+        self.select_replicas = select_replicas
         self.crashes = crashes
         self.admission = Admission()
         self.allowances = Allowances()
@@ -107,8 +107,8 @@
             replicas=replicas,
             caller=caller,
             observer=observer,
-            keeper=self,
-            share_of=share_of,
+            job_controller=self,
+            select_replicas=select_replicas,
             crashes=crashes,
             backoff_left_s=backoff_left_s,
             support_backoff_left_s=support_backoff_left_s,
@@ -139,7 +139,7 @@
     def on_replicas(self) -> None:
         """Update stages, engines and waiting jobs after the replica table changed."""
         self.stages.on_replicas()
-        self.engine_pools.set_replicas(self.replicas, self.share_of)
+        self.engine_pools.set_replicas(self.replicas, self.select_replicas)
         self.recompute_lost()
         self.place_waiting_jobs()
 
--- a/packages/core/calicopath_core/scheduling/stage_calls.py
+++ b/packages/core/calicopath_core/scheduling/stage_calls.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING, Any
 
 from calicopath_core.backends.base import BackendError, ConnectionBroken, NotStarted
-from calicopath_core.crashes.fate import ReplicaCrashProbe
+from calicopath_core.crashes.probes import ReplicaCrashProbe
 from calicopath_core.fleet.notices import ReplicaExcluded
-from calicopath_core.permits.holder import PermitIssuer, UnlimitedIssuer
+from calicopath_core.permits.issuer import PermitIssuer, UnlimitedIssuer
 from calicopath_core.scheduling.freeing import ResultFreeing
 from calicopath_core.scheduling.interfaces import PieceCall, PieceResult
 from calicopath_core.scheduling.jobs import Job, Piece, Result
@@ -24,7 +24,7 @@
     from calicopath_core.crashes.guard import CrashGuard
     from calicopath_core.fleet.deployment import StageSpec
     from calicopath_core.fleet.replicas import Replica, ReplicaTable
-    from calicopath_core.scheduling.interfaces import JobKeeper, SchedulerObserver, StageCaller
+    from calicopath_core.scheduling.interfaces import JobController, SchedulerObserver, StageCaller
     from calicopath_core.scheduling.messages import PlaceJob
     from calicopath_core.scheduling.stage_replicas import StageReplica
     from calicopath_core.scheduling.stages import StageBatch
@@ -54,8 +54,8 @@
         replicas: ReplicaTable,
         caller: StageCaller,
         observer: SchedulerObserver,
-        keeper: JobKeeper,
-        share_of: Callable[[list[Replica]], list[Replica]],
+        job_controller: JobController,
+        select_replicas: Callable[[list[Replica]], list[Replica]],
         crashes: CrashGuard,
         backoff_left_s: Callable[[Replica], float] = lambda replica: 0.0,
         support_backoff_left_s: Callable[[Replica], float] = lambda replica: 0.0,
@@ -67,8 +67,8 @@
         self.replicas = replicas
         self.caller = caller
         self.observer = observer
-        self.keeper = keeper
-        self.share_of = share_of
+        self.job_controller = job_controller
+        self.select_replicas = select_replicas
         self.crashes = crashes
         self.pacing = Pacing()
         self.call_monitor = CallMonitor(clock=clock, caller=caller, observer=observer)
@@ -84,7 +84,7 @@
         self.release = ResultRelease(
             clock=clock,
             replicas=replicas,
-            keeper=keeper,
+            job_controller=job_controller,
             queues=self.queues,
             freeing=self.freeing,
         )
@@ -116,7 +116,7 @@
     def on_replicas(self) -> None:
         """Update the queues after the replica table changed."""
         for name, queue in self.queues.items():
-            usable = self.share_of(self.replicas.usable(name))
+            usable = self.select_replicas(self.replicas.usable(name))
             queue.set_replicas(usable, self.replicas.replicas)
 
     @property
@@ -186,7 +186,7 @@
         now = self.clock.monotonic()
         if self.is_free_space_unknown and any(queue.waiting for queue in self.queues.values()):
             self.query_all_free_space()
-        held = self.pacing.held_jobs(self.keeper.unplaced.values(), self.queues, now)
+        held = self.pacing.held_jobs(self.job_controller.unplaced.values(), self.queues, now)
         for queue in self.queues.values():
             for batch in queue.batches(now, held):
                 self.permits.take_for_own_box(batch.target.replica)
@@ -216,7 +216,7 @@
         except (BackendError, TimeoutError) as error:
             if isinstance(error, ConnectionBroken):
                 crash_probe = ReplicaCrashProbe(
-                    reach=self.caller, replicas=self.replicas, replica=replica
+                    prober=self.caller, replicas=self.replicas, replica=replica
                 )
                 contents = [job.place.content for job in jobs_of(batch)]
                 await self.crashes.on_failed(
@@ -286,7 +286,7 @@
         for piece in batch.pieces:
             self.retry_piece(queue, piece, full=full)
         for job in jobs_of(batch):
-            self.keeper.advance(job)
+            self.job_controller.advance(job)
         self.dispatch_soon()
 
     def retry_piece(self, queue: StageQueue, piece: Piece, *, full: bool) -> None:
@@ -297,10 +297,10 @@
         if piece.is_stale:
             return
         if piece.tries >= MAX_PIECE_TRIES or now >= piece.job.deadline_at:
-            self.keeper.reject(piece.job, 'stage-failed')
+            self.job_controller.reject(piece.job, 'stage-failed')
             return
         if piece.has_missing_inputs:
-            self.keeper.recompute_inputs(piece.job, piece)
+            self.job_controller.recompute_inputs(piece.job, piece)
             return
         queue.add(piece, now)
 
@@ -328,10 +328,10 @@
         if piece.is_stale:
             return
         if result.reason == 'gone':
-            self.keeper.recompute_inputs(job, piece)
+            self.job_controller.recompute_inputs(job, piece)
             return
         if result.reason == 'late':
-            self.keeper.reject(job, 'deadline-passed')
+            self.job_controller.reject(job, 'deadline-passed')
             return
         full = result.reason == 'room'
         if full and batch.target.no_space_until <= self.clock.monotonic():
@@ -352,7 +352,7 @@
         if job.ended:
             return
         self.release.free_read(job, fetched=False)
-        self.keeper.advance(job)
+        self.job_controller.advance(job)
 
 
 def outcome_of(results: list[PieceResult]) -> str:
--- a/packages/core/calicopath_core/scheduling/stages.py
+++ b/packages/core/calicopath_core/scheduling/stages.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from calicopath_core.permits.holder import PermitIssuer, UnlimitedIssuer
+from calicopath_core.permits.issuer import PermitIssuer, UnlimitedIssuer
 from calicopath_core.scheduling.jobs import LARGE_RESULT_BYTES
 from calicopath_core.scheduling.placing import (
     DomainPreference,
--- a/packages/core/calicopath_core/scheduling/tests/backoffs_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/backoffs_tests.py
@@ -75,7 +75,7 @@
                 send=sent.send,
                 observer=mock.Mock(spec=SchedulerObserver),
                 own_address=BOX,
-                share_of=lambda replicas: replicas,
+                select_replicas=lambda replicas: replicas,
                 crashes=new_guard(),
             )
             engine = ServiceSpec('engine', '/healthz', 100, None, EngineSpec(slots, 250_000))
--- a/packages/core/calicopath_core/scheduling/tests/engines_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/engines_tests.py
@@ -46,7 +46,7 @@
         self.assertTrue(engine.has_cached('m/shared', PREFIX_CACHE_TTL_S - 0.1))
         self.assertFalse(engine.has_cached('m/shared', PREFIX_CACHE_TTL_S))
 
-    def test_large_results_draw_the_job_to_their_zone(self) -> None:
+    def test_large_results_draw_the_job_to_their_failure_domain(self) -> None:
         item = job('one', phase(size=3_000_000))
         item.results[0][0] = result('h', failure_domain='b', size=3_000_000)
         self.assertEqual('e2', self.place(item))
@@ -84,7 +84,7 @@
         self.assertEqual(1.0 + BASE_EJECTION_S, self.pool.engines[first].ejected_until)
         self.assertFalse(self.pool.engines[first].has_cached('m/shared', 1.0))
 
-    def test_runs_whose_end_is_never_told_are_forgotten(self) -> None:
+    def test_runs_whose_end_is_never_reported_expire(self) -> None:
         self.place(job('one'))
         self.pool.expire_lost_runs(1000.0)
         self.assertEqual({}, self.pool.loads())
--- a/packages/core/calicopath_core/scheduling/tests/freeing_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/freeing_tests.py
@@ -33,8 +33,8 @@
         replicas=table,
         caller=caller,
         observer=mock.Mock(),
-        keeper=mock.Mock(jobs={}),
-        share_of=lambda replicas: replicas,
+        job_controller=mock.Mock(jobs={}),
+        select_replicas=lambda replicas: replicas,
         crashes=new_guard(),
     )
     found.set_spec('look', SPEC)
--- a/packages/core/calicopath_core/scheduling/tests/groups_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/groups_tests.py
@@ -72,7 +72,7 @@
 
 
 class Groups(testtools.TestCase):
-    def test_groups_are_made_of_whole_zones(self) -> None:
+    def test_groups_are_made_of_whole_failure_domains(self) -> None:
         groups = FailureDomainGroups(failure_domains=FAILURE_DOMAINS, groups=3)
         found = {
             failure_domain: {groups.group_of(f'i-{n}', failure_domain) for n in range(20)}
@@ -81,7 +81,7 @@
         self.assertEqual({1}, {len(numbers) for numbers in found.values()})
         self.assertEqual({2}, set(Counter(min(item) for item in found.values()).values()))
 
-    def test_with_more_groups_than_zones_each_has_a_part_of_one(self) -> None:
+    def test_with_more_groups_than_failure_domains_each_has_a_part_of_one(self) -> None:
         groups = FailureDomainGroups(failure_domains=FAILURE_DOMAINS, groups=12)
         found = Counter(
             groups.group_of(f'i-{n}', failure_domain)
@@ -100,10 +100,10 @@
         ]
         self.assertEqual([before.group_of(*i) for i in names], [after.group_of(*i) for i in names])
 
-    def test_replicas_are_shared_by_zone(self) -> None:
+    def test_replicas_are_shared_by_failure_domain(self) -> None:
         groups = FailureDomainGroups(failure_domains=FAILURE_DOMAINS, groups=2)
         replicas = [replica(f'i-{n}', FAILURE_DOMAINS[n % 6]) for n in range(12)]
-        shares = [groups.share_of(replicas, number) for number in (0, 1)]
+        shares = [groups.replicas_of_group(replicas, number) for number in (0, 1)]
         self.assertEqual([6, 6], [len(share) for share in shares])
         self.assertEqual(3, len({item.failure_domain for item in shares[0]}))
 
@@ -111,8 +111,8 @@
         groups = FailureDomainGroups(failure_domains=FAILURE_DOMAINS, groups=2)
         near = groups.failure_domains[0]
         replicas = [replica(f'i-{n}', near) for n in range(4)]
-        self.assertEqual(replicas, groups.share_of(replicas, 0))
-        self.assertEqual(replicas, groups.share_of(replicas, 1))
+        self.assertEqual(replicas, groups.replicas_of_group(replicas, 0))
+        self.assertEqual(replicas, groups.replicas_of_group(replicas, 1))
 
 
 class Members(testtools.TestCase):
@@ -148,7 +148,7 @@
     def test_each_replica_is_called_by_one_group_and_budgets_are_split_by_all(self) -> None:
         replicas = [replica(f'i-{number}', FAILURE_DOMAINS[number % 6]) for number in range(30)]
         elections = self.elections(300, groups=3)
-        shares = {item.group: tuple(item.share_of(replicas)) for item in elections}
+        shares = {item.group: tuple(item.replicas_of_group(replicas)) for item in elections}
         self.assertEqual(
             sorted(replicas), sorted(item for share in shares.values() for item in share)
         )
--- a/packages/core/calicopath_core/scheduling/tests/hopeless_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/hopeless_tests.py
@@ -42,7 +42,7 @@
             send=lambda address, message: sent.append(message),
             observer=mock.Mock(),
             own_address='own:7',
-            share_of=lambda replicas: replicas,
+            select_replicas=lambda replicas: replicas,
             crashes=new_guard(),
         )
         found.stages.set_spec('look', SPEC)
--- a/packages/core/calicopath_core/scheduling/tests/limited_stages_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/limited_stages_tests.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from calicopath_core.permits.holder import UnlimitedIssuer
+from calicopath_core.permits.issuer import UnlimitedIssuer
 from calicopath_core.scheduling.stages import MAX_BATCH_DELAY_S
 from calicopath_core.scheduling.tests.work import job, phase, queue, replica, wait
 
--- a/packages/core/calicopath_core/scheduling/tests/stages_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/stages_tests.py
@@ -141,8 +141,8 @@
                 replicas=mock.Mock(),
                 caller=mock.Mock(),
                 observer=mock.Mock(),
-                keeper=mock.Mock(unplaced={}),
-                share_of=lambda replicas: replicas,
+                job_controller=mock.Mock(unplaced={}),
+                select_replicas=lambda replicas: replicas,
                 crashes=new_guard(),
             )
             found = mock.Mock(return_value=set())
@@ -218,14 +218,16 @@
         self.assertIsNotNone(target.next_batch(LATER))
 
 
-class Zones(testtools.TestCase):
+class FailureDomainWaits(testtools.TestCase):
     def reading(self, size: int, **changes: Any) -> Job:
         """Return a job whose second phase reads a result in failure domain b."""
         found = job('reader', phase(size=size), phase(needs=(0,), count=2), **changes)
         found.results[0][0] = result('h', failure_domain='b', size=size)
         return found
 
-    def test_much_to_move_waits_for_its_zone_while_there_is_time(self) -> None:
+    def test_a_piece_with_large_inputs_waits_for_its_failure_domain_while_there_is_time(
+        self,
+    ) -> None:
         target = queue(replica('far', 'a'), replica('near', 'b'))
         near = target.replicas['near']
         near.open_calls, near.free_at, near.due_at = 1, 0.4, 9.0
@@ -253,7 +255,7 @@
             item = self.reading(LARGE, objective_s=objective_s)
             self.assertIsNone(self.busy_at_home(item).next_batch(LATER))
 
-    def test_a_zone_whose_replica_is_overdue_or_gone_is_not_waited_for(self) -> None:
+    def test_a_failure_domain_whose_replica_is_overdue_or_gone_is_not_waited_for(self) -> None:
         overdue = queue(replica('far', 'a'), replica('near', 'b'))
         overdue.replicas['near'].open_calls = 1
         wait(overdue, self.reading(LARGE), 1)
--- a/packages/core/calicopath_core/scheduling/tests/starts_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/starts_tests.py
@@ -80,7 +80,7 @@
         self.assertGreater(len(chosen), 15)
 
 
-class ZoneBackCold(testtools.TestCase):
+class RestoredFailureDomain(testtools.TestCase):
     def max_starts_per_s(self, limit: StartLimit | None) -> int:
         """Return the most runs that started within a second at one engine that returned."""
         pool = EnginePool(slots=24, kv_tokens=100_000)
@@ -135,7 +135,7 @@
             send=lambda address, message: sent.append(message),
             observer=mock.Mock(),
             own_address='own:7',
-            share_of=lambda replicas: replicas,
+            select_replicas=lambda replicas: replicas,
             crashes=new_guard(),
         )
         found.engine_pools['engine'] = EnginePool(slots=slots, kv_tokens=1000)
@@ -190,7 +190,7 @@
 
         self.run_virtual(scenario())
 
-    def test_what_no_engine_can_begin_in_time_is_told_so_before_its_deadline(self) -> None:
+    def test_a_job_that_no_engine_can_start_in_time_is_rejected_before_its_deadline(self) -> None:
         async def scenario() -> None:
             sent: list[msgspec.Struct] = []
             scheduler = self.scheduler(sent, slots=1)
--- a/packages/core/calicopath_core/scheduling/tests/succession_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/succession_tests.py
@@ -33,7 +33,7 @@
             send=lambda address, message: sent.append(message),
             observer=mock.Mock(),
             own_address='own:7',
-            share_of=lambda replicas: replicas,
+            select_replicas=lambda replicas: replicas,
             crashes=new_guard(),
         )
 
--- a/packages/daemon/calicopathd/config/options.py
+++ b/packages/daemon/calicopathd/config/options.py
@@ -182,7 +182,7 @@
         self.choices = choices
 
     def parse(self, text: str) -> str:
-        """Check the word."""
+        """Check that the text is one of the choices."""
         if text not in self.choices:
             raise InvalidValue(f'must be one of {", ".join(self.choices)}')
         return text
--- a/packages/daemon/calicopathd/events.py
+++ b/packages/daemon/calicopathd/events.py
@@ -202,7 +202,9 @@
 FAILURE_DOMAIN_TAKEN_OUT = Event(
     808, 'warning', 'failure domain taken out', 'Its replicas get no new work from this box.'
 )
-FAILURE_DOMAIN_BACK = Event(809, 'info', 'failure domain back', 'Its replicas get new work again.')
+FAILURE_DOMAIN_RESTORED = Event(
+    809, 'info', 'failure domain restored', 'Its replicas get new work again.'
+)
 LISTING_DROPPED = Event(
     810, 'warning', 'listing dropped', 'A list older than the known state was ignored.'
 )
--- a/packages/daemon/calicopathd/gateway/box.py
+++ b/packages/daemon/calicopathd/gateway/box.py
@@ -149,7 +149,7 @@
             send=self.link.send,
             observer=observer,
             own_address=self.own.address,
-            share_of=self.election.share_of,
+            select_replicas=self.election.replicas_of_group,
             crashes=self.crashes,
             backoff_left_s=self.gate.backoffs.remaining_s,
             support_backoff_left_s=self.gate.control_call_available_in_s,
--- a/packages/daemon/calicopathd/gateway/notices.py
+++ b/packages/daemon/calicopathd/gateway/notices.py
@@ -10,7 +10,7 @@
 from calicopath_core.fleet.leaving_sharing import LeavingNews, LeavingSharing
 from calicopath_core.fleet.replicas import ReplicaTable
 from calicopath_core.permits.client import PermitClient
-from calicopath_core.permits.holder import LimitIssuer
+from calicopath_core.permits.issuer import LimitIssuer
 from calicopath_core.permits.limits import AdvertisedLimits
 from calicopath_core.permits.messages import PermitAnswer, PermitRequest
 from calicopath_core.permits.sharing import LimitNews, LimitSharing
--- a/packages/daemon/calicopathd/gateway/observer.py
+++ b/packages/daemon/calicopathd/gateway/observer.py
@@ -10,7 +10,7 @@
 from calicopath_core.fleet.feed import FeedObserver
 from calicopath_core.fleet.leaving import OWN
 from calicopath_core.fleet.notices import NoticeObserver
-from calicopath_core.permits.holder import PermitObserver
+from calicopath_core.permits.issuer import PermitObserver
 from calicopath_core.scheduling.interfaces import SchedulerObserver
 from calicopathd import events
 from calicopathd.crashlog import CrashLog
@@ -279,7 +279,7 @@
         evacuation = active.evacuation
         events.emit(
             log,
-            events.FAILURE_DOMAIN_BACK,
+            events.FAILURE_DOMAIN_RESTORED,
             zone=evacuation.failure_domain,
             revision=evacuation.revision,
             taken_out_since=active.since,
--- a/packages/daemon/calicopathd/gateway/tests/evacuating_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/evacuating_tests.py
@@ -39,7 +39,7 @@
 
         self.run_virtual(whole())
 
-    def test_nothing_reaches_a_zone_that_is_taken_out_and_what_is_at_work_there_ends(self) -> None:
+    def test_nothing_reaches_a_failure_domain_taken_out_and_running_requests_finish(self) -> None:
         async def scenario(fleet: GatewayFleet) -> None:
             sinks = burst(fleet, range(12))
             await asyncio.sleep(0.2)
@@ -55,7 +55,7 @@
 
         self.run_fleet(scenario)
 
-    def test_a_zone_given_back_takes_its_part_within_seconds(self) -> None:
+    def test_a_restored_failure_domain_gets_its_share_within_seconds(self) -> None:
         async def scenario(fleet: GatewayFleet) -> None:
             fleet.take_out('south')
             await asyncio.sleep(1.0)
@@ -68,7 +68,7 @@
 
         self.run_fleet(scenario)
 
-    def test_out_and_back_within_a_second_leaves_the_zone_in(self) -> None:
+    def test_out_and_back_within_a_second_leaves_the_failure_domain_in(self) -> None:
         async def scenario(fleet: GatewayFleet) -> None:
             for _ in range(3):
                 fleet.take_out('south')
@@ -81,7 +81,7 @@
 
         self.run_fleet(scenario)
 
-    def test_with_every_zone_out_all_is_refused_at_once_as_not_run(self) -> None:
+    def test_with_every_failure_domain_out_all_is_refused_at_once_as_not_run(self) -> None:
         async def scenario(fleet: GatewayFleet) -> None:
             fleet.take_out('south')
             fleet.take_out('north')
@@ -96,7 +96,7 @@
 
         self.run_fleet(scenario)
 
-    def test_results_that_lie_in_the_zone_are_read_and_not_made_again(self) -> None:
+    def test_results_stored_in_the_failure_domain_are_read_and_not_recomputed(self) -> None:
         async def scenario(fleet: GatewayFleet) -> None:
             sinks = [fleet.serve('box-1', exchange(number, 'draft', now())) for number in range(4)]
             while len(fleet.stages.live) < 2:
@@ -190,7 +190,7 @@
 
         self.run_fleet(scenario, count=RELAYED_BOXES)
 
-    def test_a_zone_given_back_while_a_box_was_cut_off_is_back_there_too(self) -> None:
+    def test_a_failure_domain_restored_while_a_box_was_cut_off_is_restored_there_too(self) -> None:
         async def scenario(fleet: GatewayFleet) -> None:
             fleet.take_out('south')
             await asyncio.sleep(PROPAGATION_S)
--- a/packages/daemon/calicopathd/gateway/tests/exchanges_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/exchanges_tests.py
@@ -214,8 +214,8 @@
         self.play_work(work)
 
 
-class Doors(ExchangeCase):
-    def test_unknown_routes_and_keys_are_told_apart(self) -> None:
+class RequestAdmission(ExchangeCase):
+    def test_unknown_routes_and_unknown_keys_have_different_statuses(self) -> None:
         def no_route(fleet: GatewayFleet, sink: FakeSink) -> None:
             self.assertEqual(404, sink.status)
 
@@ -227,7 +227,7 @@
         self.play('read', {}, no_key, key='wrong')
         self.play('read', {}, no_key, key=None)
 
-    def test_the_replica_learns_the_tenant_and_the_time_that_is_left(self) -> None:
+    def test_the_replica_learns_the_workspace_and_the_remaining_time(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
             outbound = fleet.replicas.sent[0]
             self.assertEqual('hire', outbound.workspace)
--- a/packages/daemon/calicopathd/gateway/tests/fleet_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/fleet_tests.py
@@ -157,7 +157,7 @@
 
         self.run_virtual(scenario())
 
-    def test_a_scheduler_cut_off_from_the_store_gives_way_to_one_with_fresh_word(self) -> None:
+    def test_a_scheduler_cut_off_from_the_store_steps_down_for_one_with_contact(self) -> None:
         async def scenario() -> None:
             fleet = GatewayFleet()
             await fleet.start()
--- a/packages/daemon/calicopathd/gateway/tests/limit_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/limit_tests.py
@@ -123,7 +123,7 @@
 
 
 class Views(LimitCase):
-    def test_a_box_that_believes_a_limit_which_the_lender_does_not_still_uses_the_engine(
+    def test_a_box_whose_issuer_does_not_know_a_limit_still_uses_the_engine(
         self,
     ) -> None:
         async def work(fleet: NoticeFleet) -> None:
--- a/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
@@ -224,7 +224,7 @@
 
         self.play(work)
 
-    def test_an_answer_without_a_wish_ends_none(self) -> None:
+    def test_an_answer_without_a_backoff_ends_none(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
             self.receive_notice(fleet, 'box-1', 'desk-2', Notice(backoff_s=BACKOFF_S))
             self.receive_notice(fleet, 'box-1', 'desk-2', EMPTY_NOTICE)
--- a/packages/daemon/calicopathd/gateway/tests/restored_store_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/restored_store_tests.py
@@ -132,7 +132,9 @@
         for count in (FEW, MANY):
             self.play(count, work)
 
-    def test_a_zone_taken_out_since_the_copy_stays_out_until_it_is_written_again(self) -> None:
+    def test_a_failure_domain_taken_out_since_the_copy_stays_out_until_it_is_rewritten(
+        self,
+    ) -> None:
         async def work(fleet: NoticeFleet) -> None:
             copy = fleet.store.copy()
             fleet.take_out('north')
@@ -149,7 +151,7 @@
         for count in (FEW, MANY):
             self.play(count, work)
 
-    def test_a_zone_that_nobody_takes_out_again_is_given_back(self) -> None:
+    def test_a_failure_domain_that_is_not_taken_out_again_is_restored(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
             copy = fleet.store.copy()
             fleet.take_out('north')
@@ -219,7 +221,7 @@
         for count in (FEW, MANY):
             self.play(count, work)
 
-    def test_boxes_of_which_the_copy_holds_an_earlier_life_are_listed_again(self) -> None:
+    def test_boxes_whose_earlier_incarnation_is_in_the_copy_are_listed_again(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
             copy = fleet.store.copy()
             fleet.kill('box-1')
--- a/testkit/replay/world.py
+++ b/testkit/replay/world.py
@@ -121,7 +121,7 @@
             send=self.send,
             observer=self.observer,
             own_address=f'scheduler-{self.deaths}',
-            share_of=lambda replicas: replicas,
+            select_replicas=lambda replicas: replicas,
             crashes=new_guard(),
             warmup=WARMUP_TERMS,
         )
--- a/tools/mutants/catalogue.py
+++ b/tools/mutants/catalogue.py
@@ -174,7 +174,7 @@
         f'{CORE}/scheduling/engines.py',
         'if limit is None:',
         'if True:',
-        f'{CORE}/scheduling/tests/starts_tests.py::ZoneBackCold',
+        f'{CORE}/scheduling/tests/starts_tests.py::RestoredFailureDomain',
     ),
     Mutant(
         'replicas that end are told from resets',
--- a/tools/mutants/limits.py
+++ b/tools/mutants/limits.py
@@ -5,7 +5,7 @@
 from tools.mutants.mutant import CORE, Mutant
 
 GATE = f'{CORE}/fleet/tests/gate_tests.py::Limits'
-HOLDER = f'{CORE}/permits/tests/holder_tests.py'
+ISSUER = f'{CORE}/permits/tests/issuer_tests.py'
 LIMITS = f'{CORE}/permits/tests/limits_tests.py'
 FLEET = 'packages/daemon/calicopathd/gateway/tests/limit_tests.py'
 
@@ -43,35 +43,35 @@
         f'{CORE}/permits/buckets.py',
         'self.next_at = max(self.next_at, now) + 1 / per_s',
         'self.next_at = self.next_at + 1 / per_s',
-        f'{HOLDER}::Limits',
+        f'{ISSUER}::Limits',
     ),
     Mutant(
         'one that takes up begins empty',
-        f'{CORE}/permits/holder.py',
+        f'{CORE}/permits/issuer.py',
         'bucket.empty(per_s, now)',
         'pass',
-        f'{HOLDER}::Limits',
+        f'{ISSUER}::Limits',
     ),
     Mutant(
         'one that takes up lends a part',
-        f'{CORE}/permits/holder.py',
+        f'{CORE}/permits/issuer.py',
         '(CONTESTED_SHARE if contested else 1.0)',
         '1.0',
-        f'{HOLDER}::Limits',
+        f'{ISSUER}::Limits',
     ),
     Mutant(
         'the more urgent first',
-        f'{CORE}/permits/holder.py',
+        f'{CORE}/permits/issuer.py',
         'self.waiting.sort(key=lambda item: (item.priority, item.serial))',
         'pass',
-        f'{HOLDER}::Asks',
+        f'{ISSUER}::PermitRequests',
     ),
     Mutant(
         'what waits is asked of the next lender',
         f'{CORE}/permits/client.py',
         'if not item.answer.done():\n                wait_s',
         'if False:\n                wait_s',
-        f'{HOLDER}::Asks',
+        f'{ISSUER}::PermitRequests',
     ),
     Mutant(
         'engines that limit',
--- a/tools/mutants/notices.py
+++ b/tools/mutants/notices.py
@@ -50,7 +50,7 @@
     ),
     Mutant(
         'one that leaves and ends has not crashed',
-        f'{CORE}/crashes/fate.py',
+        f'{CORE}/crashes/probes.py',
         'if self.replicas.is_leaving(known or self.replica):',
         'if known is not None and known.draining:',
         f'{GATE}::Leaving',
