--- a/packages/core/calicopath_core/exchanges/context.py
+++ b/packages/core/calicopath_core/exchanges/context.py
@@ -33,7 +33,6 @@
 SHORT_RETRY_AFTER_S = 0.3
 """`Retry-After` of a refusal that is not caused by load."""
 
-
 TIMER_SLACK_S = 0.005
 """A deadline counts as passed this much early, since timers may fire early by rounding."""
 
--- a/packages/core/calicopath_core/exchanges/plain.py
+++ b/packages/core/calicopath_core/exchanges/plain.py
@@ -72,7 +72,7 @@
         except BackendError as error:
             left_s = state.deadline_at - context.clock.monotonic()
             context.observer.on_attempt_failed(state, replica.id, error, left_s)
-            await note_crash(context, state, replica, error)
+            await check_for_crash(context, state, replica, error)
             check_retry_allowed(context, state, error)
             continue
         context.crashes.on_survived(state.content, state.service)
@@ -85,7 +85,7 @@
         return
 
 
-async def note_crash(
+async def check_for_crash(
     context: ExchangeContext,
     state: ExchangeState,
     replica: Replica,
--- a/packages/core/calicopath_core/exchanges/streams.py
+++ b/packages/core/calicopath_core/exchanges/streams.py
@@ -16,7 +16,7 @@
 )
 from calicopath_core.exchanges.events import EventSplitter
 from calicopath_core.exchanges.messages import OutboundRequest
-from calicopath_core.exchanges.plain import note_crash, read_all
+from calicopath_core.exchanges.plain import check_for_crash, read_all
 from calicopath_core.fleet.notices import Exclusion, ReplicaExcluded
 from calicopath_core.scheduling.client import PlacementRejected
 from calicopath_core.scheduling.messages import PhaseWork, PlaceJob, Prompt
@@ -89,7 +89,7 @@
             except BackendError as error:
                 failed = not isinstance(error, Declined)
                 turned_away = isinstance(error, Declined) and error.turned_away
-                await note_crash(
+                await check_for_crash(
                     self.context, self.state, replica, error, answered=self.first_event_received
                 )
                 raise
--- a/packages/core/calicopath_core/exchanges/tests/cold_tests.py
+++ b/packages/core/calicopath_core/exchanges/tests/cold_tests.py
@@ -36,7 +36,7 @@
 
 
 class ColdReplicas(testtools.TestCase):
-    def test_boxes_that_do_not_know_of_each_other_keep_together_to_what_it_bears(self) -> None:
+    def test_boxes_that_do_not_know_of_each_other_keep_the_total_rate_in_bounds(self) -> None:
         replicas = table(True)
         boxes = [balancer(replicas, seed, COLD_RATE_PER_S / BOXES) for seed in range(BOXES)]
         sent: list[float] = []
@@ -50,13 +50,13 @@
         self.assertLessEqual(max_in_one_second, MAX_IN_ONE_SECOND)
         self.assertGreater(len(sent), COLD_RATE_PER_S * DURATION_S * 0.5)
 
-    def test_what_is_cold_is_left_to_others_and_refused_where_there_are_none(self) -> None:
+    def test_cold_replicas_are_avoided_and_not_chosen_even_if_there_are_no_others(self) -> None:
         for cold, expected in (((True, False), {'r1'}), ((True, True), set())):
             box = balancer(table(*cold), 1, 0.001)
             chosen = {box.choose('desk', set(), 0.1 * number) for number in range(8)} - {None}
             self.assertEqual(expected, {item.id for item in chosen if item is not None})
 
-    def test_a_replica_that_is_warm_again_gets_its_part_at_once(self) -> None:
+    def test_a_replica_that_is_warm_again_gets_its_share_at_once(self) -> None:
         replicas = table(True)
         box = balancer(replicas, 1, 0.001)
         self.assertIsNone(box.choose('desk', set(), 0.0))
@@ -64,6 +64,6 @@
         self.assertIsNotNone(box.choose('desk', set(), 0.1))
         self.assertEqual({}, box.cold_limiter.next_send_at)
 
-    def test_where_nothing_is_bounded_a_cold_replica_is_as_good_as_any(self) -> None:
+    def test_without_a_limit_a_cold_replica_is_chosen_like_any_other(self) -> None:
         box = balancer(table(True), 1, None)
         self.assertIsNotNone(box.choose('desk', set(), 0.0))
--- a/packages/core/calicopath_core/execution/attempts.py
+++ b/packages/core/calicopath_core/execution/attempts.py
@@ -128,7 +128,7 @@
         raise StageFailed(FailureReason.CRASHES_ENDPOINTS, detail, retry_after_s=wait_s)
 
 
-async def note_crash(
+async def check_for_crash(
     context: StageContext,
     run: PipelineRun,
     slot: Slot,
--- a/packages/core/calicopath_core/execution/generation.py
+++ b/packages/core/calicopath_core/execution/generation.py
@@ -19,8 +19,8 @@
     StageContext,
     TimedOut,
     acquire_slot,
+    check_for_crash,
     check_time_left,
-    note_crash,
     stage_failure,
 )
 from calicopath_core.structure.calls import GenerationCall, GenerationEnd, StageOutput, Token
@@ -108,7 +108,7 @@
             except MayHaveRun as error:
                 last = error
                 service, answered = budget.stage.service, progress.offset > 0
-                await note_crash(self.context, run, slot, service, error, answered=answered)
+                await check_for_crash(self.context, run, slot, service, error, answered=answered)
                 check_time_left(self.context, budget)
                 if not self.may_continue(run, budget, progress):
                     break
--- a/packages/core/calicopath_core/execution/run.py
+++ b/packages/core/calicopath_core/execution/run.py
@@ -45,7 +45,7 @@
 
 
 class PipelineRun:
-    """Hold the state of a request between and during its stages.
+    """Hold the state of a request while its stages run.
 
     `possibly_run_calls` counts the calls that were sent and are not proved unstarted: a request may
     be refused as not run only while it is 0. `possible_side_effects` counts those of them that must
@@ -69,8 +69,8 @@
     @property
     def content(self) -> str:
         """Return the request fingerprint: digests of workspace and pipeline, and of the body."""
-        asked = f'{self.plan.workspace}/{self.plan.pipeline}'.encode()
-        pipeline = hashlib.blake2b(asked, digest_size=PIPELINE_DIGEST_BYTES).hexdigest()
+        path = f'{self.plan.workspace}/{self.plan.pipeline}'.encode()
+        pipeline = hashlib.blake2b(path, digest_size=PIPELINE_DIGEST_BYTES).hexdigest()
         return request_fingerprint(pipeline, self.request.body_digest)
 
     @property
--- a/packages/core/calicopath_core/execution/stages.py
+++ b/packages/core/calicopath_core/execution/stages.py
@@ -12,8 +12,8 @@
     StageContext,
     TimedOut,
     acquire_slot,
+    check_for_crash,
     check_time_left,
-    note_crash,
     stage_failure,
 )
 from calicopath_core.structure.calls import StageCall, StageOutput
@@ -49,7 +49,7 @@
             except MayHaveRun as error:
                 last = error
                 service = budget.stage.service
-                await note_crash(self.context, run, slot, service, error, answered=False)
+                await check_for_crash(self.context, run, slot, service, error, answered=False)
                 check_time_left(self.context, budget)
                 if run.runs_at_most_once(budget.stage) or not self.context.retry_budget.try_spend():
                     break
--- a/packages/core/calicopath_core/fleet/restoring.py
+++ b/packages/core/calicopath_core/fleet/restoring.py
@@ -44,7 +44,7 @@
     """Hold a removed record and when it was removed, in monotonic seconds."""
 
     record: Record
-    gone_at: float
+    removed_at: float
 
 
 class Unconfirmed(NamedTuple):
@@ -179,17 +179,17 @@
             for name in [
                 name
                 for name, item in held.tombstones.items()
-                if item.gone_at < now - TOMBSTONE_RETENTION_S
+                if item.removed_at < now - TOMBSTONE_RETENTION_S
             ]:
                 if name not in held.unconfirmed:
                     del held.tombstones[name]
 
 
-def is_same_incarnation(gone: Record, listed: Record) -> bool:
+def is_same_incarnation(removed: Record, listed: Record) -> bool:
     """Tell whether a listed record is the removed one, not a later one of the same name."""
-    if isinstance(gone, Replica) and isinstance(listed, Replica):
-        return listed.started_ms <= gone.started_ms
-    if isinstance(gone, BoxAddress) and isinstance(listed, BoxAddress):
-        return listed.incarnation == gone.incarnation
+    if isinstance(removed, Replica) and isinstance(listed, Replica):
+        return listed.started_ms <= removed.started_ms
+    if isinstance(removed, BoxAddress) and isinstance(listed, BoxAddress):
+        return listed.incarnation == removed.incarnation
     # The revision distinguishes successive evacuations of the same failure domain.
-    return isinstance(gone, Evacuation) and gone == listed
+    return isinstance(removed, Evacuation) and removed == listed
--- a/packages/core/calicopath_core/fleet/starting.py
+++ b/packages/core/calicopath_core/fleet/starting.py
@@ -81,14 +81,14 @@
         """Synchronize through relays if they answer, then allow the box to read the store."""
         try:
             async with asyncio.timeout(STARTUP_TIMEOUT_S):
-                await self.ask_relays()
+                await self.sync_from_relays()
         except TimeoutError:
             pass
         finally:
             self.readable_kinds = frozenset(RecordKind)
 
-    async def ask_relays(self) -> None:
-        """Return once all records are known, or once the box should read them from the store."""
+    async def sync_from_relays(self) -> None:
+        """Wait until all records are known, or until the box should read them from the store."""
         await self.wait_until(lambda: self.registered, FIRST_CALL_WAIT_S)
         recorded = await self.recorded_relays()
         if any(box.name == self.own.name for box in recorded):
--- a/packages/core/calicopath_core/fleet/tests/lives_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/lives_tests.py
@@ -19,7 +19,7 @@
 PROMPT = Prompt('m', (PromptPart('p', 500),), 500, 10)
 
 
-class Lives(testtools.TestCase):
+class RestartedReplicas(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.table = ReplicaTable()
@@ -29,7 +29,7 @@
             failure_domain='north',
             rng=random.Random(1),
         )
-        self.board = EnginePool(slots=2, kv_tokens=10_000)
+        self.engine_pool = EnginePool(slots=2, kv_tokens=10_000)
         self.queue = StageQueue(service='engine', spec=SPEC)
         self.table.listeners.append(self.pass_on_replicas)
         self.table.put(FIRST)
@@ -37,7 +37,7 @@
     def pass_on_replicas(self) -> None:
         """Pass on which replicas there are, as the scheduler does."""
         usable = self.table.usable('engine')
-        self.board.set_replicas(usable, self.table.replicas)
+        self.engine_pool.set_replicas(usable, self.table.replicas)
         self.queue.set_replicas(usable, self.table.replicas)
 
     def record_state(self) -> None:
@@ -45,16 +45,16 @@
         for _ in range(5):
             self.balancer.stats_of(FIRST).on_failure(1.0)
         item = job('j', prompt=PROMPT)
-        choice = self.board.choose(item, 1.0)
+        choice = self.engine_pool.choose(item, 1.0)
         assert choice is not None
-        self.board.start_run(choice, item, 1.0)
-        self.board.on_run_ended('i', 'j', failed=True, now=1.0)
+        self.engine_pool.start_run(choice, item, 1.0)
+        self.engine_pool.on_run_ended('i', 'j', failed=True, now=1.0)
         self.queue.book_result('i', 'handle', 1000, 1.0)
 
     def check_is_new(self, *, is_new: bool) -> None:
         """Check whether no state is held for the replica."""
         self.assertEqual(is_new, self.balancer.stats_of(FIRST).ejected_until == 0.0)
-        self.assertEqual(is_new, self.board.engines['i'].failures == 0)
+        self.assertEqual(is_new, self.engine_pool.engines['i'].failures == 0)
         self.assertEqual(is_new, not self.queue.replicas['i'].bookings)
 
     def test_state_of_the_earlier_incarnation_is_dropped(self) -> None:
--- a/packages/core/calicopath_core/membership/members.py
+++ b/packages/core/calicopath_core/membership/members.py
@@ -44,7 +44,7 @@
         self.known_since = now
 
     def is_live(self, now: float) -> bool:
-        """Return whether a heartbeat arrived lately; without one, the time of listing counts."""
+        """Return whether a heartbeat arrived recently; without one, the time of listing counts."""
         last = self.known_since if self.heard_at is None else self.heard_at
         return now - last < SILENT_AFTER_S
 
--- a/packages/core/calicopath_core/permits/issuer.py
+++ b/packages/core/calicopath_core/permits/issuer.py
@@ -79,16 +79,16 @@
 
     def wait_s(self, replicas: Iterable[Replica], ahead: int) -> float:
         """Return the seconds until a call may go to one of some replicas, after `ahead` others."""
-        opens_s, total_per_s = math.inf, 0.0
+        available_s, total_per_s = math.inf, 0.0
         for item in replicas:
             per_s = self.rate_of(item)
             if per_s is None:
                 return 0.0
             total_per_s += per_s
-            opens_s = min(opens_s, self.available_in_s(item))
-        if not total_per_s or (opens_s <= 0 and not ahead):
+            available_s = min(available_s, self.available_in_s(item))
+        if not total_per_s or (available_s <= 0 and not ahead):
             return 0.0
-        return opens_s + ahead / total_per_s
+        return available_s + ahead / total_per_s
 
 
 class UnlimitedIssuer(PermitIssuer):
--- a/packages/core/calicopath_core/routing/tests/backoff_tests.py
+++ b/packages/core/calicopath_core/routing/tests/backoff_tests.py
@@ -17,7 +17,7 @@
 
 
 class Backoffs(VirtualCase):
-    def test_the_others_get_its_calls_until_its_pause_is_over(self) -> None:
+    def test_other_endpoints_get_the_calls_until_the_backoff_is_over(self) -> None:
         async def scenario() -> None:
             pool = new_pool('ab', concurrency=8)
             slots = [await pool.acquire(slot_request()) for _ in range(2)]
@@ -30,7 +30,7 @@
 
         self.run_virtual(scenario())
 
-    def test_with_no_other_a_call_waits_for_the_end_of_the_pause(self) -> None:
+    def test_without_another_endpoint_a_call_waits_for_the_end_of_the_backoff(self) -> None:
         async def scenario() -> None:
             pool = new_pool('a', concurrency=8)
             (await pool.acquire(slot_request())).declined(BACKOFF_S)
@@ -39,7 +39,7 @@
 
         self.run_virtual(scenario())
 
-    def test_one_that_would_wait_in_vain_is_told_at_once_when_it_ends(self) -> None:
+    def test_a_call_that_cannot_wait_is_refused_at_once_with_a_retry_delay(self) -> None:
         async def scenario() -> None:
             pool = new_pool('a', concurrency=8)
             (await pool.acquire(slot_request())).declined(5.0)
@@ -51,7 +51,7 @@
 
         self.run_virtual(scenario())
 
-    def test_what_waits_is_told_at_once_when_a_long_pause_begins(self) -> None:
+    def test_waiting_calls_are_refused_at_once_when_a_long_backoff_begins(self) -> None:
         async def scenario() -> None:
             pool = new_pool('a')
             slot_in_use = await pool.acquire(slot_request())
--- a/packages/core/calicopath_core/scheduling/engine_pools.py
+++ b/packages/core/calicopath_core/scheduling/engine_pools.py
@@ -76,7 +76,7 @@
         """Return the work that waits at each engine, in seconds by replica."""
         return {name: load_s for pool in self.values() for name, load_s in pool.loads().items()}
 
-    def on_foreign_loads(self, sender: str, loads: dict[str, float], now: float) -> None:
+    def on_other_loads(self, sender: str, loads: dict[str, float], now: float) -> None:
         """Count work that another scheduler has placed, for about as long as it takes."""
         for pool in self.values():
             for replica_id, load_s in loads.items():
--- a/packages/core/calicopath_core/scheduling/engines.py
+++ b/packages/core/calicopath_core/scheduling/engines.py
@@ -350,7 +350,7 @@
         prefill_s = engine.uncached_tokens(prompt) * PREFILL_S_PER_TOKEN
         decode_s = job.place.prompt.tokens_out * DECODE_S_PER_TOKEN
         engine.add_run(job.id, Run(prefill_s, decode_s, now + LOST_RUN_TIMEOUT_S))
-        engine.recent_starts.note(now)
+        engine.recent_starts.add(now)
         self.backoffs.on_placed(engine.replica.id, now)
         engine.record_cached(prompt, self.kv_tokens, now)
 
--- a/packages/core/calicopath_core/scheduling/interfaces.py
+++ b/packages/core/calicopath_core/scheduling/interfaces.py
@@ -1,4 +1,4 @@
-"""Define the interfaces that the scheduler uses: stage calls, events and kept jobs."""
+"""Define the interfaces that the scheduler uses: stage calls, events and control of jobs."""
 
 from __future__ import annotations
 
--- a/packages/core/calicopath_core/scheduling/pacing.py
+++ b/packages/core/calicopath_core/scheduling/pacing.py
@@ -1,9 +1,10 @@
 """Hold jobs back while their later stages have enough work, since waiting results only use memory.
 
-Under more load than the stages can bear, half-done work would take the makers' memory and the calls
-of other jobs. Holding back too much leaves calls partly empty: a stage's pieces take as long to
-arrive as the phases before it, so that much work must be started ahead of the stage. A little more
-fills its calls, as far as the jobs have time to wait there.
+When the stages are overloaded, half-done jobs would take up the memory of the replicas that hold
+their results, and the calls of other jobs. Holding back too much leaves calls partly empty: a
+stage's pieces arrive only after the phases before it have run, so work for at least that time must
+be started ahead of the stage. A little more work fills its calls, as far as the jobs have slack to
+wait there.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
     def held_jobs(
         self, jobs: Iterable[Job], queues: Mapping[str, StageQueue], now: float
     ) -> set[str]:
-        """Return the identifiers of the jobs that must wait, at most `RECHECK_INTERVAL_S` old."""
+        """Return the IDs of the jobs that must wait, computed at most `RECHECK_INTERVAL_S` ago."""
         if now - self.checked_at >= RECHECK_INTERVAL_S:
             self.last_held = self.find_held(jobs, queues)
             self.checked_at = now
@@ -54,7 +55,7 @@
             return set()
         started = [job for job in open_jobs if job.has_progress]
         precedences = {precedence(job) for job in unstarted}
-        waiting = {limit: waiting_pieces(started, limit) for limit in precedences}
+        waiting = {item: waiting_pieces(started, item) for item in precedences}
         rates = {name: full_batch_rate(queue) for name, queue in queues.items()}
         return {
             job.id for job in unstarted if must_hold(job, waiting[precedence(job)], rates, queues)
@@ -79,7 +80,7 @@
 
 
 class Precedence(NamedTuple):
-    """Hold the sort key that orders jobs over time, least first."""
+    """Hold the sort key that orders jobs whatever their slack, lowest first."""
 
     is_over_allowance: bool
     priority: int
@@ -125,11 +126,11 @@
     return batch * queue.calls_per_s(queue.replicas.values(), batch)
 
 
-def waiting_pieces(started: Iterable[Job], limit: Precedence) -> dict[str, int]:
-    """Return the uncalled pieces by service of the jobs up to a precedence."""
+def waiting_pieces(started: Iterable[Job], max_precedence: Precedence) -> dict[str, int]:
+    """Return the uncalled pieces, by service, of the jobs that go no later than a precedence."""
     pieces: dict[str, int] = defaultdict(int)
     for job in started:
-        if precedence(job) <= limit:
+        if precedence(job) <= max_precedence:
             for number, phase in enumerate(job.place.phases):
                 pieces[phase.service] += job.undispatched[number]
     return pieces
--- a/packages/core/calicopath_core/scheduling/starts.py
+++ b/packages/core/calicopath_core/scheduling/starts.py
@@ -64,7 +64,7 @@
     def __init__(self) -> None:
         self.times: deque[float] = deque()
 
-    def note(self, now: float) -> None:
+    def add(self, now: float) -> None:
         """Record a run that starts."""
         self.times.append(now)
 
--- a/packages/core/calicopath_core/scheduling/succession.py
+++ b/packages/core/calicopath_core/scheduling/succession.py
@@ -97,15 +97,15 @@
     def restore_results(self, job: Job, message: AdoptJob, now: float) -> None:
         """Record the results that a job already has, and reserve the memory that they occupy."""
         for item in message.results:
-            made = Result(
+            restored = Result(
                 handle=item.handle,
                 producer=item.producer,
                 failure_domain=item.failure_domain,
                 size=item.size,
                 created_at=now,
             )
-            made.freed = item.freed
-            job.results[item.phase][item.index] = made
+            restored.freed = item.freed
+            job.results[item.phase][item.index] = restored
             service = message.place.phases[item.phase].service
             queue = self.scheduler.stages.queues.get(service)
             if queue is not None and not item.freed:
@@ -114,7 +114,7 @@
     def on_engine_loads(self, message: EngineLoads) -> None:
         """Record the load that a scheduler which steps down has placed at the engines."""
         now = self.scheduler.clock.monotonic()
-        self.scheduler.engine_pools.on_foreign_loads(message.sender, message.loads, now)
+        self.scheduler.engine_pools.on_other_loads(message.sender, message.loads, now)
 
     def on_learned(self, message: LearnedEstimates) -> None:
         """Take over another scheduler's estimates, unless this one has enough of its own."""
--- a/packages/core/calicopath_core/scheduling/tests/pacing_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/pacing_tests.py
@@ -19,7 +19,7 @@
 CHAIN = (phase('look'), phase('rank', (0,)), phase('check', (1,)))
 
 
-class Ahead(testtools.TestCase):
+class AllowedBacklog(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.queues = {name: queue(replica('r')) for name in ('look', 'rank', 'check')}
@@ -33,14 +33,14 @@
         left_out = job('one', phase('look', count=0), phase('rank', (0,)))
         self.assertEqual({0: 0.0, 1: 0.0}, upstream_duration_s(left_out, self.queues))
 
-    def test_what_is_on_its_way_is_enough_for_jobs_without_time_to_spare(self) -> None:
+    def test_jobs_without_slack_get_only_the_work_in_transit_ahead(self) -> None:
         hurried = job('one', *CHAIN, objective_s=0.1)
         hurried.critical_path_s = {0: 1.0}
         self.assertEqual(
             upstream_duration_s(hurried, self.queues), max_ahead_s(hurried, self.queues)
         )
 
-    def test_a_call_more_at_most_is_enough_for_jobs_with_much_time(self) -> None:
+    def test_jobs_with_much_slack_get_at_most_one_more_call_ahead(self) -> None:
         full_s = self.queues['look'].expected_call_s(SPEC.batch)
         for objective_s, extra_s in ((1.0, SLACK_SHARE), (100.0, full_s)):
             found = max_ahead_s(job('one', *CHAIN, objective_s=objective_s), self.queues)
@@ -50,9 +50,9 @@
         fresh = job('fresh', *CHAIN)
         needed = int(max_ahead_s(fresh, self.queues)[1] * full_batch_rate(self.queues['rank']))
         for count, held in ((needed, set()), (needed + 1, {'fresh'})):
-            begun = job('begun', phase('look'), phase('rank', (0,), count=count))
-            begun.results[0][0] = result('h')
-            self.assertEqual(held, Pacing().held_jobs([begun, fresh], self.queues, 0.0))
+            started = job('started', phase('look'), phase('rank', (0,), count=count))
+            started.results[0][0] = result('h')
+            self.assertEqual(held, Pacing().held_jobs([started, fresh], self.queues, 0.0))
 
 
 class Burst(testtools.TestCase):
--- a/packages/core/calicopath_core/scheduling/tests/starts_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/starts_tests.py
@@ -44,21 +44,21 @@
 engine of that domain."""
 
 
-class Bound(testtools.TestCase):
-    def test_it_is_what_a_cold_engine_bears(self) -> None:
+class StartLimits(testtools.TestCase):
+    def test_the_limit_is_what_a_cold_engine_can_bear(self) -> None:
         self.assertEqual((6, MAX_STARTS_PER_S), LIMIT)
         self.assertEqual((3, 7), LIMIT.per_scheduler())
 
-    def test_one_run_may_begin_in_any_case(self) -> None:
+    def test_at_least_one_run_may_start(self) -> None:
         self.assertEqual((1, 1), start_limit_of(WarmupSpec(per_s=0.2), NO_OVERAGE).per_scheduler())
 
-    def test_an_engine_that_says_it_is_cold_gets_what_it_bears(self) -> None:
+    def test_an_engine_known_to_be_cold_gets_the_lower_limit(self) -> None:
         pool = EnginePool(slots=100, kv_tokens=1000)
         pool.start_limit = LIMIT
         pool.set_replicas([replica('e', service='engine')._replace(cold=True)])
         self.assertEqual(LIMIT.cold, placed_at_once(pool, 40))
 
-    def test_while_another_may_schedule_each_keeps_to_its_part(self) -> None:
+    def test_while_two_boxes_may_schedule_each_uses_its_part_of_the_limit(self) -> None:
         pools = [EnginePool(slots=100, kv_tokens=1000) for _ in range(2)]
         total = 0
         for pool in pools:
@@ -109,14 +109,14 @@
             name = choice.engine.replica.id
             ends.append((now + RUN_S, name, work.id))
             times.setdefault(name, []).append(now)
-        failure_domain = [found for name, found in times.items() if name.startswith('z')]
-        self.assertEqual(FAILURE_DOMAIN_ENGINES, len(failure_domain))
-        return max(max_within_a_second(found) for found in failure_domain)
+        restored = [found for name, found in times.items() if name.startswith('z')]
+        self.assertEqual(FAILURE_DOMAIN_ENGINES, len(restored))
+        return max(max_within_a_second(found) for found in restored)
 
     def test_no_engine_gets_more_than_it_bears_though_none_is_known_to_be_cold(self) -> None:
         self.assertLessEqual(self.max_starts_per_s(LIMIT), MAX_STARTS_PER_S)
 
-    def test_without_the_bound_they_would(self) -> None:
+    def test_without_the_limit_engines_get_more_than_they_bear(self) -> None:
         self.assertGreater(self.max_starts_per_s(None), MAX_STARTS_PER_S)
 
 
--- a/packages/core/calicopath_core/store/feed.py
+++ b/packages/core/calicopath_core/store/feed.py
@@ -102,10 +102,10 @@
             await asyncio.sleep(PROBE_INTERVAL_S)
             if not self.synced:
                 continue
-            asked_at = self.clock.monotonic()
+            sent_at = self.clock.monotonic()
             with contextlib.suppress(StoreError):
                 await self.store.get(PROBE_KEY)
-                self.on_contact(asked_at)
+                self.on_contact(sent_at)
 
     def relist_interval_s(self) -> float:
         """Return the seconds until the next full read, longer for a large configuration."""
@@ -114,12 +114,12 @@
 
     async def relist(self) -> None:
         """Read the whole configuration once and count the updates that the watch had missed."""
-        asked_at = self.clock.monotonic()
+        sent_at = self.clock.monotonic()
         objects = await self.store.list(CONFIG_PREFIX)
         for start in range(0, len(objects), RELIST_BATCH_OBJECTS):
             batch = objects[start : start + RELIST_BATCH_OBJECTS]
             self.missed_updates += self.view.apply_all(view_update(stored) for stored in batch)
             # A large configuration must not delay the streams that this box serves.
             await asyncio.sleep(0)
-        self.last_relist_at = asked_at
-        self.on_contact(asked_at)
+        self.last_relist_at = sent_at
+        self.on_contact(sent_at)
--- a/packages/daemon/calicopathd/gateway/run.py
+++ b/packages/daemon/calicopathd/gateway/run.py
@@ -30,7 +30,7 @@
 probes once a second and needs two equal results in a row."""
 
 EXIT_MARGIN_S = 1.0
-"""How long before it is killed a stopping box gives up requests in progress."""
+"""How long before the platform kills it a stopping box abandons the requests in progress."""
 
 REFUSE_MARGIN_S = 0.8
 """How long before its end a stopping box refuses requests that still wait for stages or an engine.
--- a/packages/daemon/calicopathd/gateway/tests/server_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/server_tests.py
@@ -91,7 +91,7 @@
 
 
 class Connections(ServerCase):
-    def test_beyond_the_bound_they_are_closed_unread_and_room_comes_back(self) -> None:
+    def test_connections_above_the_limit_are_closed_unread_until_others_close(self) -> None:
         async def work(server: HttpServer, port: int) -> list[bytes]:
             server.max_connections = 2
             request = b'GET /x HTTP/1.1\r\n\r\n'
--- a/tools/mutants/catalogue.py
+++ b/tools/mutants/catalogue.py
@@ -167,7 +167,7 @@
         f'{CORE}/scheduling/engines.py',
         'if self.start_limit is None or now >= self.exclusive_from:',
         'if True:',
-        f'{CORE}/scheduling/tests/starts_tests.py::Bound',
+        f'{CORE}/scheduling/tests/starts_tests.py::StartLimits',
     ),
     Mutant(
         'cold replicas',
