--- a/packages/clients/calicopath_clients/platform.py
+++ b/packages/clients/calicopath_clients/platform.py
@@ -73,7 +73,7 @@
         """Return all objects below `prefix`."""
         data = await self.read_json(f'{self.url}/v1/objects', {'prefix': prefix})
         if data is None:
-            raise StoreUnavailable('the object API answered 404 to a list request')
+            raise StoreUnavailable('the object API has no list')
         return [to_stored_object(item) for item in data['objects']]
 
     async def put(self, key: str, value: dict[str, Any], expected_version: int) -> StoredObject:
@@ -94,7 +94,7 @@
         except CONNECT_ERRORS as error:
             raise StoreUnavailable(f'the object API cannot be reached: {error!r}') from error
         except (aiohttp.ClientError, TimeoutError) as error:
-            raise WriteUnknown(f'the response to a write was lost: {error!r}') from error
+            raise WriteUnknown(f'the answer to a write was lost: {error!r}') from error
         if response.status == STATUS_CONFLICT:
             raise VersionConflict(f'{key} is no longer at version {expected_version}')
         if response.status != STATUS_OK:
@@ -116,7 +116,7 @@
                     if line.strip():
                         yield to_stored_object(msgspec.json.decode(line))
         except (aiohttp.ClientError, TimeoutError, ValueError) as error:
-            raise StoreUnavailable(f'the watch of the object API failed: {error!r}') from error
+            raise StoreUnavailable(f'the watch ended: {error!r}') from error
 
 
 class HttpBoxList(BoxList):
--- a/packages/core/calicopath_core/scheduling/engine_pools.py
+++ b/packages/core/calicopath_core/scheduling/engine_pools.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from calicopath_core.permits.holder import PermitIssuer, UnlimitedIssuer
+from calicopath_core.permits.issuer import PermitIssuer, UnlimitedIssuer
 from calicopath_core.scheduling.backoffs import FleetBackoffs
 from calicopath_core.scheduling.engines import EnginePool
 from calicopath_core.scheduling.starts import start_limit_of
@@ -55,11 +55,11 @@
         self[service.name].start_limit = start_limit
 
     def set_replicas(
-        self, replicas: ReplicaTable, share_of: Callable[[list[Replica]], list[Replica]]
+        self, replicas: ReplicaTable, select_replicas: Callable[[list[Replica]], list[Replica]]
     ) -> None:
         """Set which engines exist, and which of them `share_of` lets this box choose."""
         for name, pool in self.items():
-            pool.set_replicas(share_of(replicas.usable(name)), replicas.replicas)
+            pool.set_replicas(select_replicas(replicas.usable(name)), replicas.replicas)
 
     def on_activated(self, now: float) -> None:
         """Record that another box may place runs a moment longer."""
@@ -76,7 +76,7 @@
         """Return the work that waits at each engine, in seconds by replica."""
         return {name: load_s for pool in self.values() for name, load_s in pool.loads().items()}
 
-    def on_foreign_loads(self, sender: str, loads: dict[str, float], now: float) -> None:
+    def on_other_loads(self, sender: str, loads: dict[str, float], now: float) -> None:
         """Count work that another scheduler has placed, for about as long as it takes."""
         for pool in self.values():
             for replica_id, load_s in loads.items():
