--- a/tools/faults/__main__.py
+++ b/tools/faults/__main__.py
@@ -9,7 +9,7 @@
 import aiohttp
 
 from testkit.processes import ProcessGroup
-from tools.faults.deployment import Deployment, Failure
+from tools.faults.deployment import Deployment, CheckFailed
 from tools.faults.scenarios import SCENARIOS
 
 
@@ -24,7 +24,7 @@
             started = time.monotonic()
             try:
                 detail = await scenario(deployment)
-            except Failure as error:
+            except CheckFailed as error:
                 failed += 1
                 print(f'FAILED {scenario.__name__}: {error}')
                 continue
--- a/tools/faults/deployment.py
+++ b/tools/faults/deployment.py
@@ -15,23 +15,23 @@
     from testkit.load import Load
 
 BOXES = 3
-REPLICAS = 2
+REPLICAS_PER_SERVICE = 2
 CLIENTS = 8
-DOMAINS = ('lahore-a', 'lahore-b', 'lahore-c')
-WAIT = ('--wait', '15')
-ANSWER = SampleRequest('towpath', 'answer', 'Where may we moor? لاک', stream=True)
-ACT = SampleRequest('towpath', 'act', 'charge the deposit', repeatable=False)
-MIXED = (ANSWER, ANSWER._replace(stream=False), ACT)
+FAILURE_DOMAINS = ('lahore-a', 'lahore-b', 'lahore-c')
+WAIT_FLAGS = ('--wait', '15')
+STREAM_REQUEST = SampleRequest('towpath', 'answer', 'Where may we moor? لاک', stream=True)
+EFFECT_REQUEST = SampleRequest('towpath', 'act', 'charge the deposit', repeatable=False)
+MIXED_REQUESTS = (STREAM_REQUEST, STREAM_REQUEST._replace(stream=False), EFFECT_REQUEST)
 
 
-class Failure(AssertionError):
+class CheckFailed(AssertionError):
     """Report that something did not hold."""
 
 
-def check(holds: bool, message: str) -> None:
+def check(condition: bool, message: str) -> None:
     """Raise unless something holds."""
-    if not holds:
-        raise Failure(message)
+    if not condition:
+        raise CheckFailed(message)
 
 
 class Deployment:
@@ -50,10 +50,10 @@
         specs = [
             self.endpoint_spec(service, number)
             for service in SERVICES
-            for number in range(REPLICAS)
+            for number in range(REPLICAS_PER_SERVICE)
         ]
         started = await asyncio.gather(*(self.start_endpoint(spec) for spec in specs))
-        self.endpoints = {item.process.name: item for item in started}
+        self.endpoints = {endpoint.process.name: endpoint for endpoint in started}
         documents = [item.spec for item in started]
         documents += list(TEMPLATES.values())
         documents += [{**pipeline_spec(name), 'deadline_ms': 10_000} for name in TEMPLATES]
@@ -61,7 +61,7 @@
         result = await operate(self.platform, 'apply', str(path))
         check(result.code == 0, result.errors)
         for number in range(BOXES):
-            await self.add_box(f'box-{number + 1}', DOMAINS[number])
+            await self.add_box(f'box-{number + 1}', FAILURE_DOMAINS[number])
 
     def endpoint_spec(self, service: str, number: int) -> dict[str, Any]:
         """Return the document of a replica."""
@@ -71,7 +71,7 @@
             'service': service,
             'stage': SERVICES[service].value,
             'address': 'http://127.0.0.1:1',
-            'failure_domain': DOMAINS[number % len(DOMAINS)],
+            'failure_domain': FAILURE_DOMAINS[number % len(FAILURE_DOMAINS)],
             'concurrency': 32,
         }
 
@@ -80,31 +80,31 @@
         flags = ('--service-ms', '100') if spec['stage'] == 'service' else ()
         return await self.group.endpoint(spec, *flags)
 
-    async def add_box(self, name: str, domain: str, *flags: str) -> Process:
+    async def add_box(self, name: str, failure_domain: str, *flags: str) -> Process:
         """Start a daemon and wait until it is ready."""
         box = await self.group.daemon(
-            self.platform, name, domain, '--boxes', str(BOXES), '--leave-grace-s', '0.3', *flags
+            self.platform, name, failure_domain, '--boxes', str(BOXES), '--leave-grace-s', '0.3', *flags
         )
         self.boxes = [item for item in self.boxes if item.name != name] + [box]
         await wait_ready(box)
         return box
 
-    async def faults(self, process: Process, **faults: Any) -> None:
+    async def set_faults(self, process: Process, **faults: Any) -> None:
         """Switch a stand-in's faults."""
         async with self.session.post(f'{process.url}/admin/faults', json=faults) as answer:
             check(answer.status == 200, f'{process.name}: {faults}')
 
-    async def get(self, process: Process, path: str) -> Any:
+    async def get_json(self, process: Process, path: str) -> Any:
         """Read JSON from a process."""
         async with self.session.get(process.url + path) as answer:
             return await answer.json(content_type=None)
 
-    async def ran(self) -> dict[str, int]:
+    async def run_counts(self) -> dict[str, int]:
         """Count over all services how often each key ran."""
         total: dict[str, int] = {}
-        for name, item in self.endpoints.items():
+        for name, endpoint in self.endpoints.items():
             if name.startswith('desk'):
-                for key, count in (await self.get(item.process, '/admin/ran')).items():
+                for key, count in (await self.get_json(endpoint.process, '/admin/ran')).items():
                     total[key] = total.get(key, 0) + count
         return total
 
@@ -112,17 +112,17 @@
         """Send one request."""
         return await send(self.session, box, sample, key)
 
-    async def check_load(self, load: Load, *, cut: tuple[str, ...] = ()) -> None:
+    async def check_load(self, load: Load, *, killed_boxes: tuple[str, ...] = ()) -> None:
         """Check that answers are right, keys ran at most once, and refused ones not at all."""
-        ran = await self.ran()
-        for item in load.results:
-            check(item.is_right, f'wrong answer: {item}')
-            check(item.outcome != 'broken' or item.box in cut, f'cut: {item}')
-            if item.key is None:
+        run_counts = await self.run_counts()
+        for result in load.results:
+            check(result.is_right, f'wrong answer: {result}')
+            check(result.outcome != 'broken' or result.box in killed_boxes, f'cut: {result}')
+            if result.key is None:
                 continue
-            check(ran.get(item.key, 0) <= 1, f'{item.key} ran {ran.get(item.key)} times')
-            if item.outcome == 'refused':
-                check(item.key not in ran, f'{item.key} was refused and ran')
-            if item.outcome == 'answered':
-                check(ran.get(item.key) == 1, f'{item.key} was answered and did not run')
+            check(run_counts.get(result.key, 0) <= 1, f'{result.key} ran {run_counts.get(result.key)} times')
+            if result.outcome == 'refused':
+                check(result.key not in run_counts, f'{result.key} was refused and ran')
+            if result.outcome == 'answered':
+                check(run_counts.get(result.key) == 1, f'{result.key} was answered and did not run')
         check(load.outcomes()['answered'] > 0, 'nothing was answered')
--- a/tools/faults/scenarios.py
+++ b/tools/faults/scenarios.py
@@ -12,13 +12,13 @@
 from testkit.processes import operate
 from testkit.world import SERVICES
 from tools.faults.deployment import (
-    ACT,
-    ANSWER,
+    EFFECT_REQUEST,
+    STREAM_REQUEST,
     BOXES,
     CLIENTS,
-    DOMAINS,
-    MIXED,
-    WAIT,
+    FAILURE_DOMAINS,
+    MIXED_REQUESTS,
+    WAIT_FLAGS,
     Deployment,
     check,
 )
@@ -30,19 +30,19 @@
 async def box_killed(deployment: Deployment) -> str:
     """Kill a daemon under load; its unfinished keys asked again elsewhere run at most once."""
     victim = deployment.boxes[0]
-    load = Load(boxes=deployment.boxes, samples=MIXED)
+    load = Load(boxes=deployment.boxes, samples=MIXED_REQUESTS)
     async with load.running(CLIENTS):
         await asyncio.sleep(1)
         victim.send(signal.SIGKILL)
         await asyncio.sleep(0.5)
-    other = deployment.boxes[1]
+    other_box = deployment.boxes[1]
     unfinished = [item for item in load.results if item.key and item.outcome == 'broken']
     for item in unfinished:
-        await deployment.send(other, item.sample, item.key)
+        await deployment.send(other_box, item.sample, item.key)
     check(len(unfinished) > 0, 'no key was in progress when the box was killed')
-    await deployment.check_load(load, cut=(victim.name,))
+    await deployment.check_load(load, killed_boxes=(victim.name,))
     await victim.wait()
-    await deployment.add_box(victim.name, DOMAINS[0])
+    await deployment.add_box(victim.name, FAILURE_DOMAINS[0])
     return f'{dict(load.outcomes())}, {len(unfinished)} keys asked again'
 
 
@@ -50,14 +50,14 @@
     """Freeze a daemon under load, ask its keys elsewhere, and wake it."""
     victim, other = deployment.boxes[0], deployment.boxes[1]
     keys = [new_key() for _ in range(12)]
-    first = [asyncio.create_task(deployment.send(victim, ACT, key)) for key in keys]
+    pending = [asyncio.create_task(deployment.send(victim, EFFECT_REQUEST, key)) for key in keys]
     await asyncio.sleep(0.25)
     victim.send(signal.SIGSTOP)
-    again = await asyncio.gather(*(deployment.send(other, ACT, key) for key in keys))
+    retried = await asyncio.gather(*(deployment.send(other, EFFECT_REQUEST, key) for key in keys))
     victim.send(signal.SIGCONT)
-    woken = await asyncio.gather(*first)
-    ran = await deployment.ran()
-    answered = [reply.outcome for reply in (*again, *woken)].count('answered')
+    resumed = await asyncio.gather(*pending)
+    ran = await deployment.run_counts()
+    answered = [reply.outcome for reply in (*retried, *resumed)].count('answered')
     check(answered > 0, 'nothing was answered on either side of the freeze')
     for key in keys:
         check(ran.get(key, 0) <= 1, f'{key} ran {ran.get(key)} times')
@@ -67,7 +67,7 @@
 async def planned_stop(deployment: Deployment) -> str:
     """Stop a daemon under load: no request is cut and it exits 0."""
     victim = deployment.boxes[0]
-    load = Load(boxes=deployment.boxes, samples=MIXED)
+    load = Load(boxes=deployment.boxes, samples=MIXED_REQUESTS)
     async with load.running(CLIENTS):
         await asyncio.sleep(0.5)
         victim.send(signal.SIGTERM)
@@ -78,27 +78,27 @@
     check(code == 0, f'exit code {code}')
     await deployment.check_load(load)
     check(load.outcomes()['failed'] == 0, f'{dict(load.outcomes())}')
-    await deployment.add_box(victim.name, DOMAINS[0])
+    await deployment.add_box(victim.name, FAILURE_DOMAINS[0])
     return str(dict(load.outcomes()))
 
 
 async def drains(deployment: Deployment) -> str:
     """Drain an endpoint of each kind under load: nothing is cut, and no new work comes."""
-    load = Load(boxes=deployment.boxes, samples=MIXED)
+    load = Load(boxes=deployment.boxes, samples=MIXED_REQUESTS)
     names = [f'{service}-1' for service in SERVICES]
     async with load.running(CLIENTS):
         await asyncio.sleep(0.5)
         for name in names:
-            result = await operate(deployment.platform, 'endpoint', 'drain', name, *WAIT)
+            result = await operate(deployment.platform, 'endpoint', 'drain', name, *WAIT_FLAGS)
             check(result.code == 0, result.errors)
         await asyncio.sleep(0.5)
         before = [
-            await deployment.get(deployment.endpoints[name].process, '/admin/asked')
+            await deployment.get_json(deployment.endpoints[name].process, '/admin/asked')
             for name in names
         ]
         await asyncio.sleep(0.7)
         after = [
-            await deployment.get(deployment.endpoints[name].process, '/admin/asked')
+            await deployment.get_json(deployment.endpoints[name].process, '/admin/asked')
             for name in names
         ]
     check([len(item) for item in before] == [len(item) for item in after], 'work after a drain')
@@ -106,72 +106,72 @@
     outcomes = load.outcomes()
     check(outcomes['failed'] == 0 and outcomes['refused'] == 0, str(dict(outcomes)))
     for name in names:
-        await put_back(deployment, name)
+        await reactivate_endpoint(deployment, name)
     return str(dict(outcomes))
 
 
-async def put_back(deployment: Deployment, name: str) -> None:
+async def reactivate_endpoint(deployment: Deployment, name: str) -> None:
     """Take a drained endpoint into service again."""
     spec = deployment.endpoints[name].spec
     flags = [
         f'--{flag.replace("_", "-")}={spec[flag]}'
         for flag in ('service', 'stage', 'address', 'failure_domain', 'concurrency')
     ]
-    result = await operate(deployment.platform, 'endpoint', 'add', name, *flags, *WAIT)
+    result = await operate(deployment.platform, 'endpoint', 'add', name, *flags, *WAIT_FLAGS)
     check(result.code == 0, result.errors)
 
 
 async def platform_outage(deployment: Deployment) -> str:
     """Take the platform away under load; what needs no claim goes on, changes come later."""
-    load = Load(boxes=deployment.boxes, samples=MIXED)
+    load = Load(boxes=deployment.boxes, samples=MIXED_REQUESTS)
     async with load.running(CLIENTS):
         await asyncio.sleep(0.3)
-        await deployment.faults(deployment.platform, down=True)
+        await deployment.set_faults(deployment.platform, down=True)
         result = await operate(deployment.platform, 'endpoint', 'drain', 'drafting-1')
         check(result.code in (1, 4), f'a change was accepted by a platform that is down: {result}')
         # The write may have been sent twice; it must have had no effect.
         await asyncio.sleep(1)
-        refused = await deployment.send(deployment.boxes[0], ACT, new_key())
+        refused = await deployment.send(deployment.boxes[0], EFFECT_REQUEST, new_key())
         check(refused.outcome == 'refused', f'{refused}')
-        answered = await deployment.send(deployment.boxes[0], ANSWER)
+        answered = await deployment.send(deployment.boxes[0], STREAM_REQUEST)
         check(answered.outcome == 'answered', f'{answered}')
-        await deployment.faults(deployment.platform, down=False)
-        result = await operate(deployment.platform, 'endpoint', 'drain', 'drafting-1', *WAIT)
+        await deployment.set_faults(deployment.platform, down=False)
+        result = await operate(deployment.platform, 'endpoint', 'drain', 'drafting-1', *WAIT_FLAGS)
         check(result.code == 0, result.errors)
     await deployment.check_load(load)
-    await put_back(deployment, 'drafting-1')
+    await reactivate_endpoint(deployment, 'drafting-1')
     return str(dict(load.outcomes()))
 
 
 async def engine_cut(deployment: Deployment) -> str:
     """Cut streams half-way: they are resumed on another replica, byte for byte."""
-    whole = await deployment.send(deployment.boxes[0], ANSWER)
+    whole = await deployment.send(deployment.boxes[0], STREAM_REQUEST)
     engines = [
         item.process for name, item in deployment.endpoints.items() if name.startswith('draft')
     ]
     for number in range(6):
         for engine in engines:
-            await deployment.faults(engine, cut_after=3 + number)
-        reply = await deployment.send(deployment.boxes[number % BOXES], ANSWER)
+            await deployment.set_faults(engine, cut_after=3 + number)
+        reply = await deployment.send(deployment.boxes[number % BOXES], STREAM_REQUEST)
         check(reply.outcome in ('answered', 'failed'), f'{reply}')
         if reply.outcome == 'answered':
             check(reply.streamed == whole.streamed, f'{reply.streamed} is not {whole.streamed}')
     for engine in engines:
-        await deployment.faults(engine)
+        await deployment.set_faults(engine)
     return 'resumed streams are equal'
 
 
 async def operators_race(deployment: Deployment) -> str:
     """Let operators change one endpoint at once: each accepted change has exactly one record."""
     commands = ['drain', 'stop'] * 4
-    await deployment.faults(deployment.platform, slow_s=0.3)
+    await deployment.set_faults(deployment.platform, slow_s=0.3)
     results = await asyncio.gather(
         *(
             operate(deployment.platform, 'endpoint', command, 'rerankers-1', who=f'op-{number}')
             for number, command in enumerate(commands)
         )
     )
-    await deployment.faults(deployment.platform, slow_s=0.0)
+    await deployment.set_faults(deployment.platform, slow_s=0.0)
     accepted = sum(result.code == 0 for result in results)
     check(0 < accepted < len(results), f'{accepted} accepted: the operators did not race')
     check(all(result.code in (0, 3) for result in results), f'{results}')
@@ -181,37 +181,37 @@
     records = [item for item in json.loads(audit.output) if item['who'].startswith('op-')]
     check(len(records) == accepted, f'{accepted} accepted, {len(records)} recorded')
     check(len({item['id'] for item in records}) == accepted, 'a change is recorded twice')
-    await put_back(deployment, 'rerankers-1')
+    await reactivate_endpoint(deployment, 'rerankers-1')
     return f'{accepted} accepted, {len(results) - accepted} told of the conflict'
 
 
 async def lost_answers(deployment: Deployment) -> str:
     """Lose answers after the platform took the write: neither operators nor claims do it twice."""
-    await deployment.faults(deployment.platform, lose_answers=2)
-    result = await operate(deployment.platform, 'endpoint', 'drain', 'encoders-1', *WAIT)
+    await deployment.set_faults(deployment.platform, lose_answers=2)
+    result = await operate(deployment.platform, 'endpoint', 'drain', 'encoders-1', *WAIT_FLAGS)
     check(result.code == 0, result.errors)
-    await deployment.faults(deployment.platform, lose_answers=3)
+    await deployment.set_faults(deployment.platform, lose_answers=3)
     key = new_key()
-    replies = [await deployment.send(box, ACT, key) for box in deployment.boxes]
-    ran = await deployment.ran()
+    replies = [await deployment.send(box, EFFECT_REQUEST, key) for box in deployment.boxes]
+    ran = await deployment.run_counts()
     check(ran.get(key, 0) <= 1, f'{key} ran {ran.get(key)} times')
     check('answered' in [reply.outcome for reply in replies], f'{replies}')
-    await deployment.faults(deployment.platform, lose_answers=0)
-    await put_back(deployment, 'encoders-1')
+    await deployment.set_faults(deployment.platform, lose_answers=0)
+    await reactivate_endpoint(deployment, 'encoders-1')
     return str([reply.outcome for reply in replies])
 
 
 async def restart_without_platform(deployment: Deployment) -> str:
     """Restart a daemon while the platform is down: it gets its view from its peers."""
     victim = deployment.boxes[0]
-    await deployment.faults(deployment.platform, down=True)
+    await deployment.set_faults(deployment.platform, down=True)
     victim.send(signal.SIGKILL)
     await victim.wait()
     seeds = ','.join(box.peer_address for box in deployment.boxes if box is not victim)
-    box = await deployment.add_box(victim.name, DOMAINS[0], '--seed-peers', seeds)
-    reply = await deployment.send(box, ANSWER)
+    box = await deployment.add_box(victim.name, FAILURE_DOMAINS[0], '--seed-peers', seeds)
+    reply = await deployment.send(box, STREAM_REQUEST)
     check(reply.outcome == 'answered', f'{reply}')
-    await deployment.faults(deployment.platform, down=False)
+    await deployment.set_faults(deployment.platform, down=False)
     return 'ready from peers'
 
 
--- a/tools/mutants/__main__.py
+++ b/tools/mutants/__main__.py
@@ -22,7 +22,7 @@
 WORKERS = 4
 PACKAGES = ('core', 'clients', 'daemon', 'cli')
 
-LEFT_OUT = ('.git', '.venv', '__pycache__', '.*_cache', '.hypothesis', 'journal', 'target')
+IGNORED_PATTERNS = ('.git', '.venv', '__pycache__', '.*_cache', '.hypothesis', 'journal', 'target')
 """What no test reads is not copied."""
 
 
@@ -30,7 +30,7 @@
     """Break one mechanism in a copy and return whether its test passes all the same."""
     with tempfile.TemporaryDirectory(prefix='mutant-') as folder:
         copy = Path(folder) / 'tree'
-        ignore = shutil.ignore_patterns(*LEFT_OUT)
+        ignore = shutil.ignore_patterns(*IGNORED_PATTERNS)
         shutil.copytree(ROOT, copy, ignore=ignore)
         target = copy / mutant.file
         text = target.read_text()
@@ -58,8 +58,8 @@
     with ThreadPoolExecutor(WORKERS) as pool:
         survivors = list(pool.map(survives, MUTANTS))
     for mutant, survived in zip(MUTANTS, survivors, strict=True):
-        word = 'SURVIVED' if survived else 'caught'
-        print(f'{word}: {mutant.promise}: {mutant.file}: {mutant.new!r} by {mutant.test}')
+        verdict = 'SURVIVED' if survived else 'caught'
+        print(f'{verdict}: {mutant.promise}: {mutant.file}: {mutant.new!r} by {mutant.test}')
     print(f'{survivors.count(False)} passed, {survivors.count(True)} failed')
     return 1 if any(survivors) else 0
 
--- a/tools/soak/__main__.py
+++ b/tools/soak/__main__.py
@@ -16,7 +16,7 @@
 HELP_SECONDS = 'How long faults come, in seconds.'
 HELP_TIMED = 'Check bounds in time too; a busy machine may break those by itself.'
 
-SHOWN = 10
+MAX_PROBLEMS_SHOWN = 10
 
 KEPT_SEEDS: tuple[int, ...] = (57,)
 """Seeds that once showed a fault, each with a line on its cause in docs/design/soak.md."""
@@ -25,16 +25,16 @@
 def report(verdict: Verdict) -> None:
     """Print what a seed showed."""
     outcomes = Counter(
-        ('whole' if item.whole else 'cut') if item.status == 200 else str(item.status)
-        for item in verdict.seen
+        ('whole' if record.is_complete else 'cut') if record.status == 200 else str(record.status)
+        for record in verdict.records
     )
     word = 'FAILED' if verdict.problems else 'ok'
     counts = ', '.join(f'{name}: {count}' for name, count in sorted(outcomes.items()))
     print(f'{word} seed {verdict.plan.seed}: {len(verdict.steps)} steps; {counts}', flush=True)
-    for problem in verdict.problems[:SHOWN]:
+    for problem in verdict.problems[:MAX_PROBLEMS_SHOWN]:
         print(f'  {problem}')
     if verdict.problems:
-        print(f'  {len(verdict.problems)} problems; logs in {verdict.logs}', flush=True)
+        print(f'  {len(verdict.problems)} problems; logs in {verdict.log_folder}', flush=True)
 
 
 def main(
@@ -47,16 +47,16 @@
     timed: Annotated[bool, typer.Option(help=HELP_TIMED)] = False,
 ) -> None:
     """Play seeds and print a line for each."""
-    listed = [int(item) for item in seeds.split(',') if item]
-    listed += list(KEPT_SEEDS) if kept else []
-    listed += [secrets.randbelow(10**9) for _ in range(fresh)]
+    all_seeds = [int(item) for item in seeds.split(',') if item]
+    all_seeds += list(KEPT_SEEDS) if kept else []
+    all_seeds += [secrets.randbelow(10**9) for _ in range(fresh)]
     failed = 0
-    for seed in listed:
+    for seed in all_seeds:
         plan = Plan(seed, seconds, boxes, callers, timed)
         verdict = asyncio.run(Soak(plan=plan).run())
         report(verdict)
         failed += bool(verdict.problems)
-    print(f'{len(listed) - failed} passed, {failed} failed')
+    print(f'{len(all_seeds) - failed} passed, {failed} failed')
     raise typer.Exit(1 if failed else 0)
 
 
--- a/tools/soak/boxes.py
+++ b/tools/soak/boxes.py
@@ -16,41 +16,41 @@
     from collections.abc import Callable
     from pathlib import Path
 
-    from tools.soak.records import StopSeen
+    from tools.soak.records import BoxStop
 
 PYTHON_PATH = ('packages/core', 'packages/clients', 'packages/daemon', 'platform')
-STOP_LIMIT_S = 40.0
+STOP_TIMEOUT_S = 40.0
 POLL_S = 0.05
 
 
 class BoxProcess:
     """Hold a box's settings file, its process and how often it was started."""
 
-    def __init__(self, *, number: int, path: Path, log: Path) -> None:
+    def __init__(self, *, number: int, settings_path: Path, log_path: Path) -> None:
         self.number = number
-        self.path = path
-        self.log = log
+        self.settings_path = settings_path
+        self.log_path = log_path
         self.frontend = ''
-        self.handle: asyncio.subprocess.Process | None = None
-        self.life = 0
-        self.busy = False
+        self.process: asyncio.subprocess.Process | None = None
+        self.incarnation = 0
+        self.has_fault = False
 
     async def start(self) -> None:
         """Start a new life."""
-        self.life += 1
-        environment = {**os.environ, SETTINGS_VARIABLE: str(self.path)}
+        self.incarnation += 1
+        environment = {**os.environ, SETTINGS_VARIABLE: str(self.settings_path)}
         environment['PYTHONPATH'] = os.pathsep.join(str(ROOT / item) for item in PYTHON_PATH)
-        with self.log.open('ab') as output:
-            self.handle = await asyncio.create_subprocess_exec(
+        with self.log_path.open('ab') as output:
+            self.process = await asyncio.create_subprocess_exec(
                 sys.executable, '-m', 'calicopath_platform', cwd=ROOT, env=environment,
                 stdout=output, stderr=output,
             )  # fmt: skip
 
-    async def listens(self) -> bool:
+    async def wait_listening(self) -> bool:
         """Wait until the box listens; tell whether it does, or has ended."""
-        assert self.handle is not None
+        assert self.process is not None
         host, _, port = self.frontend.rpartition(':')
-        while self.handle.returncode is None:
+        while self.process.returncode is None:
             try:
                 _, writer = await asyncio.open_connection(host, int(port))
             except OSError:
@@ -60,28 +60,28 @@
             return True
         return False
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, signal_number: signal.Signals) -> None:
         """Send a signal to this process only."""
-        assert self.handle is not None
+        assert self.process is not None
         with contextlib.suppress(ProcessLookupError):
-            self.handle.send_signal(number)
+            self.process.send_signal(signal_number)
 
     async def kill(self) -> None:
         """End the process at once."""
-        self.send(signal.SIGCONT)
-        self.send(signal.SIGKILL)
-        assert self.handle is not None
-        await self.handle.wait()
+        self.send_signal(signal.SIGCONT)
+        self.send_signal(signal.SIGKILL)
+        assert self.process is not None
+        await self.process.wait()
 
-    async def stop(self, clock: Callable[[], float], seen: type[StopSeen]) -> StopSeen:
+    async def stop(self, clock: Callable[[], float], record_type: type[BoxStop]) -> BoxStop:
         """Ask the process to end; return how it did."""
-        assert self.handle is not None
-        asked = clock()
-        self.send(signal.SIGTERM)
+        assert self.process is not None
+        requested_at = clock()
+        self.send_signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(STOP_LIMIT_S):
-                code = await self.handle.wait()
+            async with asyncio.timeout(STOP_TIMEOUT_S):
+                code = await self.process.wait()
         except TimeoutError:
             await self.kill()
             code = -signal.SIGKILL
-        return seen(self.number, asked, clock(), code)
+        return record_type(self.number, requested_at, clock(), code)
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -7,7 +7,7 @@
 import re
 from typing import TYPE_CHECKING, NamedTuple
 
-from tools.soak.records import STREAMS, RequestKind, Seen
+from tools.soak.records import STREAM_KINDS, RequestKind, RequestRecord
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -15,32 +15,32 @@
 EVENT_ID = re.compile(rb'^id: (\d+)$', re.MULTILINE)
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """Hold one answer as it came; `whole` says that it had its proper end."""
 
     status: int
-    whole: bool
-    sealed: bool
+    is_complete: bool
+    has_seal: bool
     body: bytes
-    closes: bool
-    leaving: bool = False
+    closes_connection: bool
+    replica_is_leaving: bool = False
     retry_after_s: float = 0.0
-    limited: bool = False
+    replica_is_limited: bool = False
 
 
-NO_ANSWER = Answer(0, False, False, b'', True)
+NO_RESPONSE = Response(0, False, False, b'', True)
 
 
-class Question(NamedTuple):
+class CallerRequest(NamedTuple):
     """Hold what a caller sends, to which box in which of its lives."""
 
     call_id: str
     kind: RequestKind
     box: int
-    life: int
+    incarnation: int
     data: bytes
-    since: int
-    deadly: str = ''
+    probed_version: int
+    crash_path: str = ''
 
 
 class CallerConnection:
@@ -51,7 +51,7 @@
         self.reader: asyncio.StreamReader | None = None
         self.writer: asyncio.StreamWriter | None = None
 
-    async def ask(self, data: bytes) -> Answer:
+    async def send(self, data: bytes) -> Response:
         """Send a request and read its answer."""
         try:
             if self.writer is None or self.writer.is_closing():
@@ -60,13 +60,13 @@
             assert self.reader is not None
             self.writer.write(data)
             await self.writer.drain()
-            answer = await read_answer(self.reader)
+            response = await read_response(self.reader)
         except (OSError, EOFError):
             self.close()
-            return NO_ANSWER
-        if answer.closes or not answer.whole:
+            return NO_RESPONSE
+        if response.closes_connection or not response.is_complete:
             self.close()
-        return answer
+        return response
 
     def close(self) -> None:
         """Give the connection up."""
@@ -75,28 +75,28 @@
         self.reader = self.writer = None
 
 
-async def read_answer(reader: asyncio.StreamReader) -> Answer:
+async def read_response(reader: asyncio.StreamReader) -> Response:
     """Return the next answer; raise `EOFError` or `OSError` if there is no head."""
     head = await reader.readuntil(b'\r\n\r\n')
     status = int(head.split(b' ', 2)[1])
-    lowered = head.lower()
-    sealed = b'\r\nresponse-seal:' in lowered
-    closes = b'\r\nconnection: close' in lowered
-    length = re.search(rb'\r\ncontent-length: (\d+)', lowered)
-    if length is not None:
-        body, whole = await read_length(reader, int(length[1]))
-    elif b'\r\ntransfer-encoding: chunked' in lowered:
-        body, whole = await read_chunks(reader)
+    lower_head = head.lower()
+    has_seal = b'\r\nresponse-seal:' in lower_head
+    closes_connection = b'\r\nconnection: close' in lower_head
+    content_length = re.search(rb'\r\ncontent-length: (\d+)', lower_head)
+    if content_length is not None:
+        body, is_complete = await read_sized_body(reader, int(content_length[1]))
+    elif b'\r\ntransfer-encoding: chunked' in lower_head:
+        body, is_complete = await read_chunked_body(reader)
     else:
-        body, whole = b'', False
-    leaving = b'\r\nserver-leaving: 1\r\n' in lowered
-    wish = re.search(rb'\r\nretry-after: ([\d.]+)', lowered)
-    retry_after_s = float(wish[1]) if wish is not None else 0.0
-    limited = b'\r\nserver-limit: ' in lowered
-    return Answer(status, whole, sealed, body, closes, leaving, retry_after_s, limited)
+        body, is_complete = b'', False
+    replica_is_leaving = b'\r\nserver-leaving: 1\r\n' in lower_head
+    retry_after = re.search(rb'\r\nretry-after: ([\d.]+)', lower_head)
+    retry_after_s = float(retry_after[1]) if retry_after is not None else 0.0
+    replica_is_limited = b'\r\nserver-limit: ' in lower_head
+    return Response(status, is_complete, has_seal, body, closes_connection, replica_is_leaving, retry_after_s, replica_is_limited)
 
 
-async def read_length(reader: asyncio.StreamReader, length: int) -> tuple[bytes, bool]:
+async def read_sized_body(reader: asyncio.StreamReader, length: int) -> tuple[bytes, bool]:
     """Return a body of some length, and whether all of it came."""
     try:
         return await reader.readexactly(length), True
@@ -106,7 +106,7 @@
         return b'', False
 
 
-async def read_chunks(reader: asyncio.StreamReader) -> tuple[bytes, bool]:
+async def read_chunked_body(reader: asyncio.StreamReader) -> tuple[bytes, bool]:
     """Return a body in chunks, and whether its last chunk came."""
     body = b''
     with contextlib.suppress(OSError, EOFError, ValueError):
@@ -119,34 +119,34 @@
     return body, False
 
 
-async def ask(
-    connection: CallerConnection, question: Question, clock: Callable[[], float], patience_s: float
-) -> Seen:
+async def send_request(
+    connection: CallerConnection, request: CallerRequest, clock: Callable[[], float], timeout_s: float
+) -> RequestRecord:
     """Send a question and return what was seen; one without an answer in time is given up."""
-    began = clock()
-    answer = NO_ANSWER
+    started_at = clock()
+    response = NO_RESPONSE
     try:
-        async with asyncio.timeout(patience_s):
-            answer = await connection.ask(question.data)
+        async with asyncio.timeout(timeout_s):
+            response = await connection.send(request.data)
     except TimeoutError:
         connection.close()
-    stream = question.kind in STREAMS and answer.status == 200
-    ids = tuple(int(found) for found in EVENT_ID.findall(answer.body)) if stream else ()
-    return Seen(
-        call_id=question.call_id,
-        kind=question.kind,
-        box=question.box,
-        life=question.life,
-        began=began,
-        ended=clock(),
-        status=answer.status,
-        whole=answer.whole,
-        sealed=answer.sealed,
-        body=answer.body[:200],
-        event_ids=ids,
-        since=question.since,
-        leaving=answer.leaving,
-        deadly=question.deadly,
-        retry_after_s=answer.retry_after_s,
-        limited=answer.limited,
+    is_stream = request.kind in STREAM_KINDS and response.status == 200
+    event_ids = tuple(int(found) for found in EVENT_ID.findall(response.body)) if is_stream else ()
+    return RequestRecord(
+        call_id=request.call_id,
+        kind=request.kind,
+        box=request.box,
+        incarnation=request.incarnation,
+        started_at=started_at,
+        ended_at=clock(),
+        status=response.status,
+        is_complete=response.is_complete,
+        has_seal=response.has_seal,
+        body=response.body[:200],
+        event_ids=event_ids,
+        probed_version=request.probed_version,
+        replica_is_leaving=response.replica_is_leaving,
+        crash_path=request.crash_path,
+        retry_after_s=response.retry_after_s,
+        replica_is_limited=response.replica_is_limited,
     )
--- a/tools/soak/checks.py
+++ b/tools/soak/checks.py
@@ -6,220 +6,220 @@
 from collections import Counter, defaultdict
 from typing import TYPE_CHECKING
 
-from tools.soak.records import EVENTS, STREAMS, RequestKind, Run, Seen
-from tools.soak.schedule import FaultKind, Step, calm
+from tools.soak.records import EVENTS_PER_STREAM, STREAM_KINDS, RequestKind, Run, RequestRecord
+from tools.soak.schedule import FaultKind, Step, is_calm
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from tools.soak.records import Arrived, FailureDomainOut, StopSeen, TurnedAway
+    from tools.soak.records import Arrival, Evacuation, BoxStop, RefusedCall
 
-CONTACT_S = 4.0
+CONTACT_TIME_S = 4.0
 """How long after a fault a box is not held to times; the users' pages say 3 to 4 s."""
 
-DRAIN_S = 3.0
+DRAIN_LIMIT_S = 3.0
 """How soon a replica that leaves gets nothing new: the users' 2 s, and one for a busy machine."""
 
-EVACUATE_S = 3.0
+EVACUATION_LIMIT_S = 3.0
 """How soon a failure domain that is taken out gets nothing new: well within the users' 5 s."""
 
-OVERLAP_S = 1.4
+MAX_OVERLAP_S = 1.4
 """How long two runs of one stream may go on together: the users' 0.4 s, and 1 s for a busy machine.
 """
 
-GRACE_S = 8.0
+STOP_GRACE_S = 8.0
 """How long a box may take to stop, as the users' pages say; a busy machine is given twice that."""
 
-MOST_IN_PAUSE = 2
+MAX_CALLS_IN_BACKOFF = 2
 """What a replica may get from a box in a pause that it has asked for, as the users' pages say."""
 
-CALLS_A_BOX = 250
+MAX_STORE_CALLS_PER_BOX = 250
 """Calls to the store that each box may make in a second: its part of the 2,000 reading calls that
 the users' store takes from eight."""
 
-OWN_WHOLE = frozenset({200})
+SUCCESS_STATUSES = frozenset({200})
 
 
-def answers_are_right(seen: Iterable[Seen]) -> list[str]:
+def find_wrong_responses(records: Iterable[RequestRecord]) -> list[str]:
     """Check that every success is sealed and the whole answer to its own request."""
     problems = []
-    for item in seen:
-        if item.status not in OWN_WHOLE:
+    for record in records:
+        if record.status not in SUCCESS_STATUSES:
             continue
-        if not item.sealed:
-            problems.append(f'{item.call_id}: a success without its seal')
-        if item.kind in STREAMS:
-            problems += stream_problems(item)
-        elif item.whole and not item.body.startswith(item.call_id.encode()):
-            problems.append(f'{item.call_id}: the answer of another request: {item.body[:60]!r}')
+        if not record.has_seal:
+            problems.append(f'{record.call_id}: a success without its seal')
+        if record.kind in STREAM_KINDS:
+            problems += find_stream_errors(record)
+        elif record.is_complete and not record.body.startswith(record.call_id.encode()):
+            problems.append(f'{record.call_id}: the answer of another request: {record.body[:60]!r}')
     return problems
 
 
-def stream_problems(item: Seen) -> list[str]:
+def find_stream_errors(record: RequestRecord) -> list[str]:
     """Check that a stream has each event once and in order, and ends as whole only if it is."""
-    expected = tuple(range(1, len(item.event_ids) + 1))
-    if item.event_ids != expected:
-        return [f'{item.call_id}: events {item.event_ids}']
-    if item.whole and len(item.event_ids) != EVENTS:
-        return [f'{item.call_id}: ended as whole after {len(item.event_ids)} events']
+    expected = tuple(range(1, len(record.event_ids) + 1))
+    if record.event_ids != expected:
+        return [f'{record.call_id}: events {record.event_ids}']
+    if record.is_complete and len(record.event_ids) != EVENTS_PER_STREAM:
+        return [f'{record.call_id}: ended as whole after {len(record.event_ids)} events']
     return []
 
 
-def nothing_runs_twice(seen: Iterable[Seen], runs: Iterable[Run]) -> list[str]:
+def find_repeated_runs(records: Iterable[RequestRecord], runs: Iterable[Run]) -> list[str]:
     """Check that what can't be repeated ran at most once, and not at all if it was refused."""
-    counts: dict[str, int] = defaultdict(int)
+    run_counts: dict[str, int] = defaultdict(int)
     for run in runs:
-        counts[run.call_id] += 1
+        run_counts[run.call_id] += 1
     problems = []
-    for item in seen:
-        if item.kind not in (RequestKind.PAY, RequestKind.LETTER):
+    for record in records:
+        if record.kind not in (RequestKind.UNSAFE, RequestKind.UNREPEATABLE_STREAM):
             continue
-        if counts[item.call_id] > 1:
-            problems.append(f'{item.call_id}: ran {counts[item.call_id]} times')
-        if item.refused and counts[item.call_id]:
-            problems.append(f'{item.call_id}: refused with {item.status}, and ran')
+        if run_counts[record.call_id] > 1:
+            problems.append(f'{record.call_id}: ran {run_counts[record.call_id]} times')
+        if record.is_refusal and run_counts[record.call_id]:
+            problems.append(f'{record.call_id}: refused with {record.status}, and ran')
     return problems
 
 
-def no_unknown_request_ran(
-    seen: Iterable[Seen], runs: Iterable[Run], open_ids: set[str]
+def find_unknown_runs(
+    records: Iterable[RequestRecord], runs: Iterable[Run], sent_ids: set[str]
 ) -> list[str]:
     """Check that replicas ran only what callers sent."""
-    known = {item.call_id for item in seen} | open_ids
+    known = {item.call_id for item in records} | sent_ids
     return [f'{run.call_id}: ran and was never sent' for run in runs if run.call_id not in known]
 
 
-def runs_do_not_overlap(runs: Iterable[Run], steps: list[Step], end: float) -> list[str]:
+def find_overlapping_runs(runs: Iterable[Run], steps: list[Step], end_s: float) -> list[str]:
     """Check that a stream goes on elsewhere only once its earlier run is over, faults apart."""
     by_call: dict[str, list[Run]] = defaultdict(list)
     for run in runs:
         by_call[run.call_id].append(run)
     problems = []
-    for call_id, found in by_call.items():
-        for earlier, later in itertools.pairwise(found):
-            over = (earlier.ended or end) - later.began
-            span = (later.began - CONTACT_S, later.began + OVERLAP_S)
-            if over > OVERLAP_S and calm(steps, *span):
-                problems.append(f'{call_id}: two runs went on together for {over:.2f} s')
+    for call_id, call_runs in by_call.items():
+        for earlier, later in itertools.pairwise(call_runs):
+            overlap_s = (earlier.ended_at or end_s) - later.started_at
+            span = (later.started_at - CONTACT_TIME_S, later.started_at + MAX_OVERLAP_S)
+            if overlap_s > MAX_OVERLAP_S and is_calm(steps, *span):
+                problems.append(f'{call_id}: two runs went on together for {overlap_s:.2f} s')
     return problems
 
 
-def configuration_never_goes_back(seen: Iterable[Seen]) -> list[str]:
+def find_configuration_reverts(records: Iterable[RequestRecord]) -> list[str]:
     """Check that a box that has served a version's route never denies it within its life."""
-    served: dict[tuple[int, int, int], float] = {}
+    served_at: dict[tuple[int, int, int], float] = {}
     problems = []
-    for item in sorted(seen, key=lambda found: found.began):
-        if item.kind is not RequestKind.PROBE:
+    for record in sorted(records, key=lambda found: found.started_at):
+        if record.kind is not RequestKind.CONFIG_PROBE:
             continue
-        key = (item.box, item.life, item.since)
-        if item.status == 200:
-            served[key] = min(served.get(key, item.ended), item.ended)
-        elif item.status == 404 and key in served and item.began > served[key]:
-            problems.append(f'box {item.box}: version {item.since} was in force and is not')
+        key = (record.box, record.incarnation, record.probed_version)
+        if record.status == 200:
+            served_at[key] = min(served_at.get(key, record.ended_at), record.ended_at)
+        elif record.status == 404 and key in served_at and record.started_at > served_at[key]:
+            problems.append(f'box {record.box}: version {record.probed_version} was in force and is not')
     return problems
 
 
-def drained_replicas_get_nothing(
-    runs: Iterable[Run], drained: dict[str, float], steps: list[Step]
+def find_runs_after_drain(
+    runs: Iterable[Run], drained_at: dict[str, float], steps: list[Step]
 ) -> list[str]:
     """Check that replicas which said that they leave got nothing new after a while of calm."""
     problems = []
     for run in runs:
-        at = drained.get(run.replica)
-        if at is None or run.began - at < DRAIN_S:
+        at = drained_at.get(run.replica)
+        if at is None or run.started_at - at < DRAIN_LIMIT_S:
             continue
-        if calm(steps, run.began - CONTACT_S - DRAIN_S, run.began):
-            late_s = run.began - at
+        if is_calm(steps, run.started_at - CONTACT_TIME_S - DRAIN_LIMIT_S, run.started_at):
+            late_s = run.started_at - at
             problems.append(f'{run.call_id}: reached {run.replica} {late_s:.2f} s after it left')
     return problems
 
 
-def told_boxes_send_nothing(
-    seen: Iterable[Seen], runs: Iterable[Run], steps: list[Step]
+def find_runs_after_leaving_notice(
+    records: Iterable[RequestRecord], runs: Iterable[Run], steps: list[Step]
 ) -> list[str]:
     """Check that no box sends to a replica what it was asked long after that had said it leaves.
 
     The box had passed the word on before its caller saw it, so that no slow machine excuses it;
     only a new life of the box, or a pause, does.
     """
-    listed = {item.call_id: item for item in seen}
-    told: dict[tuple[str, int, int], float] = {}
+    by_call_id = {record.call_id: record for record in records}
+    notified_at: dict[tuple[str, int, int], float] = {}
     problems = []
-    ordered = sorted(runs, key=lambda run: run.began)
-    last = {run.call_id: run.replica for run in ordered}
-    sends = Counter(run.call_id for run in ordered)
-    for item in listed.values():
+    ordered = sorted(runs, key=lambda run: run.started_at)
+    last_replica = {run.call_id: run.replica for run in ordered}
+    run_counts = Counter(run.call_id for run in ordered)
+    for record in by_call_id.values():
         # A stream that went on elsewhere keeps the head of its first replica.
-        if item.leaving and sends[item.call_id] == 1:
-            key = (last[item.call_id], item.box, item.life)
-            told[key] = min(told.get(key, item.ended), item.ended)
+        if record.replica_is_leaving and run_counts[record.call_id] == 1:
+            key = (last_replica[record.call_id], record.box, record.incarnation)
+            notified_at[key] = min(notified_at.get(key, record.ended_at), record.ended_at)
     for run in ordered:
-        asked = listed.get(run.call_id)
-        at = told.get((run.replica, asked.box, asked.life)) if asked is not None else None
-        if asked is None or at is None or asked.began < at + DRAIN_S:
+        request = by_call_id.get(run.call_id)
+        at = notified_at.get((run.replica, request.box, request.incarnation)) if request is not None else None
+        if request is None or at is None or request.started_at < at + DRAIN_LIMIT_S:
             continue
-        if not paused(steps, asked.box, at, run.began):
-            late_s = asked.began - at
+        if not was_paused(steps, request.box, at, run.started_at):
+            late_s = request.started_at - at
             problems.append(f'{run.call_id}: asked {late_s:.2f} s after {run.replica} told its box')
     return problems
 
 
-def pauses_are_kept(
-    seen: Iterable[Seen],
-    turned_away: Iterable[TurnedAway],
-    arrivals: Iterable[Arrived],
+def find_backoff_violations(
+    records: Iterable[RequestRecord],
+    refusals: Iterable[RefusedCall],
+    arrivals: Iterable[Arrival],
     steps: list[Step],
 ) -> list[str]:
     """Check that a replica gets hardly anything from a box in a pause that it has asked it for.
 
     Counted is what the box was asked after the answer that followed the wish: it knew by then.
     """
-    listed = {item.call_id: item for item in seen}
-    by_replica: dict[str, list[Arrived]] = defaultdict(list)
-    for arrived in arrivals:
-        by_replica[arrived.replica].append(arrived)
+    by_call_id = {record.call_id: record for record in records}
+    by_replica: dict[str, list[Arrival]] = defaultdict(list)
+    for arrival in arrivals:
+        by_replica[arrival.replica].append(arrival)
     problems = []
-    for wish in turned_away:
-        told = listed.get(wish.call_id)
-        if told is None or not told.status or paused(steps, told.box, wish.at, wish.ends):
+    for refusal in refusals:
+        refused = by_call_id.get(refusal.call_id)
+        if refused is None or not refused.status or was_paused(steps, refused.box, refusal.at, refusal.backoff_ends_at):
             continue
-        came = 0
-        for arrived in by_replica[wish.replica]:
-            item = listed.get(arrived.call_id)
-            same = item is not None and (item.box, item.life) == (told.box, told.life)
-            if same and item is not None and told.ended < item.began and arrived.at < wish.ends:
-                came += 1
-        if came > MOST_IN_PAUSE:
-            text = f'{came} calls of box {told.box} in a pause of {wish.wish_s:.2f} s'
-            problems.append(f'{wish.replica}: {text}')
+        calls = 0
+        for arrival in by_replica[refusal.replica]:
+            record = by_call_id.get(arrival.call_id)
+            is_same_box = record is not None and (record.box, record.incarnation) == (refused.box, refused.incarnation)
+            if is_same_box and record is not None and refused.ended_at < record.started_at and arrival.at < refusal.backoff_ends_at:
+                calls += 1
+        if calls > MAX_CALLS_IN_BACKOFF:
+            text = f'{calls} calls of box {refused.box} in a pause of {refusal.backoff_s:.2f} s'
+            problems.append(f'{refusal.replica}: {text}')
     return problems
 
 
-def paused(steps: list[Step], box: int, begin_s: float, end_s: float) -> bool:
+def was_paused(steps: list[Step], box: int, start_s: float, end_s: float) -> bool:
     """Tell whether a box stood still in a span: it may not know, and need not keep to times."""
     return any(
         step.kind is FaultKind.PAUSE_BOX
         and step.target == box
         and step.at_s <= end_s
-        and step.ends_s >= begin_s
+        and step.end_s >= start_s
         for step in steps
     )
 
 
-def store_is_not_pressed(called_at: list[float], boxes: int) -> list[str]:
+def find_excess_store_calls(call_times: list[float], boxes: int) -> list[str]:
     """Check that boxes never make more calls to the store in a second than it takes."""
-    most, begun = 0, 0
-    for number, at in enumerate(called_at):
-        while called_at[begun] <= at - 1.0:
-            begun += 1
-        most = max(most, number - begun + 1)
-    allowed = CALLS_A_BOX * boxes
-    return [f'{most} calls to the store in a second, {allowed} allowed'] if most > allowed else []
+    max_calls, window_start = 0, 0
+    for number, at in enumerate(call_times):
+        while call_times[window_start] <= at - 1.0:
+            window_start += 1
+        max_calls = max(max_calls, number - window_start + 1)
+    allowed = MAX_STORE_CALLS_PER_BOX * boxes
+    return [f'{max_calls} calls to the store in a second, {allowed} allowed'] if max_calls > allowed else []
 
 
-def failure_domains_out_get_nothing(
+def find_runs_after_evacuation(
     runs: Iterable[Run],
-    failure_domains_out: list[FailureDomainOut],
+    evacuations: list[Evacuation],
     failure_domain_of: Callable[[str], str],
     steps: list[Step],
 ) -> list[str]:
@@ -227,29 +227,29 @@
     problems = []
     for run in runs:
         failure_domain = failure_domain_of(run.replica)
-        for out in failure_domains_out:
-            late_s = run.began - out.began
-            if out.failure_domain != failure_domain or late_s < EVACUATE_S or run.began > out.ended:
+        for evacuation in evacuations:
+            late_s = run.started_at - evacuation.started_at
+            if evacuation.failure_domain != failure_domain or late_s < EVACUATION_LIMIT_S or run.started_at > evacuation.ended_at:
                 continue
-            if calm(steps, run.began - CONTACT_S - EVACUATE_S, run.began):
+            if is_calm(steps, run.started_at - CONTACT_TIME_S - EVACUATION_LIMIT_S, run.started_at):
                 text = f'reached {run.replica} {late_s:.2f} s after {failure_domain} was taken out'
                 problems.append(f'{run.call_id}: {text}')
     return problems
 
 
-def stops_cut_nothing(
-    stops: Iterable[StopSeen], seen: Iterable[Seen], steps: list[Step]
+def find_stop_problems(
+    stops: Iterable[BoxStop], records: Iterable[RequestRecord], steps: list[Step]
 ) -> list[str]:
     """Check that boxes stop cleanly and, faults apart, end what is in progress."""
     problems = []
-    listed = list(seen)
+    all_records = list(records)
     for stop in stops:
-        if stop.code != 0:
-            problems.append(f'box {stop.box}: stopped with {stop.code}')
-        if stop.ended - stop.asked > 2 * GRACE_S:
-            problems.append(f'box {stop.box}: took {stop.ended - stop.asked:.1f} s to stop')
-        for item in listed:
-            during = item.box == stop.box and item.began < stop.asked < item.ended
-            if during and not item.whole and calm(steps, item.began - CONTACT_S, item.ended):
-                problems.append(f'{item.call_id}: cut by the planned stop of box {stop.box}')
+        if stop.exit_code != 0:
+            problems.append(f'box {stop.box}: stopped with {stop.exit_code}')
+        if stop.ended_at - stop.requested_at > 2 * STOP_GRACE_S:
+            problems.append(f'box {stop.box}: took {stop.ended_at - stop.requested_at:.1f} s to stop')
+        for record in all_records:
+            in_progress = record.box == stop.box and record.started_at < stop.requested_at < record.ended_at
+            if in_progress and not record.is_complete and is_calm(steps, record.started_at - CONTACT_TIME_S, record.ended_at):
+                problems.append(f'{record.call_id}: cut by the planned stop of box {stop.box}')
     return problems
--- a/tools/soak/limits.py
+++ b/tools/soak/limits.py
@@ -5,74 +5,74 @@
 from collections import defaultdict
 from typing import TYPE_CHECKING
 
-from tools.soak.checks import paused
+from tools.soak.checks import was_paused
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from tools.soak.records import Arrived, LimitNamed, Seen
+    from tools.soak.records import Arrival, LimitPeriod, RequestRecord
     from tools.soak.schedule import Step
 
-SPAN_S = 4.0
-CONTACT_S = 4.0
-HEARD_S = 0.5
-SURPLUS_SHARE = 1.5
-SURPLUS = 5
+WINDOW_S = 4.0
+CONTACT_TIME_S = 4.0
+PROPAGATION_S = 0.5
+ALLOWED_RATIO = 1.5
+ALLOWED_EXCESS = 5
 """What is borne in some 4 s, from the contact time on after the first word, of boxes that have
 passed the word on half a second before: as the users' pages say."""
 
 
-def limits_are_kept(
-    seen: Iterable[Seen],
-    limits: Iterable[LimitNamed],
-    arrivals: Iterable[Arrived],
+def find_limit_violations(
+    records: Iterable[RequestRecord],
+    limits: Iterable[LimitPeriod],
+    arrivals: Iterable[Arrival],
     steps: list[Step],
 ) -> list[str]:
     """Check each limit that was named; calls to stages count whoever sent them."""
-    listed = {item.call_id: item for item in seen}
-    by_replica: dict[str, list[Arrived]] = defaultdict(list)
+    by_call_id = {item.call_id: item for item in records}
+    by_replica: dict[str, list[Arrival]] = defaultdict(list)
     for arrived in arrivals:
         by_replica[arrived.replica].append(arrived)
     problems = []
     for limit in limits:
-        told = told_at(limit, by_replica[limit.replica], listed)
+        notified_at = limit_notified_at(limit, by_replica[limit.replica], by_call_id)
         times = [
             item.at
             for item in by_replica[limit.replica]
-            if limit.began + CONTACT_S <= item.at <= limit.ended
-            and counts(item, listed, told, steps)
+            if limit.started_at + CONTACT_TIME_S <= item.at <= limit.ended_at
+            and is_counted(item, by_call_id, notified_at, steps)
         ]
-        most = max((sum(at <= one < at + SPAN_S for one in times) for at in times), default=0)
-        if most > SURPLUS_SHARE * SPAN_S * limit.per_s + SURPLUS:
-            text = f'{most} calls in {SPAN_S:g} s, limited to {limit.per_s:g} a second'
+        max_calls = max((sum(at <= other < at + WINDOW_S for other in times) for at in times), default=0)
+        if max_calls > ALLOWED_RATIO * WINDOW_S * limit.per_s + ALLOWED_EXCESS:
+            text = f'{max_calls} calls in {WINDOW_S:g} s, limited to {limit.per_s:g} a second'
             problems.append(f'{limit.replica}: {text}')
     return problems
 
 
-def told_at(
-    limit: LimitNamed, arrivals: Iterable[Arrived], listed: dict[str, Seen]
+def limit_notified_at(
+    limit: LimitPeriod, arrivals: Iterable[Arrival], by_call_id: dict[str, RequestRecord]
 ) -> dict[tuple[int, int], float]:
     """Return when lives of boxes had first passed on an answer of a replica that named a limit."""
     found: dict[tuple[int, int], float] = {}
     for arrived in arrivals:
-        item = listed.get(arrived.call_id)
-        if item is not None and item.limited and limit.began <= item.ended <= limit.ended:
-            key = (item.box, item.life)
-            found[key] = min(found.get(key, item.ended), item.ended)
+        record = by_call_id.get(arrived.call_id)
+        if record is not None and record.replica_is_limited and limit.started_at <= record.ended_at <= limit.ended_at:
+            key = (record.box, record.incarnation)
+            found[key] = min(found.get(key, record.ended_at), record.ended_at)
     return found
 
 
-def counts(
-    arrived: Arrived,
-    listed: dict[str, Seen],
-    told: dict[tuple[int, int], float],
+def is_counted(
+    arrived: Arrival,
+    by_call_id: dict[str, RequestRecord],
+    notified_at: dict[tuple[int, int], float],
     steps: list[Step],
 ) -> bool:
     """Tell whether a call came from a box that had been told, and did not stand still since."""
     if not arrived.call_id:
         return True
-    item = listed.get(arrived.call_id)
-    at = told.get((item.box, item.life)) if item is not None else None
-    if item is None or at is None or arrived.at < at + HEARD_S:
+    record = by_call_id.get(arrived.call_id)
+    at = notified_at.get((record.box, record.incarnation)) if record is not None else None
+    if record is None or at is None or arrived.at < at + PROPAGATION_S:
         return False
-    return not paused(steps, item.box, at, arrived.at)
+    return not was_paused(steps, record.box, at, arrived.at)
--- a/tools/soak/links.py
+++ b/tools/soak/links.py
@@ -14,7 +14,7 @@
 HOST = '127.0.0.1'
 DELAY_S = 0.15
 POLL_S = 0.02
-CHUNK = 65536
+CHUNK_BYTES = 65536
 
 
 class Link:
@@ -31,9 +31,9 @@
         """Change what the link does; a reset cuts what is open."""
         self.mode = mode
         if mode is LinkMode.RESET:
-            self.cut()
+            self.abort_connections()
 
-    def cut(self) -> None:
+    def abort_connections(self) -> None:
         """Reset every open connection."""
         for writer in list(self.writers):
             writer.transport.abort()
@@ -46,7 +46,7 @@
             yield self.address
         finally:
             self.mode = LinkMode.PASS
-            self.shut()
+            self.shut_down()
 
     async def open(self, port: int) -> None:
         """Take connections at a port, any that is free if it is 0."""
@@ -57,11 +57,11 @@
         """Take connections again where it was shut."""
         await self.open(int(self.address.rpartition(':')[2]))
 
-    def shut(self) -> None:
+    def shut_down(self) -> None:
         """Refuse connections and cut those that are open, as a process does that ends."""
         assert self.server is not None
         self.server.close()
-        self.cut()
+        self.abort_connections()
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Carry one connection."""
@@ -71,31 +71,31 @@
         self.writers.add(writer)
         host, _, port = self.target.rpartition(':')
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            server_reader, server_writer = await asyncio.open_connection(host, int(port))
         except OSError:
             writer.transport.abort()
             self.writers.discard(writer)
             return
-        self.writers.add(far_writer)
+        self.writers.add(server_writer)
         try:
             await asyncio.gather(
-                self.carry(reader, far_writer, LinkMode.NO_WAY_OUT),
-                self.carry(far_reader, writer, LinkMode.NO_WAY_BACK),
+                self.forward(reader, server_writer, LinkMode.BLOCK_REQUESTS),
+                self.forward(server_reader, writer, LinkMode.BLOCK_RESPONSES),
             )
         finally:
-            for item in (writer, far_writer):
+            for item in (writer, server_writer):
                 self.writers.discard(item)
                 item.close()
 
-    async def carry(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, blocked: LinkMode
+    async def forward(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, blocking_mode: LinkMode
     ) -> None:
         """Carry bytes one way; while the link is `blocked` or silent they wait."""
         with contextlib.suppress(OSError):
-            while data := await reader.read(CHUNK):
+            while data := await reader.read(CHUNK_BYTES):
                 if self.mode is LinkMode.DELAY:
                     await asyncio.sleep(DELAY_S)
-                while self.mode in (LinkMode.SILENT, blocked):
+                while self.mode in (LinkMode.SILENT, blocking_mode):
                     await asyncio.sleep(POLL_S)
                 writer.write(data)
                 await writer.drain()
--- a/tools/soak/records.py
+++ b/tools/soak/records.py
@@ -5,24 +5,24 @@
 import enum
 from typing import NamedTuple
 
-EVENTS = 8
+EVENTS_PER_STREAM = 8
 """Events of a whole stream."""
 
 
 class RequestKind(enum.Enum):
     """Name the kinds of requests that callers send."""
 
-    READ = 'read'
-    PAY = 'pay'
-    DRAFT = 'draft'
-    LETTER = 'letter'
-    PROBE = 'probe'
+    SAFE = 'read'
+    UNSAFE = 'pay'
+    STAGED_STREAM = 'draft'
+    UNREPEATABLE_STREAM = 'letter'
+    CONFIG_PROBE = 'probe'
 
 
-STREAMS = frozenset({RequestKind.DRAFT, RequestKind.LETTER})
+STREAM_KINDS = frozenset({RequestKind.STAGED_STREAM, RequestKind.UNREPEATABLE_STREAM})
 
 
-class Seen(NamedTuple):
+class RequestRecord(NamedTuple):
     """Hold what a caller saw of one request.
 
     `status` is 0 without an answer; `whole` says that the answer had its proper end; `life` counts
@@ -34,22 +34,22 @@
     call_id: str
     kind: RequestKind
     box: int
-    life: int
-    began: float
-    ended: float
+    incarnation: int
+    started_at: float
+    ended_at: float
     status: int
-    whole: bool
-    sealed: bool
+    is_complete: bool
+    has_seal: bool
     body: bytes
     event_ids: tuple[int, ...]
-    since: int = 0
-    leaving: bool = False
-    deadly: str = ''
+    probed_version: int = 0
+    replica_is_leaving: bool = False
+    crash_path: str = ''
     retry_after_s: float = 0.0
-    limited: bool = False
+    replica_is_limited: bool = False
 
     @property
-    def refused(self) -> bool:
+    def is_refusal(self) -> bool:
         """Tell whether the answer promises that the request did not run."""
         return self.status in (408, 421, 429, 503)
 
@@ -57,29 +57,29 @@
 class Run:
     """Hold one run of a request at a replica."""
 
-    def __init__(self, *, call_id: str, replica: str, began: float, first: int) -> None:
+    def __init__(self, *, call_id: str, replica: str, started_at: float, first_event: int) -> None:
         self.call_id = call_id
         self.replica = replica
-        self.began = began
-        self.first = first
-        self.ended: float | None = None
+        self.started_at = started_at
+        self.first_event = first_event
+        self.ended_at: float | None = None
 
 
-class TurnedAway(NamedTuple):
+class RefusedCall(NamedTuple):
     """Hold a call that a replica turned away, and for how many seconds it asked for a pause."""
 
     call_id: str
     replica: str
     at: float
-    wish_s: float
+    backoff_s: float
 
     @property
-    def ends(self) -> float:
+    def backoff_ends_at(self) -> float:
         """Return when the pause is over."""
-        return self.at + self.wish_s
+        return self.at + self.backoff_s
 
 
-class Arrived(NamedTuple):
+class Arrival(NamedTuple):
     """Hold a request that reached a replica, whether it ran or not."""
 
     call_id: str
@@ -87,27 +87,27 @@
     at: float
 
 
-class LimitNamed(NamedTuple):
+class LimitPeriod(NamedTuple):
     """Hold which limit a replica named in its answers, from the first one until it no more did."""
 
     replica: str
     per_s: float
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
 
 
-class FailureDomainOut(NamedTuple):
+class Evacuation(NamedTuple):
     """Hold when a failure domain was taken out and given back, in the world's seconds."""
 
     failure_domain: str
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
 
 
-class StopSeen(NamedTuple):
+class BoxStop(NamedTuple):
     """Hold how a box stopped that was asked to."""
 
     box: int
-    asked: float
-    ended: float
-    code: int
+    requested_at: float
+    ended_at: float
+    exit_code: int
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -11,31 +11,31 @@
 
 from calicopath_platform import names
 from calicopath_platform.tests.soak_replicas import soak_request
-from tools.soak import checks, deadly
-from tools.soak.callers import CallerConnection, Question, ask
-from tools.soak.limits import limits_are_kept
-from tools.soak.records import RequestKind, Seen
-from tools.soak.schedule import FaultKind, Step, draw
-from tools.soak.world import FAILURE_DOMAINS, REPLICAS, World
+from tools.soak import checks, crash_requests
+from tools.soak.callers import CallerConnection, CallerRequest, send_request
+from tools.soak.limits import find_limit_violations
+from tools.soak.records import RequestKind, RequestRecord
+from tools.soak.schedule import FaultKind, Step, draw_steps
+from tools.soak.world import FAILURE_DOMAINS, REPLICA_COUNT, World
 
 if TYPE_CHECKING:
-    from tools.soak.deadly import Repeat
+    from tools.soak.crash_requests import Repeat
 
 CALLER_DEADLINE_S = 4.0
-GIVE_UP_S = 8.0
+RESPONSE_TIMEOUT_S = 8.0
 """How long a caller waits for an answer in all: longer than boxes may take."""
 
-PAUSE_S = 0.05
+MAX_CALLER_PAUSE_S = 0.05
 RECOVERY_LIMIT_S = 60.0
 """How long after the faults every box has to serve; the users' pages say 12 s, and a busy machine
 is given five times that, since the verdict may not depend on its speed."""
 
-MIX = (
-    RequestKind.READ,
-    RequestKind.PAY,
-    RequestKind.DRAFT,
-    RequestKind.LETTER,
-    RequestKind.PROBE,
+CALLER_REQUEST_KINDS = (
+    RequestKind.SAFE,
+    RequestKind.UNSAFE,
+    RequestKind.STAGED_STREAM,
+    RequestKind.UNREPEATABLE_STREAM,
+    RequestKind.CONFIG_PROBE,
 )
 
 
@@ -46,10 +46,10 @@
     """
 
     seed: int
-    seconds: float
+    fault_duration_s: float
     boxes: int
     callers: int
-    timed: bool
+    check_times: bool
 
 
 class Verdict(NamedTuple):
@@ -57,9 +57,9 @@
 
     plan: Plan
     steps: list[Step]
-    seen: list[Seen]
+    records: list[RequestRecord]
     problems: list[str]
-    logs: str
+    log_folder: str
 
 
 class Soak:
@@ -68,99 +68,99 @@
     def __init__(self, *, plan: Plan) -> None:
         self.plan = plan
         self.world = World(boxes=plan.boxes)
-        self.seen: list[Seen] = []
-        self.open_ids: set[str] = set()
-        self.ending = False
-        self.numbers = itertools.count(1)
+        self.records: list[RequestRecord] = []
+        self.sent_ids: set[str] = set()
+        self.faults_are_over = False
+        self.crash_request_numbers = itertools.count(1)
 
     async def run(self) -> Verdict:
         """Play it and judge."""
         plan = self.plan
-        steps = draw(
+        steps = draw_steps(
             plan.seed,
-            seconds=plan.seconds,
+            seconds=plan.fault_duration_s,
             boxes=plan.boxes,
-            replicas=REPLICAS,
+            replicas=REPLICA_COUNT,
             failure_domains=len(FAILURE_DOMAINS),
         )
         try:
             await self.world.start()
-            problems = await self.all_serve('before the faults')
+            problems = await self.check_boxes_serve('before the faults')
             offset = self.world.now()
             steps = [step._replace(at_s=step.at_s + offset) for step in steps]
-            callers = [asyncio.create_task(self.call(number)) for number in range(plan.callers)]
-            await asyncio.gather(*(self.step(step) for step in steps))
-            self.ending = True
-            problems += await self.all_serve('after the faults')
-            problems += await self.all_listed()
+            callers = [asyncio.create_task(self.run_caller(number)) for number in range(plan.callers)]
+            await asyncio.gather(*(self.apply_step(step) for step in steps))
+            self.faults_are_over = True
+            problems += await self.check_boxes_serve('after the faults')
+            problems += await self.check_boxes_recorded()
             await asyncio.gather(*callers)
-            problems += self.judge(steps)
+            problems += self.find_problems(steps)
         finally:
             await self.world.close()
-        return Verdict(plan, steps, self.seen, problems, str(self.world.folder))
+        return Verdict(plan, steps, self.records, problems, str(self.world.folder))
 
-    async def step(self, step: Step) -> None:
+    async def apply_step(self, step: Step) -> None:
         """Do one step at its time."""
         await asyncio.sleep(max(0.0, step.at_s - self.world.now()))
-        if step.kind is FaultKind.DEADLY_REQUEST:
-            await deadly.repeat(step, partial(self.send_deadly, step), self.plan.boxes)
+        if step.kind is FaultKind.CRASH_REQUEST:
+            await crash_requests.send_repeats(step, partial(self.send_crash_request, step), self.plan.boxes)
         await self.world.apply(step)
 
-    async def send_deadly(self, step: Step, repeat: Repeat, box: int) -> None:
+    async def send_crash_request(self, step: Step, repeat: Repeat, box: int) -> None:
         """Send one repeat of a request that ends replicas, on a connection of its own."""
-        kind, call_id = deadly.kind_of(step), f'd-{next(self.numbers)}'
-        staged = kind is RequestKind.DRAFT
-        path, life = repeat.path + repeat.query, self.world.boxes[box].life
+        kind, call_id = crash_requests.request_kind(step), f'd-{next(self.crash_request_numbers)}'
+        staged = kind is RequestKind.STAGED_STREAM
+        path, incarnation = repeat.path + repeat.query, self.world.boxes[box].incarnation
         data = soak_request(
             path, call_id, staged=staged, deadline_s=CALLER_DEADLINE_S, body=repeat.body
         )
-        question = Question(call_id, kind, box, life, data, 0, repeat.path)
+        request = CallerRequest(call_id, kind, box, incarnation, data, 0, repeat.path)
         connection = CallerConnection(address=self.world.boxes[box].frontend)
-        await self.ask(connection, question)
+        await self.send(connection, request)
         connection.close()
 
-    async def call(self, number: int) -> None:
+    async def run_caller(self, number: int) -> None:
         """Send requests until the faults are over, over connections that are kept."""
         rng = random.Random(f'{self.plan.seed}/{number}')
         connections = [CallerConnection(address=box.frontend) for box in self.world.boxes]
-        counter = 0
-        while not self.ending:
-            counter += 1
+        request_number = 0
+        while not self.faults_are_over:
+            request_number += 1
             box = rng.randrange(len(connections))
-            question = self.question(f'c-{number}-{counter}', rng.choice(MIX), box, rng)
-            await self.ask(connections[box], question)
-            await asyncio.sleep(rng.uniform(0, PAUSE_S))
+            request = self.new_request(f'c-{number}-{request_number}', rng.choice(CALLER_REQUEST_KINDS), box, rng)
+            await self.send(connections[box], request)
+            await asyncio.sleep(rng.uniform(0, MAX_CALLER_PAUSE_S))
         for connection in connections:
             connection.close()
 
-    def question(self, call_id: str, kind: RequestKind, box: int, rng: random.Random) -> Question:
+    def new_request(self, call_id: str, kind: RequestKind, box: int, rng: random.Random) -> CallerRequest:
         """Return a request of some kind."""
-        since = rng.randint(1, self.world.version) if kind is RequestKind.PROBE else 0
+        probed_version = rng.randint(1, self.world.config_version) if kind is RequestKind.CONFIG_PROBE else 0
         # What each asks is its own: what many ask is popular, which has tests of its own.
-        path = f'/since-{since}/x' if since else f'/{kind.value}/{call_id}'
-        staged = kind is RequestKind.DRAFT
+        path = f'/since-{probed_version}/x' if probed_version else f'/{kind.value}/{call_id}'
+        staged = kind is RequestKind.STAGED_STREAM
         data = soak_request(path, call_id, staged=staged, deadline_s=CALLER_DEADLINE_S)
-        return Question(call_id, kind, box, self.world.boxes[box].life, data, since)
+        return CallerRequest(call_id, kind, box, self.world.boxes[box].incarnation, data, probed_version)
 
-    async def ask(self, connection: CallerConnection, question: Question) -> Seen:
+    async def send(self, connection: CallerConnection, request: CallerRequest) -> RequestRecord:
         """Send a request and note what was seen."""
-        self.open_ids.add(question.call_id)
-        seen = await ask(connection, question, self.world.now, GIVE_UP_S)
-        self.seen.append(seen)
-        return seen
+        self.sent_ids.add(request.call_id)
+        record = await send_request(connection, request, self.world.now, RESPONSE_TIMEOUT_S)
+        self.records.append(record)
+        return record
 
-    async def all_serve(self, when: str) -> list[str]:
+    async def check_boxes_serve(self, when: str) -> list[str]:
         """Check that every box serves each kind of request whole, sooner or later."""
-        found = await asyncio.gather(
+        problems = await asyncio.gather(
             *(
-                self.serves(box, kind, when)
+                self.check_box_serves(box, kind, when)
                 for box in range(self.plan.boxes)
-                for kind in (RequestKind.READ, RequestKind.DRAFT)
+                for kind in (RequestKind.SAFE, RequestKind.STAGED_STREAM)
             )
         )
-        return [problem for problem in found if problem]
+        return [problem for problem in problems if problem]
 
-    async def serves(self, box: int, kind: RequestKind, when: str) -> str:
+    async def check_box_serves(self, box: int, kind: RequestKind, when: str) -> str:
         """Ask a box until it serves; return the problem if it does not."""
         connection = CallerConnection(address=self.world.boxes[box].frontend)
         rng = random.Random(box)
@@ -168,55 +168,55 @@
             async with asyncio.timeout(RECOVERY_LIMIT_S):
                 for number in range(100_000):
                     call_id = f'{kind.value}-{when[:5]}-{box}-{number}'
-                    seen = await self.ask(connection, self.question(call_id, kind, box, rng))
-                    if seen.status == 200 and seen.whole:
+                    record = await self.send(connection, self.new_request(call_id, kind, box, rng))
+                    if record.status == 200 and record.is_complete:
                         connection.close()
                         return ''
                     await asyncio.sleep(0.1)
         return f'box {box} does not serve a {kind.value} {when}'
 
-    async def all_listed(self) -> list[str]:
+    async def check_boxes_recorded(self) -> list[str]:
         """Check that the store holds every box's record, sooner or later."""
-        wanted = {f'box-{number}' for number in range(self.plan.boxes)}
+        expected = {f'box-{number}' for number in range(self.plan.boxes)}
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(RECOVERY_LIMIT_S):
-                while wanted - self.world.store.kinds.get(names.BOX_KIND, {}).keys():
+                while expected - self.world.store.kinds.get(names.BOX_KIND, {}).keys():
                     await asyncio.sleep(0.1)
                 return []
-        missing = sorted(wanted - self.world.store.kinds.get(names.BOX_KIND, {}).keys())
+        missing = sorted(expected - self.world.store.kinds.get(names.BOX_KIND, {}).keys())
         return [f'the store holds no record of {", ".join(missing)}']
 
-    def judge(self, steps: list[Step]) -> list[str]:
+    def find_problems(self, steps: list[Step]) -> list[str]:
         """Return everything that must not be."""
         world = self.world
         problems = [
-            *checks.answers_are_right(self.seen),
-            *checks.nothing_runs_twice(self.seen, world.runs),
-            *checks.no_unknown_request_ran(self.seen, world.runs, self.open_ids),
-            *checks.configuration_never_goes_back(self.seen),
-            *checks.store_is_not_pressed(world.store.called_at, self.plan.boxes),
-            *deadly.nobody_else_is_blocked(self.seen),
-            *deadly.blocked_stays_blocked(self.seen, world.runs),
-            *checks.told_boxes_send_nothing(self.seen, world.runs, steps),
-            *limits_are_kept(
-                self.seen,
-                world.limits_named,
-                [item for life in world.lives for item in life.arrivals],
+            *checks.find_wrong_responses(self.records),
+            *checks.find_repeated_runs(self.records, world.runs),
+            *checks.find_unknown_runs(self.records, world.runs, self.sent_ids),
+            *checks.find_configuration_reverts(self.records),
+            *checks.find_excess_store_calls(world.store.called_at, self.plan.boxes),
+            *crash_requests.find_wrongly_blocked(self.records),
+            *crash_requests.find_runs_after_block(self.records, world.runs),
+            *checks.find_runs_after_leaving_notice(self.records, world.runs, steps),
+            *find_limit_violations(
+                self.records,
+                world.limit_periods,
+                [item for life in world.incarnations for item in life.arrivals],
                 steps,
             ),
-            *checks.pauses_are_kept(
-                self.seen,
-                [item for life in world.lives for item in life.refusals if item.wish_s],
-                [item for life in world.lives for item in life.arrivals],
+            *checks.find_backoff_violations(
+                self.records,
+                [item for life in world.incarnations for item in life.refusals if item.backoff_s],
+                [item for life in world.incarnations for item in life.arrivals],
                 steps,
             ),
         ]
-        if self.plan.timed:
-            problems += checks.runs_do_not_overlap(world.runs, steps, world.now())
-            problems += checks.drained_replicas_get_nothing(world.runs, world.drained, steps)
-            problems += checks.failure_domains_out_get_nothing(
-                world.runs, world.failure_domains_out, world.failure_domain_of, steps
+        if self.plan.check_times:
+            problems += checks.find_overlapping_runs(world.runs, steps, world.now())
+            problems += checks.find_runs_after_drain(world.runs, world.drained_at, steps)
+            problems += checks.find_runs_after_evacuation(
+                world.runs, world.evacuations, world.failure_domain_of, steps
             )
-            problems += deadly.deadly_requests_are_stopped(self.seen, world.runs, world.ends, steps)
-            problems += checks.stops_cut_nothing(world.stops, self.seen, steps)
+            problems += crash_requests.find_late_crash_sends(self.records, world.runs, world.crash_times, steps)
+            problems += checks.find_stop_problems(world.stops, self.records, steps)
         return problems
--- a/tools/soak/tests/limits_tests.py
+++ b/tools/soak/tests/limits_tests.py
@@ -27,12 +27,12 @@
                 handles={},
             )
             step = Step(0.0, FaultKind.REPLICA_LIMITS, 6, 0.1, LinkMode.PASS)
-            limiting = asyncio.create_task(world.limit(step, replica))
+            limiting = asyncio.create_task(world.advertise_limit(step, replica))
             await asyncio.sleep(0.0)
             replica.limited_at = world.now()
             replica.crash()
             ended_at = replica.crashed_at
             await limiting
-            self.assertEqual([ended_at], [named.ended for named in world.limits_named])
+            self.assertEqual([ended_at], [named.ended_at for named in world.limit_periods])
 
         asyncio.run(scenario())
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -26,37 +26,37 @@
 from testkit.ports import free_ports
 from tools.soak.boxes import BoxProcess
 from tools.soak.links import Link
-from tools.soak.records import FailureDomainOut, LimitNamed, Run, StopSeen
+from tools.soak.records import Evacuation, LimitPeriod, Run, BoxStop
 from tools.soak.schedule import FaultKind, LinkMode
 
 if TYPE_CHECKING:
     from tools.soak.schedule import Step
 
 SERVICES = ('engine', 'look', 'desk')
-REPLICAS_A_SERVICE = 3
-REPLICAS = len(SERVICES) * REPLICAS_A_SERVICE
+REPLICAS_PER_SERVICE = 3
+REPLICA_COUNT = len(SERVICES) * REPLICAS_PER_SERVICE
 FAILURE_DOMAINS = ('north', 'south')
-DOWN_S = 0.5
-LONGEST_RUN_S = 0.06
+RESTART_DELAY_S = 0.5
+MAX_RUN_BEFORE_CRASH_S = 0.06
 """How long a request runs that ends its replica: an engine has given its head then, or two events.
 """
 
-PORT_TRIES = 5
+MAX_PORT_ATTEMPTS = 5
 """How often a box is given other ports when somebody took one before it listened."""
 
-STATUS_DOWN = 503
-MOST_AWAY_S = 2.0
-MOST_AGAIN_S = 1.0
+STORE_DOWN_STATUS = 503
+MAX_STORE_DOWN_S = 2.0
+MAX_REWRITE_DELAY_S = 1.0
 """How long a store is away that comes back from a copy, and until others write again."""
 
 LIMITS_PER_S = (0.0, 0.5, 1.0, 4.0)
 """What replicas name, in requests a second."""
 
-WRONG_SHARE = 0.2
+INVALID_RETRY_AFTER_SHARE = 0.2
 """How many of the wishes make no sense."""
 
 
-class Slot:
+class ReplicaSlot:
     """Hold one place of a replica: its link, and the incarnation that is there."""
 
     def __init__(self, *, number: int, link: Link) -> None:
@@ -64,7 +64,7 @@
         self.service = SERVICES[number % len(SERVICES)]
         self.failure_domain = FAILURE_DOMAINS[number % len(FAILURE_DOMAINS)]
         self.link = link
-        self.life = 0
+        self.incarnation = 0
         self.replica: SoakReplica | None = None
         self.stack = contextlib.AsyncExitStack()
         self.lock = asyncio.Lock()
@@ -74,116 +74,116 @@
     """Own everything that runs; times are seconds since it was made."""
 
     def __init__(self, *, boxes: int) -> None:
-        self.began = time.monotonic()
+        self.started_at = time.monotonic()
         self.folder = Path(tempfile.mkdtemp(prefix='calicopath-soak-'))
         self.store = StoreStandIn()
         self.store_links: list[Link] = []
-        self.slots: list[Slot] = []
+        self.slots: list[ReplicaSlot] = []
         self.boxes: list[BoxProcess] = []
-        self.count = boxes
+        self.box_count = boxes
         self.runs: list[Run] = []
-        self.lives: list[SoakReplica] = []
+        self.incarnations: list[SoakReplica] = []
         self.handles: dict[str, str] = {}
-        self.drained: dict[str, float] = {}
-        self.stops: list[StopSeen] = []
-        self.failure_domains_out: list[FailureDomainOut] = []
-        self.failure_domains_out_now: set[str] = set()
-        self.limits_named: list[LimitNamed] = []
-        self.ends: dict[str, list[float]] = {}
-        self.ending: set[asyncio.Task[None]] = set()
-        self.version = 1
+        self.drained_at: dict[str, float] = {}
+        self.stops: list[BoxStop] = []
+        self.evacuations: list[Evacuation] = []
+        self.evacuated: set[str] = set()
+        self.limit_periods: list[LimitPeriod] = []
+        self.crash_times: dict[str, list[float]] = {}
+        self.crash_tasks: set[asyncio.Task[None]] = set()
+        self.config_version = 1
         self.stack = contextlib.AsyncExitStack()
 
     def now(self) -> float:
         """Return the seconds since the world was made."""
-        return time.monotonic() - self.began
+        return time.monotonic() - self.started_at
 
     async def start(self) -> None:
         """Start store, replicas and boxes."""
-        self.store.put(names.CONFIG_KIND, names.CONFIG_NAME, soak_config(self.version))
+        self.store.put(names.CONFIG_KIND, names.CONFIG_NAME, soak_config(self.config_version))
         runner = web.AppRunner(self.store.app(), shutdown_timeout=0.1)
         await runner.setup()
         self.stack.push_async_callback(runner.cleanup)
         site = web.TCPSite(runner, '127.0.0.1', 0)
         await site.start()
-        store = '{}:{}'.format(*runner.addresses[0][:2])
-        for number in range(REPLICAS):
+        store_address = '{}:{}'.format(*runner.addresses[0][:2])
+        for number in range(REPLICA_COUNT):
             link = Link(target='')
             await self.stack.enter_async_context(link.served())
-            self.slots.append(Slot(number=number, link=link))
-            await self.enter_replica(self.slots[-1])
-        for number in range(self.count):
-            await self.add_box(number, store)
+            self.slots.append(ReplicaSlot(number=number, link=link))
+            await self.start_replica(self.slots[-1])
+        for number in range(self.box_count):
+            await self.add_box(number, store_address)
 
-    async def add_box(self, number: int, store: str) -> None:
+    async def add_box(self, number: int, store_address: str) -> None:
         """Start a box that reaches the store over a link of its own."""
-        link = Link(target=store)
+        link = Link(target=store_address)
         address = await self.stack.enter_async_context(link.served())
         self.store_links.append(link)
         box = BoxProcess(
             number=number,
-            path=self.folder / f'box-{number}.toml',
-            log=self.folder / f'box-{number}.log',
+            settings_path=self.folder / f'box-{number}.toml',
+            log_path=self.folder / f'box-{number}.log',
         )
         self.boxes.append(box)
-        for _ in range(PORT_TRIES):
-            self.give_ports(box, address)
+        for _ in range(MAX_PORT_ATTEMPTS):
+            self.assign_ports(box, address)
             await box.start()
-            if await box.listens():
+            if await box.wait_listening():
                 return
-        raise RuntimeError(f'box {number} does not listen: {box.log.read_text()}')
+        raise RuntimeError(f'box {number} does not listen: {box.log_path.read_text()}')
 
-    def give_ports(self, box: BoxProcess, store: str) -> None:
+    def assign_ports(self, box: BoxProcess, store_address: str) -> None:
         """Write a box's settings with ports that were free a moment ago."""
         frontend, ready, *internal = free_ports(4)
         peers, metrics = sorted(internal)
         failure_domain = FAILURE_DOMAINS[box.number % len(FAILURE_DOMAINS)]
         ports = (frontend, ready, peers, metrics)
-        box.path.write_text(soak_settings(f'box-{box.number}', failure_domain, ports, store))
+        box.settings_path.write_text(soak_settings(f'box-{box.number}', failure_domain, ports, store_address))
         box.frontend = f'127.0.0.1:{frontend}'
 
-    async def enter_replica(self, slot: Slot, name: str | None = None) -> None:
+    async def start_replica(self, slot: ReplicaSlot, name: str | None = None) -> None:
         """Start a new incarnation, under a name of its own unless one is given, and announce it."""
-        slot.life += 1
+        slot.incarnation += 1
         slot.replica = SoakReplica(
-            name=name or f'i-{slot.number}-{slot.life}',
+            name=name or f'i-{slot.number}-{slot.incarnation}',
             service=slot.service,
             failure_domain=slot.failure_domain,
             clock=self.now,
             runs=self.runs,
             handles=self.handles,
-            on_crash_request=partial(self.on_deadly, slot),
+            on_crash_request=partial(self.on_crash_request, slot),
         )
-        self.lives.append(slot.replica)
+        self.incarnations.append(slot.replica)
         slot.link.target = await slot.stack.enter_async_context(slot.replica.served())
-        self.announce(slot, 'ready')
+        self.write_entry(slot, 'ready')
 
-    def on_deadly(self, slot: Slot, path: str) -> None:
+    def on_crash_request(self, slot: ReplicaSlot, path: str) -> None:
         """Have the replica in a place end under a request that it is about to run."""
         assert slot.replica is not None
-        task = asyncio.create_task(self.end_under(slot, slot.replica, path))
-        self.ending.add(task)
-        task.add_done_callback(self.ending.discard)
+        task = asyncio.create_task(self.crash_replica(slot, slot.replica, path))
+        self.crash_tasks.add(task)
+        task.add_done_callback(self.crash_tasks.discard)
 
-    async def end_under(self, slot: Slot, replica: SoakReplica, path: str) -> None:
+    async def crash_replica(self, slot: ReplicaSlot, replica: SoakReplica, path: str) -> None:
         """End a replica with its port, some moments after a request began; its entry lapses."""
-        await asyncio.sleep(random.uniform(0.0, LONGEST_RUN_S))
-        self.ends.setdefault(path, []).append(self.now())
+        await asyncio.sleep(random.uniform(0.0, MAX_RUN_BEFORE_CRASH_S))
+        self.crash_times.setdefault(path, []).append(self.now())
         if replica.has_crashed:
             return
         replica.has_crashed = True
-        slot.link.shut()
+        slot.link.shut_down()
         replica.crash()
         async with slot.lock:
             # Another may have come in its place while it was about to leave.
             if slot.replica is replica:
                 await slot.stack.aclose()
-                await asyncio.sleep(DOWN_S)
+                await asyncio.sleep(RESTART_DELAY_S)
                 self.store.delete(names.REPLICA_KIND, replica.name)
-                await self.enter_replica(slot)
+                await self.start_replica(slot)
             await slot.link.reopen()
 
-    def announce(self, slot: Slot, state: str) -> None:
+    def write_entry(self, slot: ReplicaSlot, state: str) -> None:
         """Write a replica's entry."""
         assert slot.replica is not None
         spec = {
@@ -202,7 +202,7 @@
     async def close(self) -> None:
         """End what runs."""
         for box in self.boxes:
-            if box.handle is not None and box.handle.returncode is None:
+            if box.process is not None and box.process.returncode is None:
                 await box.kill()
         for slot in self.slots:
             await slot.stack.aclose()
@@ -212,137 +212,137 @@
         """Do what a step says, for as long as it says."""
         match step.kind:
             case FaultKind.KILL_BOX | FaultKind.PAUSE_BOX | FaultKind.STOP_BOX:
-                await self.to_box(step, self.boxes[step.target])
+                await self.disturb_box(step, self.boxes[step.target])
             case FaultKind.RELOAD_BOX:
-                self.boxes[step.target].send(signal.SIGHUP)
+                self.boxes[step.target].send_signal(signal.SIGHUP)
             case FaultKind.STORE_LINK:
-                await self.to_link(step, self.store_links[step.target], step.link)
+                await self.break_link(step, self.store_links[step.target], step.link_mode)
             case FaultKind.REPLICA_LINK:
-                await self.to_link(step, self.slots[step.target].link, step.link)
+                await self.break_link(step, self.slots[step.target].link, step.link_mode)
             case FaultKind.STORE_SILENT:
                 for link in self.store_links:
                     link.set_mode(LinkMode.SILENT)
-                await asyncio.sleep(step.for_s)
+                await asyncio.sleep(step.duration_s)
                 for link in self.store_links:
                     link.set_mode(LinkMode.PASS)
             case FaultKind.STORE_DOWN:
-                self.store.fail_with = STATUS_DOWN
-                await asyncio.sleep(step.for_s)
+                self.store.fail_with = STORE_DOWN_STATUS
+                await asyncio.sleep(step.duration_s)
                 self.store.fail_with = None
-            case FaultKind.STORE_LOSES_ANSWERS:
+            case FaultKind.STORE_LOSES_RESPONSES:
                 self.store.lose_answers = True
-                await asyncio.sleep(step.for_s)
+                await asyncio.sleep(step.duration_s)
                 self.store.lose_answers = False
-            case FaultKind.STORE_GOES_BACK:
+            case FaultKind.STORE_RESTORE:
                 await self.restore_store(step)
-            case FaultKind.STORE_FORGETS:
+            case FaultKind.STORE_DROPS_HISTORY:
                 self.store.drop_history()
             case (
                 FaultKind.REPLICA_CRASH
                 | FaultKind.REPLICA_DRAINS
-                | FaultKind.REPLICA_REBORN
+                | FaultKind.REPLICA_RESTARTS
                 | FaultKind.REPLICA_LEAVES
             ):
-                await self.to_replica(step, self.slots[step.target])
-            case FaultKind.REPLICA_TURNS_AWAY:
-                await self.turn_away(step, self.slots[step.target].replica)
+                await self.replace_replica(step, self.slots[step.target])
+            case FaultKind.REPLICA_REFUSES:
+                await self.refuse_calls(step, self.slots[step.target].replica)
             case FaultKind.REPLICA_LIMITS:
-                await self.limit(step, self.slots[step.target].replica)
-            case FaultKind.FOREIGN_ENTRY:
-                await self.write_foreign(step)
-            case FaultKind.FAILURE_DOMAIN_OUT:
-                await self.take_failure_domain_out(FAILURE_DOMAINS[step.target], step.for_s)
-            case FaultKind.DEADLY_REQUEST:
+                await self.advertise_limit(step, self.slots[step.target].replica)
+            case FaultKind.INVALID_ENTRY:
+                await self.write_invalid_entry(step)
+            case FaultKind.EVACUATION:
+                await self.evacuate(FAILURE_DOMAINS[step.target], step.duration_s)
+            case FaultKind.CRASH_REQUEST:
                 # Its callers send it; the replicas that run it end by themselves.
                 pass
-            case FaultKind.CHANGE:
-                self.version += 1
-                self.store.put(names.CONFIG_KIND, names.CONFIG_NAME, soak_config(self.version))
+            case FaultKind.CONFIG_CHANGE:
+                self.config_version += 1
+                self.store.put(names.CONFIG_KIND, names.CONFIG_NAME, soak_config(self.config_version))
 
     async def restore_store(self, step: Step) -> None:
         """Have the store be away and come back in a new era, from a copy as old as the step."""
-        copy = self.store.snapshot()
-        await asyncio.sleep(step.for_s)
+        snapshot = self.store.snapshot()
+        await asyncio.sleep(step.duration_s)
         rng = random.Random(step.at_s)
-        away_s, again_s = rng.uniform(0.1, MOST_AWAY_S), rng.uniform(0.0, MOST_AGAIN_S)
-        await self.store.restore(copy, away_s, again_s)
+        down_s, rewrite_delay_s = rng.uniform(0.1, MAX_STORE_DOWN_S), rng.uniform(0.0, MAX_REWRITE_DELAY_S)
+        await self.store.restore(snapshot, down_s, rewrite_delay_s)
 
-    async def take_failure_domain_out(self, failure_domain: str, for_s: float) -> None:
+    async def evacuate(self, failure_domain: str, duration_s: float) -> None:
         """Take a failure domain out for a while, unless it is out already."""
-        if failure_domain in self.failure_domains_out_now:
+        if failure_domain in self.evacuated:
             return
-        self.failure_domains_out_now.add(failure_domain)
-        began = self.now()
+        self.evacuated.add(failure_domain)
+        started_at = self.now()
         self.store.put(names.EVACUATION_KIND, failure_domain, {})
-        await asyncio.sleep(for_s)
+        await asyncio.sleep(duration_s)
         self.store.delete(names.EVACUATION_KIND, failure_domain)
-        self.failure_domains_out.append(FailureDomainOut(failure_domain, began, self.now()))
-        self.failure_domains_out_now.discard(failure_domain)
+        self.evacuations.append(Evacuation(failure_domain, started_at, self.now()))
+        self.evacuated.discard(failure_domain)
 
-    async def write_foreign(self, step: Step) -> None:
+    async def write_invalid_entry(self, step: Step) -> None:
         """Have another writer's entry, which names no replica, stand among the replicas'."""
         name = f'foreign-{step.at_s}'
         self.store.put(names.REPLICA_KIND, name, invalid_spec(step.target))
-        await asyncio.sleep(step.for_s)
+        await asyncio.sleep(step.duration_s)
         self.store.delete(names.REPLICA_KIND, name)
 
-    async def turn_away(self, step: Step, replica: SoakReplica | None) -> None:
+    async def refuse_calls(self, step: Step, replica: SoakReplica | None) -> None:
         """Have a replica turn calls away, with a wish that may make no sense."""
         assert replica is not None
         rng = random.Random(step.at_s)
-        wish = b'%.2f' % rng.uniform(0.5, step.for_s + 1.0)
+        valid = b'%.2f' % rng.uniform(0.5, step.duration_s + 1.0)
         replica.retry_after = (
-            rng.choice(INVALID_RETRY_AFTERS) if rng.random() < WRONG_SHARE else wish
+            rng.choice(INVALID_RETRY_AFTERS) if rng.random() < INVALID_RETRY_AFTER_SHARE else valid
         )
-        await asyncio.sleep(step.for_s)
+        await asyncio.sleep(step.duration_s)
         replica.retry_after = None
 
-    async def limit(self, step: Step, replica: SoakReplica | None) -> None:
+    async def advertise_limit(self, step: Step, replica: SoakReplica | None) -> None:
         """Have a replica name a limit, unless it does already."""
         assert replica is not None
         if replica.limit is not None:
             return
         per_s = random.Random(step.at_s).choice(LIMITS_PER_S)
         replica.limit, replica.limited_at = per_s, None
-        await asyncio.sleep(step.for_s)
+        await asyncio.sleep(step.duration_s)
         replica.limit = None
         if replica.limited_at is not None:
             # Another life of that name may have come meanwhile, which names none.
-            ended = min(self.now(), replica.crashed_at)
-            named = LimitNamed(replica.name, per_s, replica.limited_at, ended)
-            self.limits_named.append(named)
+            ended_at = min(self.now(), replica.crashed_at)
+            period = LimitPeriod(replica.name, per_s, replica.limited_at, ended_at)
+            self.limit_periods.append(period)
 
     def failure_domain_of(self, replica: str) -> str:
         """Return the failure domain of a replica, by the place in its name."""
         return FAILURE_DOMAINS[int(replica.split('-')[1]) % len(FAILURE_DOMAINS)]
 
-    async def to_link(self, step: Step, link: Link, mode: LinkMode) -> None:
+    async def break_link(self, step: Step, link: Link, mode: LinkMode) -> None:
         """Break one link for a while."""
         link.set_mode(mode)
-        await asyncio.sleep(step.for_s)
+        await asyncio.sleep(step.duration_s)
         link.set_mode(LinkMode.PASS)
 
-    async def to_box(self, step: Step, box: BoxProcess) -> None:
+    async def disturb_box(self, step: Step, box: BoxProcess) -> None:
         """Kill, pause or stop a box, unless something is done to it already."""
-        if box.busy:
+        if box.has_fault:
             return
-        box.busy = True
+        box.has_fault = True
         try:
             if step.kind is FaultKind.PAUSE_BOX:
-                box.send(signal.SIGSTOP)
-                await asyncio.sleep(step.for_s)
-                box.send(signal.SIGCONT)
+                box.send_signal(signal.SIGSTOP)
+                await asyncio.sleep(step.duration_s)
+                box.send_signal(signal.SIGCONT)
                 return
             if step.kind is FaultKind.KILL_BOX:
                 await box.kill()
             else:
-                self.stops.append(await box.stop(self.now, StopSeen))
-            await asyncio.sleep(DOWN_S)
+                self.stops.append(await box.stop(self.now, BoxStop))
+            await asyncio.sleep(RESTART_DELAY_S)
             await box.start()
         finally:
-            box.busy = False
+            box.has_fault = False
 
-    async def to_replica(self, step: Step, slot: Slot) -> None:
+    async def replace_replica(self, step: Step, slot: ReplicaSlot) -> None:
         """Have a replica crash or leave as announced, and another come in its place.
 
         One that starts again under its name writes over its entry: nobody sees it go.
@@ -353,13 +353,13 @@
             if step.kind in (FaultKind.REPLICA_DRAINS, FaultKind.REPLICA_LEAVES):
                 slot.replica.leaving = True
                 if step.kind is FaultKind.REPLICA_DRAINS:
-                    self.announce(slot, 'draining')
-                    self.drained[name] = self.now()
-                await asyncio.sleep(step.for_s + 2.0)
+                    self.write_entry(slot, 'draining')
+                    self.drained_at[name] = self.now()
+                await asyncio.sleep(step.duration_s + 2.0)
             await slot.stack.aclose()
-            if step.kind is FaultKind.REPLICA_REBORN:
-                await self.enter_replica(slot, name)
+            if step.kind is FaultKind.REPLICA_RESTARTS:
+                await self.start_replica(slot, name)
                 return
             self.store.delete(names.REPLICA_KIND, name)
-            await asyncio.sleep(DOWN_S)
-            await self.enter_replica(slot)
+            await asyncio.sleep(RESTART_DELAY_S)
+            await self.start_replica(slot)
--- a/tools/tests/regression_tests.py
+++ b/tools/tests/regression_tests.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from tools.regression import NOISE, Play, falls, medians, read_play
+from tools.regression import NOISE_MARGIN, BenchRun, find_regressions, median_by_day, parse_run
 
 PRINTED = """score on the standard days of some-site (set fd840409): 0.781
 day                  own/srv  score  worth served refused failed  weakest part
@@ -18,23 +18,23 @@
 
 class Reading(testtools.TestCase):
     def test_days_gate_and_entry_are_read_and_drawn_days_are_not(self) -> None:
-        found = read_play(PRINTED)
+        found = parse_run(PRINTED)
         self.assertEqual({'quiet-1': 0.79, 'trouble-1': -0.03}, found.days)
-        self.assertEqual(('passed', '7eaf262b'), (found.gate, found.entry))
+        self.assertEqual(('passed', '7eaf262b'), (found.gate, found.journal_entry))
 
     def test_a_play_that_ended_early_has_no_gate(self) -> None:
-        self.assertEqual(Play({}, 'unknown', ''), read_play('built in 0.1 s'))
+        self.assertEqual(BenchRun({}, 'unknown', ''), parse_run('built in 0.1 s'))
 
 
 class Comparing(testtools.TestCase):
     def test_the_median_counts(self) -> None:
-        plays = [Play({'quiet-1': worth}, 'passed', '') for worth in (0.7, 0.2, 0.8)]
-        self.assertEqual({'quiet-1': 0.7}, medians(plays))
+        plays = [BenchRun({'quiet-1': worth}, 'passed', '') for worth in (0.7, 0.2, 0.8)]
+        self.assertEqual({'quiet-1': 0.7}, median_by_day(plays))
 
     def test_a_fall_beyond_noise_is_listed_and_one_within_it_is_not(self) -> None:
         before = {'quiet-1': 0.8, 'trouble-1': 0.6}
-        now = {'quiet-1': 0.8 - NOISE / 2, 'trouble-1': 0.6 - 2 * NOISE}
-        self.assertEqual(['trouble-1'], [item.day for item in falls('s', now, before)])
+        now = {'quiet-1': 0.8 - NOISE_MARGIN / 2, 'trouble-1': 0.6 - 2 * NOISE_MARGIN}
+        self.assertEqual(['trouble-1'], [item.day for item in find_regressions('s', now, before)])
 
     def test_a_day_that_was_not_played_has_fallen(self) -> None:
-        self.assertEqual(['quiet-1'], [item.day for item in falls('s', {}, {'quiet-1': 0.8})])
+        self.assertEqual(['quiet-1'], [item.day for item in find_regressions('s', {}, {'quiet-1': 0.8})])
