--- a/tools/faults/__main__.py
+++ b/tools/faults/__main__.py
@@ -9,7 +9,7 @@
 import aiohttp
 
 from testkit.processes import ProcessGroup
-from tools.faults.deployment import Deployment, CheckFailed
+from tools.faults.deployment import CheckFailed, Deployment
 from tools.faults.scenarios import SCENARIOS
 
 
--- a/tools/faults/deployment.py
+++ b/tools/faults/deployment.py
@@ -83,7 +83,14 @@
     async def add_box(self, name: str, failure_domain: str, *flags: str) -> Process:
         """Start a daemon and wait until it is ready."""
         box = await self.group.daemon(
-            self.platform, name, failure_domain, '--boxes', str(BOXES), '--leave-grace-s', '0.3', *flags
+            self.platform,
+            name,
+            failure_domain,
+            '--boxes',
+            str(BOXES),
+            '--leave-grace-s',
+            '0.3',
+            *flags,
         )
         self.boxes = [item for item in self.boxes if item.name != name] + [box]
         await wait_ready(box)
@@ -120,7 +127,10 @@
             check(result.outcome != 'broken' or result.box in killed_boxes, f'cut: {result}')
             if result.key is None:
                 continue
-            check(run_counts.get(result.key, 0) <= 1, f'{result.key} ran {run_counts.get(result.key)} times')
+            check(
+                run_counts.get(result.key, 0) <= 1,
+                f'{result.key} ran {run_counts.get(result.key)} times',
+            )
             if result.outcome == 'refused':
                 check(result.key not in run_counts, f'{result.key} was refused and ran')
             if result.outcome == 'answered':
--- a/tools/faults/scenarios.py
+++ b/tools/faults/scenarios.py
@@ -12,12 +12,12 @@
 from testkit.processes import operate
 from testkit.world import SERVICES
 from tools.faults.deployment import (
-    EFFECT_REQUEST,
-    STREAM_REQUEST,
     BOXES,
     CLIENTS,
+    EFFECT_REQUEST,
     FAILURE_DOMAINS,
     MIXED_REQUESTS,
+    STREAM_REQUEST,
     WAIT_FLAGS,
     Deployment,
     check,
--- a/tools/regression.py
+++ b/tools/regression.py
@@ -72,7 +72,9 @@
     }
 
 
-def find_regressions(site: str, current: dict[str, float], baseline: dict[str, float]) -> list[Regression]:
+def find_regressions(
+    site: str, current: dict[str, float], baseline: dict[str, float]
+) -> list[Regression]:
     """Return the days that fell by more than noise, and those that were not played."""
     found = []
     for day, worth in baseline.items():
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -16,7 +16,7 @@
 
 
 class Response(NamedTuple):
-    """Hold one answer as it came; `whole` says that it had its proper end."""
+    """Hold one response; `is_complete` tells whether it ended properly."""
 
     status: int
     is_complete: bool
@@ -93,7 +93,16 @@
     retry_after = re.search(rb'\r\nretry-after: ([\d.]+)', lower_head)
     retry_after_s = float(retry_after[1]) if retry_after is not None else 0.0
     replica_is_limited = b'\r\nserver-limit: ' in lower_head
-    return Response(status, is_complete, has_seal, body, closes_connection, replica_is_leaving, retry_after_s, replica_is_limited)
+    return Response(
+        status,
+        is_complete,
+        has_seal,
+        body,
+        closes_connection,
+        replica_is_leaving,
+        retry_after_s,
+        replica_is_limited,
+    )
 
 
 async def read_sized_body(reader: asyncio.StreamReader, length: int) -> tuple[bytes, bool]:
@@ -120,7 +129,10 @@
 
 
 async def send_request(
-    connection: CallerConnection, request: CallerRequest, clock: Callable[[], float], timeout_s: float
+    connection: CallerConnection,
+    request: CallerRequest,
+    clock: Callable[[], float],
+    timeout_s: float,
 ) -> RequestRecord:
     """Send a question and return what was seen; one without an answer in time is given up."""
     started_at = clock()
--- a/tools/soak/checks.py
+++ b/tools/soak/checks.py
@@ -6,13 +6,13 @@
 from collections import Counter, defaultdict
 from typing import TYPE_CHECKING
 
-from tools.soak.records import EVENTS_PER_STREAM, STREAM_KINDS, RequestKind, Run, RequestRecord
+from tools.soak.records import EVENTS_PER_STREAM, STREAM_KINDS, RequestKind, RequestRecord, Run
 from tools.soak.schedule import FaultKind, Step, is_calm
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from tools.soak.records import Arrival, Evacuation, BoxStop, RefusedCall
+    from tools.soak.records import Arrival, BoxStop, Evacuation, RefusedCall
 
 CONTACT_TIME_S = 4.0
 """How long after a fault a box is not held to times; the users' pages say 3 to 4 s."""
@@ -51,7 +51,9 @@
         if record.kind in STREAM_KINDS:
             problems += find_stream_errors(record)
         elif record.is_complete and not record.body.startswith(record.call_id.encode()):
-            problems.append(f'{record.call_id}: the answer of another request: {record.body[:60]!r}')
+            problems.append(
+                f'{record.call_id}: the answer of another request: {record.body[:60]!r}'
+            )
     return problems
 
 
@@ -115,7 +117,9 @@
         if record.status == 200:
             served_at[key] = min(served_at.get(key, record.ended_at), record.ended_at)
         elif record.status == 404 and key in served_at and record.started_at > served_at[key]:
-            problems.append(f'box {record.box}: version {record.probed_version} was in force and is not')
+            problems.append(
+                f'box {record.box}: version {record.probed_version} was in force and is not'
+            )
     return problems
 
 
@@ -155,7 +159,11 @@
             notified_at[key] = min(notified_at.get(key, record.ended_at), record.ended_at)
     for run in ordered:
         request = by_call_id.get(run.call_id)
-        at = notified_at.get((run.replica, request.box, request.incarnation)) if request is not None else None
+        at = (
+            notified_at.get((run.replica, request.box, request.incarnation))
+            if request is not None
+            else None
+        )
         if request is None or at is None or request.started_at < at + DRAIN_LIMIT_S:
             continue
         if not was_paused(steps, request.box, at, run.started_at):
@@ -181,13 +189,25 @@
     problems = []
     for refusal in refusals:
         refused = by_call_id.get(refusal.call_id)
-        if refused is None or not refused.status or was_paused(steps, refused.box, refusal.at, refusal.backoff_ends_at):
+        if (
+            refused is None
+            or not refused.status
+            or was_paused(steps, refused.box, refusal.at, refusal.backoff_ends_at)
+        ):
             continue
         calls = 0
         for arrival in by_replica[refusal.replica]:
             record = by_call_id.get(arrival.call_id)
-            is_same_box = record is not None and (record.box, record.incarnation) == (refused.box, refused.incarnation)
-            if is_same_box and record is not None and refused.ended_at < record.started_at and arrival.at < refusal.backoff_ends_at:
+            is_same_box = record is not None and (record.box, record.incarnation) == (
+                refused.box,
+                refused.incarnation,
+            )
+            if (
+                is_same_box
+                and record is not None
+                and refused.ended_at < record.started_at
+                and arrival.at < refusal.backoff_ends_at
+            ):
                 calls += 1
         if calls > MAX_CALLS_IN_BACKOFF:
             text = f'{calls} calls of box {refused.box} in a pause of {refusal.backoff_s:.2f} s'
@@ -214,7 +234,11 @@
             window_start += 1
         max_calls = max(max_calls, number - window_start + 1)
     allowed = MAX_STORE_CALLS_PER_BOX * boxes
-    return [f'{max_calls} calls to the store in a second, {allowed} allowed'] if max_calls > allowed else []
+    return (
+        [f'{max_calls} calls to the store in a second, {allowed} allowed']
+        if max_calls > allowed
+        else []
+    )
 
 
 def find_runs_after_evacuation(
@@ -229,7 +253,11 @@
         failure_domain = failure_domain_of(run.replica)
         for evacuation in evacuations:
             late_s = run.started_at - evacuation.started_at
-            if evacuation.failure_domain != failure_domain or late_s < EVACUATION_LIMIT_S or run.started_at > evacuation.ended_at:
+            if (
+                evacuation.failure_domain != failure_domain
+                or late_s < EVACUATION_LIMIT_S
+                or run.started_at > evacuation.ended_at
+            ):
                 continue
             if is_calm(steps, run.started_at - CONTACT_TIME_S - EVACUATION_LIMIT_S, run.started_at):
                 text = f'reached {run.replica} {late_s:.2f} s after {failure_domain} was taken out'
@@ -247,9 +275,17 @@
         if stop.exit_code != 0:
             problems.append(f'box {stop.box}: stopped with {stop.exit_code}')
         if stop.ended_at - stop.requested_at > 2 * STOP_GRACE_S:
-            problems.append(f'box {stop.box}: took {stop.ended_at - stop.requested_at:.1f} s to stop')
+            problems.append(
+                f'box {stop.box}: took {stop.ended_at - stop.requested_at:.1f} s to stop'
+            )
         for record in all_records:
-            in_progress = record.box == stop.box and record.started_at < stop.requested_at < record.ended_at
-            if in_progress and not record.is_complete and is_calm(steps, record.started_at - CONTACT_TIME_S, record.ended_at):
+            in_progress = (
+                record.box == stop.box and record.started_at < stop.requested_at < record.ended_at
+            )
+            if (
+                in_progress
+                and not record.is_complete
+                and is_calm(steps, record.started_at - CONTACT_TIME_S, record.ended_at)
+            ):
                 problems.append(f'{record.call_id}: cut by the planned stop of box {stop.box}')
     return problems
--- a/tools/soak/crash_requests.py
+++ b/tools/soak/crash_requests.py
@@ -15,10 +15,15 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Iterable
 
-    from tools.soak.records import Run, RequestRecord
+    from tools.soak.records import RequestRecord, Run
     from tools.soak.schedule import Step
 
-CRASH_REQUEST_KINDS = (RequestKind.SAFE, RequestKind.UNSAFE, RequestKind.STAGED_STREAM, RequestKind.UNREPEATABLE_STREAM)
+CRASH_REQUEST_KINDS = (
+    RequestKind.SAFE,
+    RequestKind.UNSAFE,
+    RequestKind.STAGED_STREAM,
+    RequestKind.UNREPEATABLE_STREAM,
+)
 """The kinds of requests that may end replicas; stages' pieces do not."""
 
 CRASH_MARKER = '/deadly-'
@@ -69,7 +74,9 @@
     return Repeat(request_path(step), query, body)
 
 
-async def send_repeats(step: Step, send: Callable[[Repeat, int], Awaitable[object]], boxes: int) -> None:
+async def send_repeats(
+    step: Step, send: Callable[[Repeat, int], Awaitable[object]], boxes: int
+) -> None:
     """Send the request of a step until the step is over, to any box, also to some at once."""
     rng = random.Random(f'repeats of {step.target}')
     loop = asyncio.get_running_loop()
@@ -98,10 +105,14 @@
     run_ids = {run.call_id for run in runs}
     blocked_at: dict[tuple[str, int, int], float] = {}
     problems = []
-    ordered = sorted((record for record in records if record.crash_path), key=lambda item: item.ended_at)
+    ordered = sorted(
+        (record for record in records if record.crash_path), key=lambda item: item.ended_at
+    )
     for record in ordered:
         if record.retry_after_s > BLOCKED_RETRY_AFTER_S:
-            blocked_at.setdefault((record.crash_path, record.box, record.incarnation), record.ended_at)
+            blocked_at.setdefault(
+                (record.crash_path, record.box, record.incarnation), record.ended_at
+            )
     for record in ordered:
         at = blocked_at.get((record.crash_path, record.box, record.incarnation))
         if at is not None and record.started_at > at and record.call_id in run_ids:
@@ -111,7 +122,10 @@
 
 
 def find_late_crash_sends(
-    records: Iterable[RequestRecord], runs: Iterable[Run], crash_times: dict[str, list[float]], steps: list[Step]
+    records: Iterable[RequestRecord],
+    runs: Iterable[Run],
+    crash_times: dict[str, list[float]],
+    steps: list[Step],
 ) -> list[str]:
     """Check that a request is sent on no more once three replicas have ended under it.
 
@@ -121,7 +135,11 @@
     late_sends: dict[str, int] = defaultdict(int)
     for run in runs:
         record = by_call_id.get(run.call_id)
-        third_crash = third_crash_at(crash_times.get(record.crash_path, [])) if record is not None else math.inf
+        third_crash = (
+            third_crash_at(crash_times.get(record.crash_path, []))
+            if record is not None
+            else math.inf
+        )
         if record is None or run.started_at - third_crash <= CONTACT_TIME_S:
             continue
         if not was_disturbed(steps, record.box, run.started_at - CONTACT_TIME_S, run.started_at):
--- a/tools/soak/limits.py
+++ b/tools/soak/limits.py
@@ -42,7 +42,9 @@
             if limit.started_at + CONTACT_TIME_S <= item.at <= limit.ended_at
             and is_counted(item, by_call_id, notified_at, steps)
         ]
-        max_calls = max((sum(at <= other < at + WINDOW_S for other in times) for at in times), default=0)
+        max_calls = max(
+            (sum(at <= other < at + WINDOW_S for other in times) for at in times), default=0
+        )
         if max_calls > ALLOWED_RATIO * WINDOW_S * limit.per_s + ALLOWED_EXCESS:
             text = f'{max_calls} calls in {WINDOW_S:g} s, limited to {limit.per_s:g} a second'
             problems.append(f'{limit.replica}: {text}')
@@ -56,7 +58,11 @@
     found: dict[tuple[int, int], float] = {}
     for arrived in arrivals:
         record = by_call_id.get(arrived.call_id)
-        if record is not None and record.replica_is_limited and limit.started_at <= record.ended_at <= limit.ended_at:
+        if (
+            record is not None
+            and record.replica_is_limited
+            and limit.started_at <= record.ended_at <= limit.ended_at
+        ):
             key = (record.box, record.incarnation)
             found[key] = min(found.get(key, record.ended_at), record.ended_at)
     return found
--- a/tools/soak/records.py
+++ b/tools/soak/records.py
@@ -23,12 +23,13 @@
 
 
 class RequestRecord(NamedTuple):
-    """Hold what a caller saw of one request.
+    """Record what a caller observed of one request.
 
-    `status` is 0 without an answer; `whole` says that the answer had its proper end; `life` counts
-    the starts of the box; `since` is the configuration that a probe asks for; `leaving` says that
-    the answer came from a replica that leaves, `limited` that it came from one that names a limit;
-    `deadly` is the path of a request that ends what runs it.
+    `status` is 0 without a response; `is_complete` tells whether the response ended properly;
+    `incarnation` counts the starts of the box; `probed_version` is the configuration version that a
+    probe asks for; `replica_is_leaving` and `replica_is_limited` tell that the response carried the
+    notice of a leaving replica or of a limit; `crash_path` is the path of a request that crashes
+    the replica that runs it.
     """
 
     call_id: str
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -88,7 +88,9 @@
             problems = await self.check_boxes_serve('before the faults')
             offset = self.world.now()
             steps = [step._replace(at_s=step.at_s + offset) for step in steps]
-            callers = [asyncio.create_task(self.run_caller(number)) for number in range(plan.callers)]
+            callers = [
+                asyncio.create_task(self.run_caller(number)) for number in range(plan.callers)
+            ]
             await asyncio.gather(*(self.apply_step(step) for step in steps))
             self.faults_are_over = True
             problems += await self.check_boxes_serve('after the faults')
@@ -103,7 +105,9 @@
         """Do one step at its time."""
         await asyncio.sleep(max(0.0, step.at_s - self.world.now()))
         if step.kind is FaultKind.CRASH_REQUEST:
-            await crash_requests.send_repeats(step, partial(self.send_crash_request, step), self.plan.boxes)
+            await crash_requests.send_repeats(
+                step, partial(self.send_crash_request, step), self.plan.boxes
+            )
         await self.world.apply(step)
 
     async def send_crash_request(self, step: Step, repeat: Repeat, box: int) -> None:
@@ -127,20 +131,28 @@
         while not self.faults_are_over:
             request_number += 1
             box = rng.randrange(len(connections))
-            request = self.new_request(f'c-{number}-{request_number}', rng.choice(CALLER_REQUEST_KINDS), box, rng)
+            request = self.new_request(
+                f'c-{number}-{request_number}', rng.choice(CALLER_REQUEST_KINDS), box, rng
+            )
             await self.send(connections[box], request)
             await asyncio.sleep(rng.uniform(0, MAX_CALLER_PAUSE_S))
         for connection in connections:
             connection.close()
 
-    def new_request(self, call_id: str, kind: RequestKind, box: int, rng: random.Random) -> CallerRequest:
+    def new_request(
+        self, call_id: str, kind: RequestKind, box: int, rng: random.Random
+    ) -> CallerRequest:
         """Return a request of some kind."""
-        probed_version = rng.randint(1, self.world.config_version) if kind is RequestKind.CONFIG_PROBE else 0
+        probed_version = (
+            rng.randint(1, self.world.config_version) if kind is RequestKind.CONFIG_PROBE else 0
+        )
         # What each asks is its own: what many ask is popular, which has tests of its own.
         path = f'/since-{probed_version}/x' if probed_version else f'/{kind.value}/{call_id}'
         staged = kind is RequestKind.STAGED_STREAM
         data = soak_request(path, call_id, staged=staged, deadline_s=CALLER_DEADLINE_S)
-        return CallerRequest(call_id, kind, box, self.world.boxes[box].incarnation, data, probed_version)
+        return CallerRequest(
+            call_id, kind, box, self.world.boxes[box].incarnation, data, probed_version
+        )
 
     async def send(self, connection: CallerConnection, request: CallerRequest) -> RequestRecord:
         """Send a request and note what was seen."""
@@ -217,6 +229,8 @@
             problems += checks.find_runs_after_evacuation(
                 world.runs, world.evacuations, world.failure_domain_of, steps
             )
-            problems += crash_requests.find_late_crash_sends(self.records, world.runs, world.crash_times, steps)
+            problems += crash_requests.find_late_crash_sends(
+                self.records, world.runs, world.crash_times, steps
+            )
             problems += checks.find_stop_problems(world.stops, self.records, steps)
         return problems
--- a/tools/soak/schedule.py
+++ b/tools/soak/schedule.py
@@ -140,7 +140,11 @@
         kind = rng.choice(kinds)
         targets_replica = kind.value.startswith('replica')
         target = rng.randrange(replicas if targets_replica else boxes)
-        series = rng.randint(1, MAX_SERIES_STEPS) if kind in OPERATOR_ACTIONS and rng.random() < 0.3 else 1
+        series = (
+            rng.randint(1, MAX_SERIES_STEPS)
+            if kind in OPERATOR_ACTIONS and rng.random() < 0.3
+            else 1
+        )
         for number in range(series):
             step = Step(
                 at_s=round(at_s + 0.2 * number, 3),
@@ -240,7 +244,9 @@
     return steps
 
 
-def is_calm(steps: list[Step], start_s: float, end_s: float, *, ignored: Step | None = None) -> bool:
+def is_calm(
+    steps: list[Step], start_s: float, end_s: float, *, ignored: Step | None = None
+) -> bool:
     """Tell whether no fault but `own` touches a span."""
     return not any(
         step is not ignored
--- a/tools/soak/tests/checks_tests.py
+++ b/tools/soak/tests/checks_tests.py
@@ -11,14 +11,14 @@
 from tools.soak.records import (
     EVENTS_PER_STREAM,
     Arrival,
+    BoxStop,
     Evacuation,
+    RefusedCall,
     RequestKind,
-    Run,
     RequestRecord,
-    BoxStop,
-    RefusedCall,
+    Run,
 )
-from tools.soak.schedule import SEPARATELY_DRAWN, FaultKind, LinkMode, Step, is_calm, draw_steps
+from tools.soak.schedule import SEPARATELY_DRAWN, FaultKind, LinkMode, Step, draw_steps, is_calm
 
 WHOLE = tuple(range(1, EVENTS_PER_STREAM + 1))
 FIRST_OF_57 = [(1.0, 'kill-box', 2), (1.178, 'store-silent', 3), (1.886, 'store-loses-answers', 0)]
@@ -38,7 +38,9 @@
         'is_complete': True,
         'has_seal': True,
         'body': b'c-1 desk',
-        'event_ids': WHOLE if kind in (RequestKind.STAGED_STREAM, RequestKind.UNREPEATABLE_STREAM) else (),
+        'event_ids': WHOLE
+        if kind in (RequestKind.STAGED_STREAM, RequestKind.UNREPEATABLE_STREAM)
+        else (),
     }
     return RequestRecord(**(fields | changes))
 
@@ -73,7 +75,10 @@
         self.assertEqual([], self.told(20.0, incarnation=2))
 
     def test_a_box_that_stood_still_is_excused(self) -> None:
-        first, later = seen(RequestKind.SAFE, replica_is_leaving=True), seen(RequestKind.SAFE, call_id='c-2')
+        first, later = (
+            seen(RequestKind.SAFE, replica_is_leaving=True),
+            seen(RequestKind.SAFE, call_id='c-2'),
+        )
         later = later._replace(started_at=20.0)
         again = run(20.1)
         again.call_id = 'c-2'
@@ -106,7 +111,11 @@
 
 class Answers(testtools.TestCase):
     def test_what_is_right_is_no_problem(self) -> None:
-        good = [seen(RequestKind.SAFE), seen(RequestKind.STAGED_STREAM), seen(RequestKind.SAFE, status=503)]
+        good = [
+            seen(RequestKind.SAFE),
+            seen(RequestKind.STAGED_STREAM),
+            seen(RequestKind.SAFE, status=503),
+        ]
         self.assertEqual([], checks.find_wrong_responses(good))
 
     def test_each_wrong_answer_is_seen(self) -> None:
@@ -161,7 +170,9 @@
 class Boxes(testtools.TestCase):
     def test_a_version_that_was_in_force_and_is_denied(self) -> None:
         served = seen(RequestKind.CONFIG_PROBE, probed_version=3)
-        denied = seen(RequestKind.CONFIG_PROBE, probed_version=3, status=404, started_at=11.0, ended_at=11.1)
+        denied = seen(
+            RequestKind.CONFIG_PROBE, probed_version=3, status=404, started_at=11.0, ended_at=11.1
+        )
         self.assertEqual(1, len(checks.find_configuration_reverts([denied, served])))
         other = denied._replace(incarnation=2)
         self.assertEqual([], checks.find_configuration_reverts([served, other]))
--- a/tools/soak/tests/crash_requests_tests.py
+++ b/tools/soak/tests/crash_requests_tests.py
@@ -6,19 +6,21 @@
 
 from tools.soak.crash_requests import (
     CRASH_REQUEST_KINDS,
-    find_runs_after_block,
     find_late_crash_sends,
+    find_runs_after_block,
     find_wrongly_blocked,
     new_repeat,
 )
-from tools.soak.records import RequestKind, Run, RequestRecord
+from tools.soak.records import RequestKind, RequestRecord, Run
 from tools.soak.schedule import FaultKind, LinkMode, Step, draw_crash_requests
 
 PATH = '/pay/deadly-1-1000'
 BLOCKED_S = 599.0
 
 
-def seen(call_id: str, began: float, *, deadly: str = PATH, retry_after_s: float = 0.0) -> RequestRecord:
+def seen(
+    call_id: str, began: float, *, deadly: str = PATH, retry_after_s: float = 0.0
+) -> RequestRecord:
     """Return a request to box 0 in its first life that was answered 0.1 s later."""
     return RequestRecord(
         call_id=call_id,
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -26,7 +26,7 @@
 from testkit.ports import free_ports
 from tools.soak.boxes import BoxProcess
 from tools.soak.links import Link
-from tools.soak.records import Evacuation, LimitPeriod, Run, BoxStop
+from tools.soak.records import BoxStop, Evacuation, LimitPeriod, Run
 from tools.soak.schedule import FaultKind, LinkMode
 
 if TYPE_CHECKING:
@@ -139,7 +139,9 @@
         peers, metrics = sorted(internal)
         failure_domain = FAILURE_DOMAINS[box.number % len(FAILURE_DOMAINS)]
         ports = (frontend, ready, peers, metrics)
-        box.settings_path.write_text(soak_settings(f'box-{box.number}', failure_domain, ports, store_address))
+        box.settings_path.write_text(
+            soak_settings(f'box-{box.number}', failure_domain, ports, store_address)
+        )
         box.frontend = f'127.0.0.1:{frontend}'
 
     async def start_replica(self, slot: ReplicaSlot, name: str | None = None) -> None:
@@ -257,14 +259,19 @@
                 pass
             case FaultKind.CONFIG_CHANGE:
                 self.config_version += 1
-                self.store.put(names.CONFIG_KIND, names.CONFIG_NAME, soak_config(self.config_version))
+                self.store.put(
+                    names.CONFIG_KIND, names.CONFIG_NAME, soak_config(self.config_version)
+                )
 
     async def restore_store(self, step: Step) -> None:
         """Have the store be away and come back in a new era, from a copy as old as the step."""
         snapshot = self.store.snapshot()
         await asyncio.sleep(step.duration_s)
         rng = random.Random(step.at_s)
-        down_s, rewrite_delay_s = rng.uniform(0.1, MAX_STORE_DOWN_S), rng.uniform(0.0, MAX_REWRITE_DELAY_S)
+        down_s, rewrite_delay_s = (
+            rng.uniform(0.1, MAX_STORE_DOWN_S),
+            rng.uniform(0.0, MAX_REWRITE_DELAY_S),
+        )
         await self.store.restore(snapshot, down_s, rewrite_delay_s)
 
     async def evacuate(self, failure_domain: str, duration_s: float) -> None:
--- a/tools/tests/regression_tests.py
+++ b/tools/tests/regression_tests.py
@@ -37,4 +37,6 @@
         self.assertEqual(['trouble-1'], [item.day for item in find_regressions('s', now, before)])
 
     def test_a_day_that_was_not_played_has_fallen(self) -> None:
-        self.assertEqual(['quiet-1'], [item.day for item in find_regressions('s', {}, {'quiet-1': 0.8})])
+        self.assertEqual(
+            ['quiet-1'], [item.day for item in find_regressions('s', {}, {'quiet-1': 0.8})]
+        )
