--- a/bench/daemons.py
+++ b/bench/daemons.py
@@ -9,7 +9,7 @@
 import aiohttp
 
 from bench.processes import cpu_seconds, resident_mb
-from testkit.processes import Process, ProcessGroup, operate, wait_ready
+from testkit.processes import Process, ProcessGroup, run_cli, wait_ready
 from testkit.world import TEMPLATES, endpoint_spec, pipeline_spec
 from testkit.world import new_fleet as small_fleet
 
@@ -36,13 +36,13 @@
 async def measure(count: int) -> Control:
     """Run so many daemons, idle, and then change configuration a few times."""
     async with ProcessGroup() as group, aiohttp.ClientSession() as session:
-        platform = await group.platform()
+        platform = await group.start_platform()
         documents = [endpoint_spec(item.endpoint) for item in small_fleet().endpoints.values()]
         documents += [*TEMPLATES.values(), *(pipeline_spec(name) for name in TEMPLATES)]
         path = group.write_documents('config.yaml', documents)
-        await operate(platform, 'apply', str(path))
+        await run_cli(platform, 'apply', str(path))
         boxes = await asyncio.gather(
-            *(group.daemon(platform, f'box-{n}', f'domain-{n % 4}') for n in range(count))
+            *(group.start_daemon(platform, f'box-{n}', f'domain-{n % 4}') for n in range(count))
         )
         for box in boxes:
             await wait_ready(box)
--- a/bench/load.py
+++ b/bench/load.py
@@ -22,7 +22,7 @@
 from calicopath_core.execution.requests import DiscardSink, PipelineRequest
 from calicopath_core.structure.outcomes import Answered
 from testkit.naive import NaiveExecutor
-from testkit.processes import ProcessGroup, operate, wait_ready
+from testkit.processes import ProcessGroup, run_cli, wait_ready
 from testkit.world import ANSWER_STAGES, SERVICES, TEMPLATES, pipeline_spec
 
 if TYPE_CHECKING:
@@ -103,7 +103,7 @@
 
     async def start(self, group: ProcessGroup, scenario: Scenario) -> None:
         """Start everything for one scenario."""
-        platform = await group.platform()
+        platform = await group.start_platform()
         stages = [*ANSWER_STAGES[:-1]]
         stages.append(
             {
@@ -115,9 +115,9 @@
         self.documents = [await self.endpoint(group, *which) for which in self.replicas(scenario)]
         self.documents += [{**TEMPLATES['answer'], 'stages': stages}, pipeline_spec('answer')]
         path = group.write_documents('config.yaml', self.documents)
-        await operate(platform, 'apply', str(path))
+        await run_cli(platform, 'apply', str(path))
         self.boxes = [
-            await group.daemon(
+            await group.start_daemon(
                 platform, f'box-{n}', f'domain-{n}', '--boxes', str(BOXES), '--log-level', 'error'
             )
             for n in range(BOXES)
@@ -152,7 +152,7 @@
                 '--token-ms', str(TOKEN_MS * slow),
                 '--queue', '1000',
             ]  # fmt: skip
-        return (await group.endpoint(spec, *flags)).spec
+        return (await group.start_endpoint(spec, *flags)).spec
 
     async def calicopath(self) -> bool:
         """Send one request to one of the boxes."""
--- a/bench/perf.py
+++ b/bench/perf.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from bench.processes import cpu_seconds, percentile_ms, resident_mb
-from testkit.processes import ProcessGroup, operate, wait_ready
+from testkit.processes import ProcessGroup, run_cli, wait_ready
 from testkit.world import ANSWER_STAGES, SERVICES, TEMPLATES, pipeline_spec
 
 if TYPE_CHECKING:
@@ -172,7 +172,7 @@
 
 async def set_up(group: ProcessGroup, session: aiohttp.ClientSession) -> Bench:
     """Start stand-ins that answer at once, and one daemon."""
-    platform = await group.platform()
+    platform = await group.start_platform()
     specs: list[dict[str, Any]] = [
         {
             'kind': 'endpoint',
@@ -189,7 +189,7 @@
     fast = ('--first-token-ms', '0', '--token-ms', '2.2', '--queue', '10000')
     flags = {'engine': fast, 'service': ('--service-ms', '0')}
     started = [
-        await group.endpoint(spec, *flags.get(spec['stage'], ('--service-ms', '0')))
+        await group.start_endpoint(spec, *flags.get(spec['stage'], ('--service-ms', '0')))
         for spec in specs
     ]
     stages = ANSWER_STAGES
@@ -203,10 +203,10 @@
         {**pipeline_spec('long'), 'deadline_ms': 10_000},
     ]
     path = group.write_documents('config.yaml', documents)
-    result = await operate(platform, 'apply', str(path))
+    result = await run_cli(platform, 'apply', str(path))
     if result.code:
         raise SystemExit(result.errors)
-    daemon = await group.daemon(
+    daemon = await group.start_daemon(
         platform, 'box-1', 'a', '--boxes', '1', '--log-level', 'warning', '--leave-grace-s', '0'
     )
     await wait_ready(daemon)
--- a/bench/restored.py
+++ b/bench/restored.py
@@ -151,12 +151,12 @@
             return
         if kind == 'announce':
             name = f'desk-{100 + len(self.acknowledged)}'
-            self.fleet.announce(Replica(name, DESK, f'{name}:1', 'north', 6, False))
+            self.fleet.register(Replica(name, DESK, f'{name}:1', 'north', 6, False))
         elif kind == 'drain':
             name = self.names.pop(self.names.index(self.rng.choice(known)))
             entry = held[name]
             assert isinstance(entry, Replica)
-            self.fleet.announce(entry._replace(draining=True))
+            self.fleet.register(entry._replace(draining=True))
         else:
             name = self.names.pop(self.names.index(self.rng.choice(known)))
             self.fleet.withdraw(name)
@@ -207,16 +207,16 @@
         """Play it."""
         fleet, rng = self.fleet, self.rng
         for name in self.names:
-            fleet.announce(Replica(name, DESK, f'{name}:1', 'north', 6, False))
+            fleet.register(Replica(name, DESK, f'{name}:1', 'north', 6, False))
         await fleet.start()
         await asyncio.sleep(2.0)
         sampling = asyncio.create_task(self.sample())
         await self.changes(2.0)
-        copy = fleet.store.copy()
+        copy = fleet.store.snapshot()
         await self.changes(rng.uniform(0.5, 10.0))
         before = sum(box.store.calls for box in fleet.boxes.values())
         away_s, again_s = rng.uniform(0.0, 5.0), rng.uniform(0.0, 2.0)
-        back = asyncio.create_task(fleet.store.go_back(copy, away_s, again_s))
+        back = asyncio.create_task(fleet.store.restore(copy, away_s, again_s))
         await asyncio.sleep(away_s + STEP_S)
         self.returned_at = self.now() - STEP_S
         await self.changes(3.0)
--- a/bench/spreading.py
+++ b/bench/spreading.py
@@ -53,7 +53,7 @@
 async def measure(count: int) -> Spread:
     """Measure one fleet: idle, under changes, with relays killed, with half the domains cut."""
     domains = max(2, count // BOXES_A_DOMAIN)
-    fleet = PeerFleet(count=count, domains=domains)
+    fleet = PeerFleet(count=count, failure_domains=domains)
     await fleet.start(15.0)
     before, calls_before = sent(fleet), calls(fleet)
     await asyncio.sleep(IDLE_S)
--- a/packages/cli/calicopath_cli/tests/blocked_tests.py
+++ b/packages/cli/calicopath_cli/tests/blocked_tests.py
@@ -14,7 +14,7 @@
 from calicopath_cli.commands.blocked import blocked, release
 from calicopath_cli.exceptions import CommandError
 from calicopath_cli.utils.output import OutputFormat
-from testkit.servers import served
+from testkit.servers import serve_app
 
 ITEM = {'content': 'c1', 'service': 'engine', 'since': 200.0, 'until': 900.0, 'replicas': ['r1']}
 BLOCKED: dict[str, list[dict[str, Any]] | None] = {
@@ -60,7 +60,7 @@
             listed: list[dict[str, str]] = []
             async with contextlib.AsyncExitStack() as stack:
                 for name, items in BLOCKED.items():
-                    url = await stack.enter_async_context(served(box(items, listed)))
+                    url = await stack.enter_async_context(serve_app(box(items, listed)))
                     listed.append({'box': name, 'address': url.removeprefix('http://')})
                 with contextlib.redirect_stdout(printed):
                     for word in words:
--- a/packages/cli/calicopath_cli/tests/commands_tests.py
+++ b/packages/cli/calicopath_cli/tests/commands_tests.py
@@ -26,7 +26,7 @@
 from calicopath_core.structure.keys import endpoint_key, pipeline_key, template_key
 from standins.platform import PlatformStandIn
 from testkit.processes import ROOT
-from testkit.servers import served
+from testkit.servers import serve_app
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -45,7 +45,7 @@
 
         async def scenario() -> str:
             printed = io.StringIO()
-            async with served((platform or PlatformStandIn()).app()) as url:
+            async with serve_app((platform or PlatformStandIn()).app()) as url:
                 options = Options(url, who, OutputFormat.JSON)
                 with contextlib.redirect_stdout(printed):
                     for step in steps:
--- a/packages/cli/calicopath_cli/tests/gateways_tests.py
+++ b/packages/cli/calicopath_cli/tests/gateways_tests.py
@@ -14,7 +14,7 @@
 from calicopath_cli.commands.gateways import gateways
 from calicopath_cli.exceptions import CommandError
 from calicopath_cli.utils.output import OutputFormat
-from testkit.servers import served
+from testkit.servers import serve_app
 
 STATE = {
     'failure_domain': 'a',
@@ -46,7 +46,7 @@
             listed: list[dict[str, str]] = []
             async with contextlib.AsyncExitStack() as stack:
                 for name, changes in CHANGES.items():
-                    url = await stack.enter_async_context(served(box(name, changes, listed)))
+                    url = await stack.enter_async_context(serve_app(box(name, changes, listed)))
                     listed.append({'box': name, 'address': url.removeprefix('http://')})
                 with contextlib.redirect_stdout(printed):
                     await gateways(listed[0]['address'], output)
--- a/packages/cli/calicopath_cli/tests/replicas_tests.py
+++ b/packages/cli/calicopath_cli/tests/replicas_tests.py
@@ -13,7 +13,7 @@
 
 from calicopath_cli.commands.replicas import replicas
 from calicopath_cli.utils.output import OutputFormat
-from testkit.servers import served
+from testkit.servers import serve_app
 
 LEAVES = {
     'replica': 'r1',
@@ -58,7 +58,7 @@
             listed: list[dict[str, str]] = []
             async with contextlib.AsyncExitStack() as stack:
                 for number, items in enumerate(TOLD):
-                    url = await stack.enter_async_context(served(box(items, listed)))
+                    url = await stack.enter_async_context(serve_app(box(items, listed)))
                     listed.append({'box': f'b{number}', 'address': url.removeprefix('http://')})
                 with contextlib.redirect_stdout(printed):
                     await replicas(listed[0]['address'], output)
--- a/packages/clients/calicopath_clients/tests/calls_tests.py
+++ b/packages/clients/calicopath_clients/tests/calls_tests.py
@@ -17,7 +17,7 @@
 from calicopath_core.structure.endpoints import Endpoint
 from calicopath_core.structure.stages import StageKind
 from standins.engine import EngineSettings, EngineStandIn, answer_tokens
-from testkit.servers import http_answer, read_request, scripted, served
+from testkit.servers import http_response, read_request, serve_script, serve_app
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -34,7 +34,7 @@
 
 def answer_to(call: str) -> bytes:
     """Return a valid answer to a call."""
-    return http_answer(json.dumps({'call': call, 'output': {'vector': [1.0]}}).encode())
+    return http_response(json.dumps({'call': call, 'output': {'vector': [1.0]}}).encode())
 
 
 class Calls(testtools.TestCase):
@@ -42,7 +42,7 @@
         """Make one call to a scripted endpoint."""
 
         async def scenario() -> StageOutput:
-            async with scripted(script) as url, new_session() as session:
+            async with serve_script(script) as url, new_session() as session:
                 return await HttpStagePool(session=session).call(endpoint(url), CALL)
 
         return asyncio.run(scenario())
@@ -66,7 +66,7 @@
 
             async def script(reader: Any, writer: Any, body: bytes = body) -> None:
                 await read_request(reader)
-                writer.write(http_answer(body))
+                writer.write(http_response(body))
 
             self.assertRaises(WrongAnswer, self.call, script)
 
@@ -83,7 +83,7 @@
     def test_a_declined_call_did_not_run_and_says_when_to_come_back(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
             await read_request(reader)
-            writer.write(http_answer(b'', '429 Too Many Requests', 'Retry-After: 0.5\r\n'))
+            writer.write(http_response(b'', '429 Too Many Requests', 'Retry-After: 0.5\r\n'))
 
         error = self.assertRaises(NotStarted, self.call, script)
         self.assertEqual(0.5, error.retry_after_s)
@@ -106,7 +106,7 @@
     def test_an_error_status_may_have_run(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
             await read_request(reader)
-            writer.write(http_answer(b'', '500 Internal Server Error'))
+            writer.write(http_response(b'', '500 Internal Server Error'))
 
         self.assertRaises(MayHaveRun, self.call, script)
 
@@ -125,7 +125,7 @@
                 writer.write(answer_to(body['call']))
                 await reader.read()
 
-            async with scripted(script) as url, new_session() as session:
+            async with serve_script(script) as url, new_session() as session:
                 pool = HttpStagePool(session=session)
                 abandoned = asyncio.create_task(pool.call(endpoint(url), CALL))
                 while not connections:
@@ -145,7 +145,7 @@
         async def scenario() -> None:
             settings = EngineSettings(4, 4, 0.0, 0.0, 1.0)
             app = EngineStandIn(settings=settings).app()
-            async with served(app) as url, new_session() as session:
+            async with serve_app(app) as url, new_session() as session:
                 engine = HttpEngine(session=session)
                 call = GenerationCall(CallId('r', 'g', 1), {}, {'text': 'ਬੰਨ੍ਹ پھاٹک'}, 1.0, 5)
                 tokens = answer_tokens({}, dict(call.input))
@@ -161,10 +161,10 @@
     def test_a_line_that_makes_no_sense_is_a_wrong_answer(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
             await read_request(reader)
-            writer.write(http_answer(b'{"call": "r/g/1", "offset": 0}\n'))
+            writer.write(http_response(b'{"call": "r/g/1", "offset": 0}\n'))
 
         async def scenario() -> None:
-            async with scripted(script) as url, new_session() as session:
+            async with serve_script(script) as url, new_session() as session:
                 call = GenerationCall(CallId('r', 'g', 1), {}, {'text': 'x'}, 1.0, 5)
                 async for _ in HttpEngine(session=session).generate(endpoint(url), call):
                     pass
--- a/packages/clients/calicopath_clients/tests/ended_answers_tests.py
+++ b/packages/clients/calicopath_clients/tests/ended_answers_tests.py
@@ -39,7 +39,7 @@
             if by_reset:
                 reset(writer)
 
-        self.assertRaises(ConnectionBroken, self.play, script, get)
+        self.assertRaises(ConnectionBroken, self.run_scenario, script, get)
 
     def test_a_stream_of_which_no_event_has_come(self) -> None:
         self.check_broken(CHUNKED)
@@ -62,5 +62,5 @@
             writer.write(CHUNKED + b'no length\r\n')
             await asyncio.sleep(0.05)
 
-        error = self.assertRaises(MayHaveRun, self.play, script, get)
+        error = self.assertRaises(MayHaveRun, self.run_scenario, script, get)
         self.assertNotIsInstance(error, ConnectionBroken)
--- a/packages/clients/calicopath_clients/tests/http1_tests.py
+++ b/packages/clients/calicopath_clients/tests/http1_tests.py
@@ -52,10 +52,10 @@
 
 
 class HttpCase(testtools.TestCase):
-    def play(
+    def run_scenario(
         self,
         script: Callable[[Any, Any], Awaitable[None]],
-        work: Callable[[HttpPool, str], Awaitable[Any]],
+        steps: Callable[[HttpPool, str], Awaitable[Any]],
     ) -> tuple[Any, int]:
         """Run some work against a scripted server; return its result and the connections."""
 
@@ -65,7 +65,7 @@
             port = listener.sockets[0].getsockname()[1]
             pool = HttpPool()
             try:
-                result = await work(pool, f'127.0.0.1:{port}')
+                result = await steps(pool, f'127.0.0.1:{port}')
             finally:
                 pool.close()
                 listener.close()
@@ -97,7 +97,7 @@
                 await read_request(reader)
                 writer.write(answer(body))
 
-        self.assertEqual(([b'one', b'two'], 1), self.play(script, get_twice))
+        self.assertEqual(([b'one', b'two'], 1), self.run_scenario(script, get_twice))
 
     def test_target_and_headers_go_out_as_they_are(self) -> None:
         seen: list[bytes] = []
@@ -106,7 +106,7 @@
             seen.append(await reader.readuntil(b'\r\n\r\n'))
             writer.write(answer(b''))
 
-        self.play(script, get)
+        self.run_scenario(script, get)
         self.assertEqual([b'GET /x?a=%20b HTTP/1.1\r\nHost: h\r\nX-Odd: Value\r\n\r\n'], seen)
 
     def test_bytes_after_an_answer_belong_to_nobody(self) -> None:
@@ -115,7 +115,7 @@
             writer.write(answer(b'one') + answer(b'surplus'))
             await read_request(reader)
 
-        self.assertEqual(([b'one', b'one'], 2), self.play(script, get_twice))
+        self.assertEqual(([b'one', b'one'], 2), self.run_scenario(script, get_twice))
 
     def test_bytes_that_come_later_close_the_idle_connection(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
@@ -125,7 +125,7 @@
             writer.write(answer(b'late'))
             await read_request(reader)
 
-        self.assertEqual(([b'one', b'one'], 2), self.play(script, get_twice))
+        self.assertEqual(([b'one', b'one'], 2), self.run_scenario(script, get_twice))
 
     def test_an_answer_to_an_earlier_call_is_passed_over(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
@@ -133,21 +133,21 @@
             writer.write(answer(b'of another', '0') + answer(b'own'))
             await read_request(reader)
 
-        self.assertEqual(([b'own', b'own'], 2), self.play(script, get_twice))
+        self.assertEqual(([b'own', b'own'], 2), self.run_scenario(script, get_twice))
 
     def test_only_answers_to_others_are_no_answer(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
             await read_request(reader)
             writer.write(answer(b'a', '0') * 5)
 
-        self.assertRaises(MayHaveRun, self.play, script, get)
+        self.assertRaises(MayHaveRun, self.run_scenario, script, get)
 
     def test_an_answer_cut_short_is_not_whole(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
             await read_request(reader)
             writer.write(answer(b'whole body')[:-3])
 
-        self.assertRaises(MayHaveRun, self.play, script, get)
+        self.assertRaises(MayHaveRun, self.run_scenario, script, get)
 
     def test_chunks_without_the_last_one_are_not_whole(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
@@ -156,14 +156,14 @@
                 b'HTTP/1.1 200 OK\r\nX-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n'
             )
 
-        self.assertRaises(MayHaveRun, self.play, script, get)
+        self.assertRaises(MayHaveRun, self.run_scenario, script, get)
 
     def test_an_answer_without_a_length_ends_with_its_connection(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
             await read_request(reader)
             writer.write(b'HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\nall of it')
 
-        self.assertEqual(([b'all of it'] * 2, 2), self.play(script, get_twice))
+        self.assertEqual(([b'all of it'] * 2, 2), self.run_scenario(script, get_twice))
 
     def test_one_without_a_length_that_is_reset_is_not_whole(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
@@ -172,21 +172,21 @@
             await asyncio.sleep(0.02)
             reset(writer)
 
-        self.assertRaises(MayHaveRun, self.play, script, get)
+        self.assertRaises(MayHaveRun, self.run_scenario, script, get)
 
     def test_bytes_that_are_no_http_are_no_answer(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
             await read_request(reader)
             writer.write(b'nonsense\r\n\r\n')
 
-        self.assertRaises(MayHaveRun, self.play, script, get)
+        self.assertRaises(MayHaveRun, self.run_scenario, script, get)
 
     def test_an_interim_answer_is_passed_over(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
             await read_request(reader)
             writer.write(b'HTTP/1.1 100 Continue\r\n\r\n' + answer(b'own'))
 
-        self.assertEqual((b'own', 1), self.play(script, get))
+        self.assertEqual((b'own', 1), self.run_scenario(script, get))
 
     def test_an_answer_that_comes_before_the_body_was_read_leaves_no_bytes_to_the_next_call(
         self,
@@ -205,7 +205,7 @@
                 call.close()
             return found
 
-        self.assertEqual(([b'early', b'early'], 2), self.play(script, work))
+        self.assertEqual(([b'early', b'early'], 2), self.run_scenario(script, work))
 
     def test_the_wish_to_close_is_kept(self) -> None:
         async def script(reader: Any, writer: Any) -> None:
@@ -213,7 +213,7 @@
             writer.write(answer(b'one', extra='Connection: close\r\n'))
             await asyncio.sleep(0.1)
 
-        self.assertEqual(([b'one', b'one'], 2), self.play(script, get_twice))
+        self.assertEqual(([b'one', b'one'], 2), self.run_scenario(script, get_twice))
 
     def test_a_call_given_up_takes_its_connection_along(self) -> None:
         closed: list[bytes] = []
@@ -228,7 +228,7 @@
                     await get(pool, address)
             await asyncio.sleep(0.05)
 
-        self.play(script, work)
+        self.run_scenario(script, work)
         self.assertEqual([b''], closed)
 
     def test_no_listener_means_not_sent(self) -> None:
@@ -241,7 +241,7 @@
         async def script(reader: Any, writer: Any) -> None:
             raise AssertionError
 
-        self.assertRaises(NotStarted, self.play, script, work)
+        self.assertRaises(NotStarted, self.run_scenario, script, work)
 
     def test_a_port_that_refuses_is_told_from_one_that_listens_and_its_connection_is_kept(
         self,
@@ -257,7 +257,7 @@
             found = [await pool.reach(f'127.0.0.1:{port}', 0.0), await pool.reach(address, 0.1)]
             return [*found, await get(pool, address)]
 
-        found, connections = self.play(script, work)
+        found, connections = self.run_scenario(script, work)
         self.assertEqual([ProbeResult.REFUSED, ProbeResult.OPEN, b'one'], found)
         self.assertEqual(1, connections)
 
@@ -289,8 +289,8 @@
             writer.write(b'no answer at all\r\n\r\n')
             await asyncio.sleep(0.05)
 
-        self.assertRaises(ConnectionBroken, self.play, lost, get)
-        error = self.assertRaises(MayHaveRun, self.play, senseless, get)
+        self.assertRaises(ConnectionBroken, self.run_scenario, lost, get)
+        error = self.assertRaises(MayHaveRun, self.run_scenario, senseless, get)
         self.assertNotIsInstance(error, ConnectionBroken)
 
     def test_the_idle_limit_is_read_in_both_forms(self) -> None:
@@ -322,7 +322,7 @@
             await asyncio.sleep(0.05)
             return [*found, dict(pool.open), await get(pool, address)]
 
-        found, connections = self.play(script, work)
+        found, connections = self.run_scenario(script, work)
         refused = [item for item in found if isinstance(item, NotStarted)]
         self.assertEqual(1, len(refused))
         self.assertEqual([b'one'] * 3, [item for item in found if isinstance(item, bytes)])
--- a/packages/clients/calicopath_clients/tests/platform_tests.py
+++ b/packages/clients/calicopath_clients/tests/platform_tests.py
@@ -11,14 +11,14 @@
 from calicopath_clients.sessions import new_session
 from calicopath_core.store.base import StoreUnavailable, VersionConflict, WriteUnknown
 from standins.platform import PlatformStandIn
-from testkit.servers import scripted, served
+from testkit.servers import serve_script, serve_app
 
 
 class Objects(testtools.TestCase):
     def test_updates_are_conditional_and_watches_see_them(self) -> None:
         async def scenario() -> None:
             platform = PlatformStandIn()
-            async with served(platform.app()) as url, new_session() as session:
+            async with serve_app(platform.app()) as url, new_session() as session:
                 store = HttpObjectStore(url=url, session=session)
                 self.assertIsNone(await store.get('config/a'))
                 watch = store.watch('config/')
@@ -38,7 +38,7 @@
     def test_an_object_is_not_replaced_by_its_number_of_an_earlier_era(self) -> None:
         async def scenario() -> None:
             platform = PlatformStandIn()
-            async with served(platform.app()) as url, new_session() as session:
+            async with serve_app(platform.app()) as url, new_session() as session:
                 store = HttpObjectStore(url=url, session=session)
                 await session.post(f'{url}/admin/copy')
                 lost = await store.put('config/a', {'n': 1}, 0)
@@ -54,7 +54,7 @@
     def test_a_write_whose_answer_is_lost_is_unknown_and_took_effect(self) -> None:
         async def scenario() -> None:
             platform = PlatformStandIn()
-            async with served(platform.app()) as url, new_session() as session:
+            async with serve_app(platform.app()) as url, new_session() as session:
                 store = HttpObjectStore(url=url, session=session)
                 platform.faults.lose_answers = 1
                 with self.assertRaises(WriteUnknown):
@@ -66,7 +66,7 @@
     def test_a_platform_that_is_down_cannot_be_read_and_its_writes_are_unknown(self) -> None:
         async def scenario() -> None:
             platform = PlatformStandIn()
-            async with served(platform.app()) as url, new_session() as session:
+            async with serve_app(platform.app()) as url, new_session() as session:
                 store = HttpObjectStore(url=url, session=session)
                 platform.faults.down = True
                 with self.assertRaises(StoreUnavailable):
@@ -84,7 +84,7 @@
             await reader.read()
 
         async def scenario() -> None:
-            async with scripted(script) as url, new_session() as session:
+            async with serve_script(script) as url, new_session() as session:
                 store = HttpObjectStore(url=url, session=session, timeout_s=0.05)
                 with self.assertRaises(WriteUnknown):
                     await store.put('config/a', {}, 0)
--- a/packages/core/calicopath_core/claims/tests/claims_tests.py
+++ b/packages/core/calicopath_core/claims/tests/claims_tests.py
@@ -12,12 +12,12 @@
 from calicopath_core.claims.tests.claim_case import group_value, key, link, new_registry
 from calicopath_core.store.base import StoreUnavailable
 from testkit.cases import VirtualCase
-from testkit.fake_store import StoreState, WriteFate
+from testkit.fake_store import StoreState, WriteOutcome
 from testkit.virtual import WALL_START_S, run_virtual
 from testkit.world import uuid7
 
 DAY_S = 24 * 3600.0
-FATES = st.sampled_from(list(WriteFate))
+FATES = st.sampled_from(list(WriteOutcome))
 
 
 class Keys(VirtualCase):
@@ -55,11 +55,11 @@
 
     def test_a_lost_answer_to_a_claim_is_settled_by_reading_back(self) -> None:
         async def scenario() -> None:
-            for fate in (WriteFate.LOST_AFTER, WriteFate.LOST_BEFORE, WriteFate.LATE):
+            for fate in (WriteOutcome.LOST_AFTER, WriteOutcome.LOST_BEFORE, WriteOutcome.LATE):
                 state = StoreState()
                 registry = new_registry(state)
                 fates = iter([fate])
-                link(registry).fate = lambda key, fates=fates: next(fates, WriteFate.DONE)  # type: ignore[misc]
+                link(registry).write_outcome = lambda key, fates=fates: next(fates, WriteOutcome.DONE)  # type: ignore[misc]
                 self.assertIsInstance(await registry.claim(key(), 'body', 2), Granted)
 
         self.run_virtual(scenario())
@@ -82,10 +82,10 @@
             state = StoreState()
             one, other = new_registry(state, 'a'), new_registry(state, 'b')
             await one.claim(key(1), 'body', 1)
-            copy = state.copy()
+            copy = state.snapshot()
             granted = await one.claim(key(2), 'body', 1)
             assert isinstance(granted, Granted)
-            state.go_back(copy)
+            state.restore(copy)
             for number in range(others):
                 # Writes that do not include the lost claim reuse the version numbers.
                 await other.claim(key(10 + number), 'body', 1)
@@ -103,10 +103,10 @@
     def test_a_write_does_not_replace_what_has_its_number_in_a_later_era(self) -> None:
         async def scenario() -> None:
             state = StoreState()
-            copy = state.copy()
+            copy = state.snapshot()
             one, other = new_registry(state, 'a'), new_registry(state, 'b')
             await one.claim(key(1), 'body', 1)
-            state.go_back(copy)
+            state.restore(copy)
             self.assertIsInstance(await other.claim(key(2), 'body', 1), Granted)
             await one.claim(key(3), 'body', 1)
             self.assertIsInstance(await one.claim(key(2), 'body', 1), Taken)
@@ -130,15 +130,15 @@
             state = StoreState()
             registry = new_registry(state)
 
-            def fate(key: str) -> WriteFate:
+            def fate(key: str) -> WriteOutcome:
                 state.down = True
-                return WriteFate.LOST_AFTER
+                return WriteOutcome.LOST_AFTER
 
-            link(registry).fate = fate
+            link(registry).write_outcome = fate
             with self.assertRaises(StoreUnavailable):
                 await registry.claim(key(), 'body', 0.5)
             self.assertTrue(group_value(state, key())['claims'])
-            link(registry).fate = lambda key: WriteFate.DONE
+            link(registry).write_outcome = lambda key: WriteOutcome.DONE
             state.down = False
             await asyncio.sleep(1)
             self.assertFalse(group_value(state, key())['claims'])
@@ -277,7 +277,7 @@
         st.floats(0, 1),
     )
     def test_no_key_is_ever_granted_twice_without_a_release(
-        self, steps: list[tuple[int, int, float, WriteFate]], down_at: float, down_for: float
+        self, steps: list[tuple[int, int, float, WriteOutcome]], down_at: float, down_for: float
     ) -> None:
         async def scenario() -> None:
             state = StoreState()
@@ -298,7 +298,7 @@
             tasks = []
             for box, number, pause_s, fate in steps:
                 fates = iter([fate])
-                link(boxes[box]).fate = lambda key, fates=fates: next(fates, WriteFate.DONE)  # type: ignore[misc]
+                link(boxes[box]).write_outcome = lambda key, fates=fates: next(fates, WriteOutcome.DONE)  # type: ignore[misc]
                 tasks.append(asyncio.create_task(attempt(box, number)))
                 await asyncio.sleep(pause_s)
             await asyncio.gather(*tasks)
--- a/packages/core/calicopath_core/crashes/tests/gossip_tests.py
+++ b/packages/core/calicopath_core/crashes/tests/gossip_tests.py
@@ -40,7 +40,7 @@
         """Check that thirty boxes block a request after three of them each saw one crash."""
 
         async def scenario() -> None:
-            fleet = PeerFleet(count=30, domains=3, loss=loss)
+            fleet = PeerFleet(count=30, failure_domains=3, loss=loss)
             guards = {name: guard_of(box) for name, box in fleet.boxes.items()}
             await fleet.start()
             for number, name in enumerate(list(guards)[:3]):
--- a/packages/core/calicopath_core/execution/tests/answers_tests.py
+++ b/packages/core/calicopath_core/execution/tests/answers_tests.py
@@ -243,7 +243,7 @@
                 set_faults(fleet, 'encoders', lambda call, fault=fault: fault)  # type: ignore[misc]
                 box = FakeBox(fleet=fleet, state=StoreState()).configure(fleet)
                 self.assertIsInstance(await box.send('answer'), Refused)
-                self.assertEqual(0, fleet.ran().total())
+                self.assertEqual(0, fleet.run_counts().total())
 
         self.run_virtual(scenario())
 
@@ -274,7 +274,7 @@
             key = uuid7()
             outcome = await send_naive(fleet, box, 'act', 'charge', TextSink(), key)
             self.assertIsInstance(outcome, Refused)
-            self.assertGreater(fleet.ran()[key], 1)
+            self.assertGreater(fleet.run_counts()[key], 1)
 
         self.run_virtual(scenario())
 
@@ -293,9 +293,9 @@
             set_faults(fleet, 'desk', fault_once(*service))
             box = FakeBox(fleet=fleet, state=StoreState()).configure(fleet)
             outcome = await box.send('act', key=uuid7(), deadline_s=deadline_s)
-            await box.settled()
+            await box.wait_background_tasks()
             if isinstance(outcome, Refused):
-                self.assertEqual(0, fleet.ran().total())
+                self.assertEqual(0, fleet.run_counts().total())
 
         run_virtual(scenario())
 
@@ -311,7 +311,7 @@
             self.assertEqual(
                 [RefusalReason.DEADLINE_PASSED, RefusalReason.DEADLINE_TOO_SHORT], reasons
             )
-            self.assertEqual(0, fleet.ran().total())
+            self.assertEqual(0, fleet.run_counts().total())
 
         self.run_virtual(scenario())
 
--- a/packages/core/calicopath_core/execution/tests/crashing_tests.py
+++ b/packages/core/calicopath_core/execution/tests/crashing_tests.py
@@ -28,12 +28,12 @@
         fleet = new_fleet(replicas=4)
         for name, item in fleet.endpoints.items():
             if name.startswith(service):
-                item.ending = {POISON}
+                item.crashing_texts = {POISON}
         return fleet
 
     def ends(self, fleet: FakeFleet) -> int:
         """Return how often endpoints have ended."""
-        return sum(len(item.ends) for item in fleet.endpoints.values())
+        return sum(len(item.crash_times) for item in fleet.endpoints.values())
 
     def check_stopped(
         self, service: str, pipeline: str = 'answer', *, quietly: bool = False
@@ -43,7 +43,7 @@
         async def scenario() -> None:
             fleet = self.fleet(service)
             for item in fleet.endpoints.values():
-                item.ends_quietly = quietly
+                item.crash_ends_streams = quietly
             box = FakeBox(fleet=fleet, state=StoreState()).configure(fleet)
             for _ in range(12):
                 await box.send(pipeline, POISON)
--- a/packages/core/calicopath_core/execution/tests/once_tests.py
+++ b/packages/core/calicopath_core/execution/tests/once_tests.py
@@ -20,7 +20,7 @@
 )
 from testkit.cases import VirtualCase
 from testkit.fake_endpoints import FakeFleet, Fault
-from testkit.fake_store import StoreState, WriteFate
+from testkit.fake_store import StoreState, WriteOutcome
 from testkit.virtual import run_virtual
 from testkit.world import FakeBox, TextSink, new_fleet, uuid7
 
@@ -49,7 +49,7 @@
             outcomes = await asyncio.gather(*(box.send('act', key=uuid7()) for box in boxes))
             kinds = sorted(type(item).__name__ for item in outcomes)
             self.assertEqual(['Answered', 'Failed'], kinds)
-            self.assertEqual(1, fleet.ran()[uuid7()])
+            self.assertEqual(1, fleet.run_counts()[uuid7()])
 
         self.run_virtual(scenario())
 
@@ -58,13 +58,13 @@
             fleet, state = new_fleet(), StoreState()
             boxes = new_boxes(fleet, state, 2)
             first = await boxes[0].send('act', key=uuid7())
-            await boxes[0].settled()
+            await boxes[0].wait_background_tasks()
             again = await boxes[1].send('act', key=uuid7())
             assert isinstance(first, Answered)
             assert isinstance(again, Answered)
             self.assertTrue(again.replayed)
             self.assertEqual((first.output, first.results), (again.output, again.results))
-            self.assertEqual(1, fleet.ran()[uuid7()])
+            self.assertEqual(1, fleet.run_counts()[uuid7()])
 
         self.run_virtual(scenario())
 
@@ -76,7 +76,7 @@
             outcome = await box.send('act', 'charge 20000', key=uuid7())
             assert isinstance(outcome, Refused)
             self.assertIs(RefusalReason.KEY_REUSED, outcome.reason)
-            self.assertEqual(1, fleet.ran()[uuid7()])
+            self.assertEqual(1, fleet.run_counts()[uuid7()])
 
         self.run_virtual(scenario())
 
@@ -86,7 +86,7 @@
             box = new_boxes(fleet, state, 1)[0]
             for key in (None, 'deposit-1'):
                 self.assertIsInstance(await box.send('act', key=key), Refused)
-            self.assertEqual(0, fleet.ran().total())
+            self.assertEqual(0, fleet.run_counts().total())
 
         self.run_virtual(scenario())
 
@@ -96,11 +96,11 @@
             box = new_boxes(fleet, state, 1)[0]
             set_faults(fleet, 'drafting', fault_once(Fault.RESET_AFTER))
             outcome = await box.send('answer', key=uuid7(), repeatable=False)
-            await box.settled()
+            await box.wait_background_tasks()
             again = await box.send('answer', key=uuid7(), repeatable=False)
             self.assertIsInstance(outcome, Answered)
             self.assertIsInstance(again, Answered)
-            drafts = [call for call in fleet.ran() if '/drafting/' in call]
+            drafts = [call for call in fleet.run_counts() if '/drafting/' in call]
             self.assertEqual(2, len(drafts))
 
         self.run_virtual(scenario())
@@ -111,10 +111,10 @@
             box = new_boxes(fleet, state, 1)[0]
             set_faults(fleet, 'desk', lambda call: Fault.REFUSED)
             self.assertIsInstance(await box.send('act', key=uuid7()), Failed)
-            await box.settled()
+            await box.wait_background_tasks()
             set_faults(fleet, 'desk', lambda call: None)
             self.assertIsInstance(await box.send('act', key=uuid7()), Answered)
-            self.assertEqual(1, fleet.ran()[uuid7()])
+            self.assertEqual(1, fleet.run_counts()[uuid7()])
 
         self.run_virtual(scenario())
 
@@ -127,10 +127,10 @@
             outcome = await box.send('act', key=uuid7())
             self.assertIsInstance(outcome, Failed)
             self.assertLessEqual(asyncio.get_running_loop().time(), 2.0)
-            await box.settled()
+            await box.wait_background_tasks()
             again = await box.send('act', key=uuid7())
             self.assertIsInstance(again, Answered)
-            self.assertEqual(1, fleet.ran()[uuid7()])
+            self.assertEqual(1, fleet.run_counts()[uuid7()])
 
         self.run_virtual(scenario())
 
@@ -141,9 +141,9 @@
             task = asyncio.create_task(box.send('act', key=uuid7()))
             await asyncio.sleep(0.1)
             task.cancel()
-            await box.settled()
+            await box.wait_background_tasks()
             self.assertIsInstance(await box.send('act', key=uuid7()), Answered)
-            self.assertEqual(1, fleet.ran()[uuid7()])
+            self.assertEqual(1, fleet.run_counts()[uuid7()])
 
         self.run_virtual(scenario())
 
@@ -158,7 +158,7 @@
             assert isinstance(outcome, Refused)
             self.assertIs(RefusalReason.STORE_UNAVAILABLE, outcome.reason)
             self.assertIsNotNone(outcome.retry_after_s)
-            self.assertEqual(0, fleet.ran().total())
+            self.assertEqual(0, fleet.run_counts().total())
             state.down = False
             self.assertIsInstance(await box.send('act', key=uuid7()), Answered)
 
@@ -170,12 +170,12 @@
             boxes = new_boxes(fleet, state, 2)
             asyncio.get_running_loop().call_later(0.1, setattr, state, 'down', True)
             self.assertIsInstance(await boxes[0].send('act', key=uuid7()), Answered)
-            await boxes[0].settled()
+            await boxes[0].wait_background_tasks()
             state.down = False
             await asyncio.sleep(1)
             again = await boxes[1].send('act', key=uuid7())
             self.assertIsInstance(again, Answered)
-            self.assertEqual(1, fleet.ran()[uuid7()])
+            self.assertEqual(1, fleet.run_counts()[uuid7()])
 
         self.run_virtual(scenario())
 
@@ -191,7 +191,7 @@
             boxes[0].kill()
             await asyncio.sleep(1)
             outcome = await boxes[1].send('act', key=uuid7())
-            self.assertLessEqual(fleet.ran()[uuid7()], 1)
+            self.assertLessEqual(fleet.run_counts()[uuid7()], 1)
             if isinstance(outcome, Failed):
                 self.assertIs(FailureReason.ALREADY_CLAIMED, outcome.reason)
 
@@ -207,10 +207,10 @@
             boxes[0].gate.pause()
             await asyncio.sleep(100)
             await boxes[1].send('act', key=uuid7())
-            boxes[0].gate.wake()
+            boxes[0].gate.resume()
             await asyncio.gather(task, return_exceptions=True)
             await asyncio.sleep(100)
-            self.assertLessEqual(fleet.ran()[uuid7()], 1)
+            self.assertLessEqual(fleet.run_counts()[uuid7()], 1)
 
         for step in range(60):
             self.run_virtual(scenario(step * 0.004))
@@ -222,7 +222,7 @@
     box: int
     key: int
     pause_s: float
-    store_fate: WriteFate
+    store_fate: WriteOutcome
     service_fault: Fault | None
     killed_after_s: float | None
     frozen_after_s: float | None
@@ -233,7 +233,7 @@
     box=st.integers(0, 2),
     key=st.integers(0, 1),
     pause_s=st.floats(0, 0.4),
-    store_fate=st.sampled_from(list(WriteFate)),
+    store_fate=st.sampled_from(list(WriteOutcome)),
     service_fault=st.none() | st.sampled_from(SERVICE_FAULTS),
     killed_after_s=st.none() | st.floats(0, 0.5),
     frozen_after_s=st.none() | st.floats(0, 0.5),
@@ -246,9 +246,9 @@
     def test_no_key_runs_twice_in_a_thousand_histories(
         self, steps: list[Step], down_at: float, down_for: float
     ) -> None:
-        run_virtual(self.play(steps, down_at, down_for))
+        run_virtual(self.run_scenario(steps, down_at, down_for))
 
-    async def play(self, steps: list[Step], down_at: float, down_for: float) -> None:
+    async def run_scenario(self, steps: list[Step], down_at: float, down_for: float) -> None:
         """Play one history and judge it by the services' own count."""
         fleet, state = new_fleet(), StoreState()
         boxes = new_boxes(fleet, state, 3)
@@ -263,22 +263,22 @@
             await asyncio.sleep(step.pause_s)
         await asyncio.sleep(5)
         for box in boxes:
-            box.gate.wake()
+            box.gate.resume()
         await asyncio.sleep(30)
         for task in tasks:
             task.cancel()
         for number in (0, 1):
-            self.assertLessEqual(fleet.ran()[uuid7(number=number)], 1)
+            self.assertLessEqual(fleet.run_counts()[uuid7(number=number)], 1)
         for number, outcome in outcomes:
             if isinstance(outcome, Answered):
-                self.assertEqual(1, fleet.ran()[uuid7(number=number)])
+                self.assertEqual(1, fleet.run_counts()[uuid7(number=number)])
 
     async def ask(
         self, box: FakeBox, step: Step, fleet: FakeFleet, outcomes: list[tuple[int, Outcome]]
     ) -> None:
         """Send one request with its faults."""
-        fates = itertools.chain([step.store_fate], itertools.repeat(WriteFate.DONE))
-        box.store.fate = lambda key: next(fates)
+        fates = itertools.chain([step.store_fate], itertools.repeat(WriteOutcome.DONE))
+        box.store.write_outcome = lambda key: next(fates)
         faults = fault_once(*([step.service_fault] if step.service_fault else []))
         set_faults(fleet, 'desk', faults)
         outcomes.append((step.key, await box.send('act', key=uuid7(number=step.key))))
@@ -299,6 +299,6 @@
             set_faults(fleet, 'desk', fault_once(Fault.RESET_AFTER))
             box = FakeBox(fleet=fleet, state=StoreState()).configure(fleet)
             await send_naive(fleet, box, 'act', 'charge', TextSink(), uuid7())
-            self.assertEqual(2, fleet.ran()[uuid7()])
+            self.assertEqual(2, fleet.run_counts()[uuid7()])
 
         self.run_virtual(scenario())
--- a/packages/core/calicopath_core/fleet/tests/gate_tests.py
+++ b/packages/core/calicopath_core/fleet/tests/gate_tests.py
@@ -34,14 +34,14 @@
 
 
 class GateCase(VirtualCase):
-    def play(self, work: Callable[[CallGate], Awaitable[None]]) -> None:
+    def run_scenario(self, steps: Callable[[CallGate], Awaitable[None]]) -> None:
         """Run a coroutine with a gate in front of two replicas."""
 
         async def scenario() -> None:
             gate = new_gate()
             for replica in (FIRST, OTHER):
                 gate.replicas.put(replica)
-            await work(gate)
+            await steps(gate)
 
         self.run_virtual(scenario())
 
@@ -58,7 +58,7 @@
             self.assertEqual(Exclusion.LIMIT, error.exclusion)
             gate.check_call(OTHER, new_work=True)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_calls_without_new_work_are_held_to_a_part_of_it(self) -> None:
         async def work(gate: CallGate) -> None:
@@ -69,7 +69,7 @@
             await asyncio.sleep(1.0)
             gate.check_call(FIRST, new_work=False)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_a_pause_holds_beside_a_limit(self) -> None:
         async def work(gate: CallGate) -> None:
@@ -79,7 +79,7 @@
             self.assertEqual(Exclusion.BACKOFF, error.exclusion)
             self.assertEqual([], gate.limited_replicas('desk'))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_one_that_limits_and_leaves_is_not_called(self) -> None:
         async def work(gate: CallGate) -> None:
@@ -89,7 +89,7 @@
             self.assertEqual(Exclusion.LEAVING, error.exclusion)
             self.assertEqual([], gate.limited_replicas('desk'))
 
-        self.play(work)
+        self.run_scenario(work)
 
 
 class Leaving(GateCase):
@@ -101,7 +101,7 @@
                 self.assertEqual(Exclusion.LEAVING, gate.exclusion_of(entry))
             self.assertEqual([OTHER], gate.usable('desk'))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_a_departure_outlasts_an_entry_that_lapses_and_comes_back(self) -> None:
         async def work(gate: CallGate) -> None:
@@ -112,7 +112,7 @@
             gate.replicas.put(FIRST)
             self.assertEqual(Exclusion.LEAVING, gate.exclusion_of(FIRST))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_a_later_incarnation_is_not_affected_by_an_earlier_departure(self) -> None:
         async def work(gate: CallGate) -> None:
@@ -124,14 +124,14 @@
             gate.on_notice(AGAIN, LEAVES)
             self.assertEqual(Exclusion.LEAVING, gate.exclusion_of(AGAIN))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_a_call_to_an_earlier_incarnation_is_held_back(self) -> None:
         async def work(gate: CallGate) -> None:
             gate.replicas.put(AGAIN)
             self.assertEqual(Exclusion.GONE, gate.exclusion_of(FIRST))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_its_state_may_be_asked_and_results_given_up(self) -> None:
         async def work(gate: CallGate) -> None:
@@ -139,7 +139,7 @@
             gate.check_call(FIRST, new_work=False)
             self.assertRaises(ReplicaExcluded, gate.check_call, FIRST, new_work=True)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_others_are_told_once(self) -> None:
         async def work(gate: CallGate) -> None:
@@ -147,7 +147,7 @@
                 gate.on_notice(FIRST, LEAVES)
             gate.on_leaving.assert_called_once_with('i')  # type: ignore[attr-defined]
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_the_removal_of_a_leaving_replica_is_not_delayed(self) -> None:
         async def work(gate: CallGate) -> None:
@@ -157,7 +157,7 @@
             gate.replicas.remove('j', 0.0)
             self.assertEqual({'j'}, set(gate.replicas.replicas))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_departures_are_bounded_and_old_ones_of_unknown_replicas_expire(self) -> None:
         async def work(gate: CallGate) -> None:
@@ -169,7 +169,7 @@
             gate.expire()
             self.assertEqual({'i'}, set(gate.leaving.departures))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_the_end_of_one_that_said_it_leaves_is_no_crash(self) -> None:
         class Silent(ReplicaProber):
@@ -184,7 +184,7 @@
                 fate = ReplicaCrashProbe(reach=Silent(), replicas=gate.replicas, replica=FIRST)
                 self.assertFalse(await fate.entry_expires())
 
-        self.play(work)
+        self.run_scenario(work)
 
 
 class Backoffs(GateCase):
@@ -198,7 +198,7 @@
             await asyncio.sleep(0.02 + MAX_JITTER_S)
             self.assertIsNone(gate.exclusion_of(FIRST))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_a_later_shorter_backoff_does_not_end_an_earlier_longer_one(self) -> None:
         async def work(gate: CallGate) -> None:
@@ -209,7 +209,7 @@
             gate.on_notice(FIRST, EMPTY_NOTICE)
             self.assertEqual(Exclusion.BACKOFF, gate.exclusion_of(FIRST))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_it_is_between_one_replica_and_this_box(self) -> None:
         async def work(gate: CallGate) -> None:
@@ -217,7 +217,7 @@
             self.assertEqual([OTHER], gate.usable('desk'))
             self.assertIsNone(gate.exclusion_of(OTHER))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_a_later_incarnation_has_no_backoff(self) -> None:
         async def work(gate: CallGate) -> None:
@@ -225,14 +225,14 @@
             gate.replicas.put(AGAIN)
             self.assertIsNone(gate.exclusion_of(AGAIN))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_an_excessive_backoff_is_bounded(self) -> None:
         async def work(gate: CallGate) -> None:
             gate.on_notice(FIRST, Notice(backoff_s=1e12))
             self.assertLessEqual(gate.backoffs.remaining_s(FIRST), MAX_BACKOFF_S + MAX_JITTER_S)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_one_call_goes_first_when_it_is_over(self) -> None:
         async def work(gate: CallGate) -> None:
@@ -244,7 +244,7 @@
             for _ in range(3):
                 gate.check_call(FIRST, new_work=True)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_the_next_follows_where_the_first_gets_no_answer(self) -> None:
         async def work(gate: CallGate) -> None:
@@ -254,7 +254,7 @@
             await asyncio.sleep(TRIAL_CALL_WAIT_S)
             gate.check_call(FIRST, new_work=True)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_boxes_come_back_at_different_moments(self) -> None:
         async def scenario() -> None:
@@ -281,7 +281,7 @@
             gate.expire()
             self.assertEqual({}, gate.backoffs.by_replica)
 
-        self.play(work)
+        self.run_scenario(work)
 
 
 class Tables(VirtualCase):
--- a/packages/core/calicopath_core/membership/tests/spreading_tests.py
+++ b/packages/core/calicopath_core/membership/tests/spreading_tests.py
@@ -22,7 +22,7 @@
 class Spreading(VirtualCase):
     def test_only_the_relays_of_each_domain_watch_the_platform(self) -> None:
         async def scenario() -> None:
-            fleet = PeerFleet(count=24, domains=4)
+            fleet = PeerFleet(count=24, failure_domains=4)
             await fleet.start()
             self.assertEqual(4 * RELAYS_PER_DOMAIN, len(fleet.relays()))
             await fleet.stop()
@@ -31,9 +31,9 @@
 
     def test_a_change_is_in_force_everywhere_well_within_the_promise(self) -> None:
         async def scenario() -> None:
-            fleet = PeerFleet(count=24, domains=4)
+            fleet = PeerFleet(count=24, failure_domains=4)
             await fleet.start()
-            took = await fleet.in_force(KEY, fleet.put(KEY, 1))
+            took = await fleet.wait_in_force(KEY, fleet.put(KEY, 1))
             self.assertLess(took, 1.0)
             await fleet.stop()
 
@@ -41,10 +41,10 @@
 
     def test_a_third_of_all_messages_lost_is_healed_by_digests(self) -> None:
         async def scenario() -> None:
-            fleet = PeerFleet(count=24, domains=4, loss=0.33)
+            fleet = PeerFleet(count=24, failure_domains=4, loss=0.33)
             await fleet.start()
             for number in range(20):
-                took = await fleet.in_force(KEY, fleet.put(KEY, number))
+                took = await fleet.wait_in_force(KEY, fleet.put(KEY, number))
                 self.assertLess(took, IN_FORCE_S)
             await fleet.stop()
 
@@ -52,11 +52,11 @@
 
     def test_all_relays_killed_at_the_moment_of_the_change(self) -> None:
         async def scenario() -> None:
-            fleet = PeerFleet(count=24, domains=4)
+            fleet = PeerFleet(count=24, failure_domains=4)
             await fleet.start()
             for name in fleet.relays():
                 await fleet.boxes.pop(name).kill()
-            took = await fleet.in_force(KEY, fleet.put(KEY, 1))
+            took = await fleet.wait_in_force(KEY, fleet.put(KEY, 1))
             self.assertLess(took, IN_FORCE_S + 1)
             await asyncio.sleep(10)
             self.assertEqual(4 * RELAYS_PER_DOMAIN, len(fleet.relays()))
@@ -66,11 +66,11 @@
 
     def test_every_watch_gone_silent_is_healed_by_reading_everything(self) -> None:
         async def scenario() -> None:
-            fleet = PeerFleet(count=24, domains=4)
+            fleet = PeerFleet(count=24, failure_domains=4)
             await fleet.start()
             for box in fleet.boxes.values():
                 box.store.deliver = lambda stored: []
-            took = await fleet.in_force(KEY, fleet.put(KEY, 1))
+            took = await fleet.wait_in_force(KEY, fleet.put(KEY, 1))
             self.assertLess(took, IN_FORCE_S)
             await fleet.stop()
 
@@ -78,11 +78,11 @@
 
     def test_a_box_cut_from_the_platform_follows_through_its_peers(self) -> None:
         async def scenario() -> None:
-            fleet = PeerFleet(count=8, domains=4)
+            fleet = PeerFleet(count=8, failure_domains=4)
             await fleet.start()
             for name in list(fleet.boxes)[:7]:
                 fleet.boxes[name].store.cut = True
-            took = await fleet.in_force(KEY, fleet.put(KEY, 1))
+            took = await fleet.wait_in_force(KEY, fleet.put(KEY, 1))
             self.assertLess(took, IN_FORCE_S)
             await fleet.stop()
 
@@ -90,11 +90,11 @@
 
     def test_domains_that_lose_each_other_follow_the_platform_each_by_itself(self) -> None:
         async def scenario() -> None:
-            fleet = PeerFleet(count=24, domains=4)
+            fleet = PeerFleet(count=24, failure_domains=4)
             await fleet.start()
             domain = {record.name: record.failure_domain for record in fleet.records}
             fleet.network.blocked = lambda source, target: domain[source] != domain[target]
-            took = await fleet.in_force(KEY, fleet.put(KEY, 1))
+            took = await fleet.wait_in_force(KEY, fleet.put(KEY, 1))
             self.assertLess(took, IN_FORCE_S)
             await fleet.stop()
 
@@ -102,7 +102,7 @@
 
     def test_a_domain_cut_from_all_catches_up_when_it_is_back(self) -> None:
         async def scenario() -> None:
-            fleet = PeerFleet(count=24, domains=4)
+            fleet = PeerFleet(count=24, failure_domains=4)
             await fleet.start()
             cut = {item.name for item in fleet.records if item.failure_domain == 'domain-1'}
             fleet.network.blocked = lambda source, target: (source in cut) != (target in cut)
@@ -127,7 +127,7 @@
 class Relays(VirtualCase):
     def test_large_domains_keep_to_their_few_relays(self) -> None:
         async def scenario() -> None:
-            fleet = PeerFleet(count=120, domains=3)
+            fleet = PeerFleet(count=120, failure_domains=3)
             await fleet.start(30)
             counts = []
             for _ in range(10):
@@ -145,7 +145,7 @@
         self,
     ) -> None:
         async def scenario() -> None:
-            fleet = PeerFleet(count=4, domains=2)
+            fleet = PeerFleet(count=4, failure_domains=2)
             await fleet.start()
             versions = {f'config/e/{n}': fleet.put(f'config/e/{n}', n) for n in range(500)}
             await asyncio.sleep(3)
@@ -155,9 +155,9 @@
             await fleet.boxes[record.name].kill()
             new = fleet.boxes[record.name] = fleet.new_box(record, started_ms=5000)
             new.start()
-            self.assertFalse(new.synced)
+            self.assertFalse(new.is_synced)
             await asyncio.sleep(5)
-            self.assertTrue(new.synced)
+            self.assertTrue(new.is_synced)
             self.assertEqual(
                 versions, {key: item.version for key, item in new.view.entries.items()}
             )
@@ -167,7 +167,7 @@
 
     def test_a_box_with_an_older_copy_takes_nobody_back(self) -> None:
         async def scenario() -> None:
-            fleet = PeerFleet(count=4, domains=2)
+            fleet = PeerFleet(count=4, failure_domains=2)
             await fleet.start()
             old = fleet.put(KEY, 1)
             await asyncio.sleep(1)
@@ -185,7 +185,7 @@
 
     def test_a_restarted_box_whose_clock_is_behind_is_heard_at_once(self) -> None:
         async def scenario() -> None:
-            fleet = PeerFleet(count=3, domains=1)
+            fleet = PeerFleet(count=3, failure_domains=1)
             await fleet.start()
             record = fleet.records[0]
             await fleet.boxes[record.name].kill()
@@ -200,7 +200,7 @@
 
     def test_nonsense_from_the_network_is_counted_and_dropped(self) -> None:
         async def scenario() -> None:
-            fleet = PeerFleet(count=2, domains=1)
+            fleet = PeerFleet(count=2, failure_domains=1)
             await fleet.start(2)
             rng = random.Random(9)
             for _ in range(200):
@@ -225,7 +225,7 @@
         self, seed: int, steps: list[tuple[str, int]]
     ) -> None:
         async def scenario() -> None:
-            fleet = PeerFleet(count=8, domains=4, seed=seed, loss=0.1)
+            fleet = PeerFleet(count=8, failure_domains=4, seed=seed, loss=0.1)
             await fleet.start(2)
             held: dict[tuple[str, str], int] = {}
             for number, (action, which) in enumerate(steps):
@@ -278,7 +278,7 @@
 class LargeConfigurations(VirtualCase):
     def test_boxes_leave_the_platform_alone_while_relays_read_everything_seldom(self) -> None:
         async def scenario() -> None:
-            fleet = PeerFleet(count=24, domains=4)
+            fleet = PeerFleet(count=24, failure_domains=4)
             for number in range(1000):
                 fleet.put(f'config/endpoints/e-{number}', number)
             await fleet.start()
--- a/packages/core/calicopath_core/permits/tests/holder_tests.py
+++ b/packages/core/calicopath_core/permits/tests/holder_tests.py
@@ -118,9 +118,9 @@
 
 
 class HolderCase(VirtualCase):
-    def play(self, work: Callable[[], Coroutine[None, None, None]]) -> None:
+    def run_scenario(self, steps: Callable[[], Coroutine[None, None, None]]) -> None:
         """Run a coroutine on virtual time."""
-        self.run_virtual(work())
+        self.run_virtual(steps())
 
 
 class Limits(HolderCase):
@@ -152,7 +152,7 @@
                 bursts = (1 + len(changes)) * (1 + 0.1 * limit)
                 self.assertLessEqual(fleet.max_calls(replica.id), SPAN_S * limit + bursts)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_what_is_allowed_is_used_while_work_waits(self) -> None:
         async def work() -> None:
@@ -164,7 +164,7 @@
                 used = sum(at < started_at + 40.0 for at, _ in fleet.calls)
                 self.assertGreaterEqual(used, 0.9 * 4 * limit * 40.0)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_a_new_issuer_grants_half_at_first_and_begins_empty(self) -> None:
         async def work() -> None:
@@ -178,7 +178,7 @@
             self.assertLessEqual(len(early), 0.5 * 10.0 * CONTESTED_S + 2)
             self.assertGreaterEqual(len(early), 0.4 * 10.0 * CONTESTED_S)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_an_issuer_that_takes_over_again_begins_empty_too(self) -> None:
         async def work() -> None:
@@ -192,7 +192,7 @@
             late = [at for at, _ in fleet.calls if at >= started_at]
             self.assertGreaterEqual(min(late), started_at + 0.8)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_an_idle_hour_gathers_no_burst(self) -> None:
         async def work() -> None:
@@ -203,7 +203,7 @@
             await fleet.load(100.0, 4.0)
             self.assertLessEqual(fleet.max_calls('i-0', since=started_at), 2.0 * SPAN_S + 2)
 
-        self.play(work)
+        self.run_scenario(work)
 
 
 class Asks(HolderCase):
@@ -221,7 +221,7 @@
             await asyncio.gather(*tasks)
             self.assertLess(asyncio.get_running_loop().time() - asked_at, 3.3)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_the_more_urgent_go_first(self) -> None:
         async def work() -> None:
@@ -237,7 +237,7 @@
             await asyncio.gather(*(wait(priority) for priority in (3, 1, 2, 0)))
             self.assertEqual([0, 1, 2, 3], order)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_what_waits_at_a_box_that_is_lost_is_asked_of_the_next(self) -> None:
         async def work() -> None:
@@ -251,7 +251,7 @@
             permits = await asyncio.gather(*waiting)
             self.assertTrue(all(permit.replica for permit in permits))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_an_issuer_that_does_not_answer_causes_a_short_delay(self) -> None:
         async def work() -> None:
@@ -262,7 +262,7 @@
             self.assertEqual('', permit.replica)
             self.assertLess(asyncio.get_running_loop().time() - asked_at, 0.3)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_a_permit_that_is_not_used_runs_out(self) -> None:
         async def work() -> None:
@@ -272,7 +272,7 @@
             self.assertFalse(client.use_permit('i'))
             self.assertEqual(1, client.unused)
 
-        self.play(work)
+        self.run_scenario(work)
 
 
 def new_client() -> PermitClient:
--- a/packages/core/calicopath_core/permits/tests/limits_tests.py
+++ b/packages/core/calicopath_core/permits/tests/limits_tests.py
@@ -31,12 +31,12 @@
 
 
 class LimitsCase(VirtualCase):
-    def play(self, work: Callable[[AdvertisedLimits], Coroutine[None, None, None]]) -> None:
+    def run_scenario(self, steps: Callable[[AdvertisedLimits], Coroutine[None, None, None]]) -> None:
         """Run a coroutine with limits on virtual time that does not begin at 0."""
 
         async def scenario() -> None:
             await asyncio.sleep(100.0)
-            await work(new_limits())
+            await steps(new_limits())
 
         self.run_virtual(scenario())
 
@@ -55,7 +55,7 @@
             await asyncio.sleep(ENFORCEMENT_DELAY_S)
             self.assertTrue(limits.requires_permit(DESK))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_an_answer_without_a_limit_ends_it_unless_it_was_overtaken(self) -> None:
         async def work(limits: AdvertisedLimits) -> None:
@@ -69,7 +69,7 @@
             self.assertTrue(limits.by_replica['i'].state.ended)
             self.assertFalse(limits.requires_permit(DESK))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_after_the_end_calls_come_back_gradually(self) -> None:
         async def work(limits: AdvertisedLimits) -> None:
@@ -82,7 +82,7 @@
                 await asyncio.sleep(0.5)
             self.assertEqual([2.0, 4.0, 8.0, 16.0, 32.0, 64.0], rates)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_another_incarnation_has_no_limit(self) -> None:
         async def work(limits: AdvertisedLimits) -> None:
@@ -91,14 +91,14 @@
             limits.on_notice(DESK._replace(started_ms=6.0), Notice(limit_per_s=3.0))
             self.assertEqual(3.0, limits.rate_of(DESK._replace(started_ms=6.0)))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_a_limit_of_nothing_leaves_some_calls_to_hear_of_its_end(self) -> None:
         async def work(limits: AdvertisedLimits) -> None:
             limits.on_notice(DESK, Notice(limit_per_s=0.0))
             self.assertEqual(MIN_PER_S, limits.rate_of(DESK))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_a_replica_that_limits_is_told_of_once_until_that_changes(self) -> None:
         async def work(limits: AdvertisedLimits) -> None:
@@ -113,7 +113,7 @@
             limits.expire({'i'})
             self.assertEqual({}, limits.by_replica)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_calls_without_new_work_go_at_a_part_of_it(self) -> None:
         async def work(limits: AdvertisedLimits) -> None:
@@ -125,7 +125,7 @@
             self.assertLessEqual(passed, 11)
             self.assertGreaterEqual(passed, 9)
 
-        self.play(work)
+        self.run_scenario(work)
 
 
 class OtherBoxes(LimitsCase):
@@ -143,7 +143,7 @@
             self.assertTrue(self.merge(limits, ENDED, 0.5))
             self.assertFalse(self.merge(limits, NAMED, 0.7))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_views_of_two_boxes_become_alike_whatever_came_first(self) -> None:
         for named_s, ended_s in ((0.0, 0.05), (0.05, 0.0), (0.0, 0.5), (0.5, 0.0)):
@@ -164,7 +164,7 @@
                 expected = ended_s < named_s + TIE_WINDOW_S
                 self.assertEqual(expected, one.by_replica['i'].state.ended)
 
-            self.play(work)
+            self.run_scenario(work)
 
     def test_the_end_of_a_limit_outlasts_the_return(self) -> None:
         async def work(limits: AdvertisedLimits) -> None:
@@ -174,7 +174,7 @@
             self.assertIsNone(limits.rate_of(DESK))
             self.assertFalse(self.merge(limits, NAMED, RAMP_UP_S + 1.0))
 
-        self.play(work)
+        self.run_scenario(work)
 
 
 def exchange(sender: AdvertisedLimits, receiver: AdvertisedLimits) -> None:
--- a/packages/core/calicopath_core/scheduling/tests/backoffs_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/backoffs_tests.py
@@ -59,8 +59,8 @@
 
 
 class Backoffs(VirtualCase):
-    def play(
-        self, work: Callable[[Scheduler, SentMessages], Awaitable[None]], *, slots: int = 8
+    def run_scenario(
+        self, steps: Callable[[Scheduler, SentMessages], Awaitable[None]], *, slots: int = 8
     ) -> None:
         """Run a scheduler in front of three engines, and await `work` with it."""
 
@@ -81,7 +81,7 @@
             engine = ServiceSpec('engine', '/healthz', 100, None, EngineSpec(slots, 250_000))
             scheduler.on_deployment(deployment(services=(engine,)))
             task = asyncio.create_task(scheduler.run())
-            await work(scheduler, sent)
+            await steps(scheduler, sent)
             task.cancel()
 
         self.run_virtual(scenario())
@@ -93,7 +93,7 @@
                 scheduler.on_place(place(f'j{number}'))
             self.assertEqual(['e3'] * 6, list(sent.placed.values()))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_another_box_is_given_it_only_if_there_is_no_other(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
@@ -103,14 +103,14 @@
             self.assertEqual('e3', sent.placed['first'])
             self.assertIn(sent.placed['second'], ('e1', 'e2'))
 
-        self.play(work, slots=1)
+        self.run_scenario(work, slots=1)
 
     def test_the_place_message_itself_carries_backoffs(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
             scheduler.on_place(place('j', backoffs={'e1': 3.0, 'e3': 3.0}))
             self.assertEqual({'j': 'e2'}, sent.placed)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_with_none_left_in_time_it_is_rejected_at_once_until_the_first_is_back(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
@@ -121,7 +121,7 @@
             self.assertLessEqual(4.0, sent.rejected['j'].retry_after_s)
             self.assertLess(sent.rejected['j'].retry_after_s, 8.0)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_a_wait_that_ends_in_time_is_waited_for(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
@@ -132,7 +132,7 @@
             await asyncio.sleep(1.1)
             self.assertIn('j', sent.placed)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_what_waits_is_judged_anew_when_a_backoff_begins(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
@@ -144,7 +144,7 @@
             scheduler.on_backoffs(BackoffNotice(address=BOX, backoffs=remaining_s))
             self.assertEqual('backing-off', sent.rejected['waits'].reason)
 
-        self.play(work, slots=1)
+        self.run_scenario(work, slots=1)
 
     def test_what_may_have_run_is_held_until_its_deadline_would_pass(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
@@ -155,7 +155,7 @@
             await asyncio.sleep(5.1)
             self.assertIn('j', sent.placed)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_the_jobs_of_one_box_do_not_hold_up_those_of_others(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
@@ -165,7 +165,7 @@
             scheduler.on_place(place('other', OTHER))
             self.assertEqual(['other'], list(sent.placed))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_one_that_turns_runs_away_without_a_backoff_draws_no_more_than_the_others(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
@@ -181,7 +181,7 @@
             # It is retried after 0.1 s, doubled each time: at most five times in 2 s.
             self.assertLessEqual(counts[0], 5)
 
-        self.play(work, slots=100)
+        self.run_scenario(work, slots=100)
 
     def test_it_is_chosen_again_once_it_takes_a_run(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
@@ -195,7 +195,7 @@
             backoffs.on_started('e1', MIN_AVOIDANCE_S, MIN_AVOIDANCE_S + TRIAL_TIMEOUT_S / 2)
             self.assertFalse(backoffs.in_trial('e1', MIN_AVOIDANCE_S + TRIAL_TIMEOUT_S / 2))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_what_waited_does_not_come_back_in_one_instant(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
@@ -210,7 +210,7 @@
             await asyncio.sleep(0.1)
             self.assertEqual(24, len(sent.placed))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_a_job_that_is_handed_over_takes_what_is_left_of_it_along(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
@@ -223,7 +223,7 @@
             self.assertEqual(set(ENGINES), set(found))
             self.assertAlmostEqual(0.6, found['e1'], places=3)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_what_is_over_is_forgotten(self) -> None:
         async def work(scheduler: Scheduler, sent: SentMessages) -> None:
@@ -233,4 +233,4 @@
             backoffs = scheduler.engine_pools.backoffs
             self.assertEqual(({}, {}), (backoffs.by_box, backoffs.avoidances))
 
-        self.play(work)
+        self.run_scenario(work)
--- a/packages/core/calicopath_core/store/tests/changes_tests.py
+++ b/packages/core/calicopath_core/store/tests/changes_tests.py
@@ -20,11 +20,11 @@
 )
 from calicopath_core.store.records import Change, ChangeAction
 from testkit.cases import VirtualCase
-from testkit.fake_store import FakeStore, StoreState, WriteFate
+from testkit.fake_store import FakeStore, StoreState, WriteOutcome
 from testkit.virtual import VirtualClock, run_virtual
 
 KEY = 'config/endpoints/a'
-FATES = st.sampled_from(list(WriteFate))
+FATES = st.sampled_from(list(WriteOutcome))
 
 
 def change(number: int, who: str = 'asma') -> Change:
@@ -62,8 +62,8 @@
         async def scenario() -> None:
             state = StoreState()
             writer = new_writer(state)
-            fates = iter([WriteFate.LOST_AFTER])
-            link(writer).fate = lambda key: next(fates, WriteFate.DONE)
+            fates = iter([WriteOutcome.LOST_AFTER])
+            link(writer).write_outcome = lambda key: next(fates, WriteOutcome.DONE)
             result = await writer.make(change(1))
             self.assertIsInstance(result, Success)
             self.assertEqual(1, state.objects[KEY].version)
@@ -75,8 +75,8 @@
         async def scenario() -> None:
             state = StoreState()
             writer, other = new_writer(state), new_writer(state)
-            fates = iter([WriteFate.LOST_AFTER])
-            link(writer).fate = lambda key: next(fates, WriteFate.DONE)
+            fates = iter([WriteOutcome.LOST_AFTER])
+            link(writer).write_outcome = lambda key: next(fates, WriteOutcome.DONE)
             task = asyncio.create_task(writer.make(change(1)))
             await asyncio.sleep(0.05)
             await other.make(change(2, 'vera'))
@@ -100,11 +100,11 @@
             state = StoreState()
             writer = new_writer(state)
 
-            def fate(key: str) -> WriteFate:
+            def fate(key: str) -> WriteOutcome:
                 state.down = True
-                return WriteFate.LOST_AFTER
+                return WriteOutcome.LOST_AFTER
 
-            link(writer).fate = fate
+            link(writer).write_outcome = fate
             self.assertIsInstance((await writer.make(change(1))).failure(), Unsettled)
 
         self.run_virtual(scenario())
@@ -149,7 +149,7 @@
         )
     )
     def test_each_accepted_change_has_one_record_whatever_dies_between_two_calls(
-        self, steps: list[tuple[int, float, float, WriteFate, WriteFate]]
+        self, steps: list[tuple[int, float, float, WriteOutcome, WriteOutcome]]
     ) -> None:
         async def scenario() -> None:
             state = StoreState()
@@ -160,7 +160,7 @@
             for number, (who, pause_s, killed_after_s, one, two) in enumerate(steps):
                 writer = new_writer(state)
                 fates = iter([one, two])
-                link(writer).fate = lambda key, fates=fates: next(fates, WriteFate.DONE)  # type: ignore[misc]
+                link(writer).write_outcome = lambda key, fates=fates: next(fates, WriteOutcome.DONE)  # type: ignore[misc]
                 task = asyncio.create_task(writer.make(change(number, f'op{who}')))
                 asyncio.get_running_loop().call_later(killed_after_s, task.cancel)
                 tasks.append(task)
--- a/packages/core/calicopath_core/store/tests/feed_tests.py
+++ b/packages/core/calicopath_core/store/tests/feed_tests.py
@@ -52,12 +52,12 @@
             state = StoreState()
             async with followed(state) as (view, _, _):
                 put(state, 1)
-                copy = state.copy()
+                copy = state.snapshot()
                 for content in range(2, 2 + lost):
                     put(state, content)
                 await asyncio.sleep(IN_FORCE_S)
                 before = view.entries[KEY]
-                state.go_back(copy)
+                state.restore(copy)
                 await asyncio.sleep(2 * IN_FORCE_S)
                 self.assertEqual(before, view.entries[KEY])
                 put(state, 99)
--- a/packages/daemon/calicopathd/gateway/tests/backoff_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/backoff_tests.py
@@ -33,13 +33,13 @@
 
 
 class Backoffs(VirtualCase):
-    def play(self, work: Callable[[NoticeFleet], Awaitable[None]]) -> NoticeFleet:
+    def run_scenario(self, steps: Callable[[NoticeFleet], Awaitable[None]]) -> NoticeFleet:
         """Run boxes and do some work with them."""
 
         async def scenario() -> NoticeFleet:
             fleet = NoticeFleet()
             await fleet.start()
-            await work(fleet)
+            await steps(fleet)
             await fleet.stop()
             return fleet
 
@@ -53,40 +53,40 @@
 
     def test_engines_that_ask_for_a_pause_get_it(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.pause(PAUSE_S, 'engine-4', 'engine-5', 'engine-8')
+            fleet.request_backoff(PAUSE_S, 'engine-4', 'engine-5', 'engine-8')
             await fleet.load('letter', GAP_S, for_s=6.0)
 
-        self.check_kept(self.play(work))
+        self.check_kept(self.run_scenario(work))
 
     def test_a_plain_services_replicas_that_ask_for_a_pause_get_it(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.pause(PAUSE_S, 'desk-north', 'desk-south', 'desk-2')
+            fleet.request_backoff(PAUSE_S, 'desk-north', 'desk-south', 'desk-2')
             await fleet.load('read', GAP_S, for_s=6.0)
 
-        self.check_kept(self.play(work))
+        self.check_kept(self.run_scenario(work))
 
     def test_a_stages_replica_that_asks_for_a_pause_gets_it(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.pause(PAUSE_S, 'look-north', 'look-south')
+            fleet.request_backoff(PAUSE_S, 'look-north', 'look-south')
             await fleet.load('draft', 0.2, for_s=6.0)
 
-        self.check_kept(self.play(work))
+        self.check_kept(self.run_scenario(work))
 
     def test_what_others_can_run_is_not_refused(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
             names = ('engine-4', 'engine-5', 'engine-8', 'desk-north', 'look-north')
-            fleet.pause(PAUSE_S, *names)
+            fleet.request_backoff(PAUSE_S, *names)
             sinks = []
             for kind in ('letter', 'read', 'pay', 'draft') * 40:
                 sinks += await fleet.load(kind, GAP_S, for_s=GAP_S)
             await fleet.settle()
             self.assertEqual([], [sink.reason for sink in sinks if sink.status != 200])
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_with_every_replica_in_a_pause_requests_are_refused_at_once_until_it_ends(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.pause(PAUSE_S, 'desk-north', 'desk-south', 'desk-2', 'desk-3')
+            fleet.request_backoff(PAUSE_S, 'desk-north', 'desk-south', 'desk-2', 'desk-3')
             await fleet.load('read', GAP_S, for_s=1.0)
             asked_at = asyncio.get_running_loop().time()
             sinks = await fleet.load('read', GAP_S, for_s=1.0)
@@ -96,4 +96,4 @@
             self.assertLess(asyncio.get_running_loop().time() - asked_at, 1.1)
             self.assertTrue(all(0 < wait_s <= PAUSE_S for wait_s in told), told)
 
-        self.check_kept(self.play(work))
+        self.check_kept(self.run_scenario(work))
--- a/packages/daemon/calicopathd/gateway/tests/blocked_innocent_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/blocked_innocent_tests.py
@@ -21,9 +21,9 @@
 class Innocent(CrashingCase):
     def test_what_is_popular_is_served_beside_series_of_ends(self) -> None:
         async def work(fleet: CrashingFleet) -> None:
-            fleet.replicas.crashing = set(CAUSES)
-            fleet.replicas.gap_s = 0.6
-            load = [fleet.repeat(target, 0.11, 12.0) for target in POPULAR]
+            fleet.replicas.crashing_targets = set(CAUSES)
+            fleet.replicas.event_gap_s = 0.6
+            load = [fleet.send_repeatedly(target, 0.11, 12.0) for target in POPULAR]
             causes = []
             for number, target in enumerate(CAUSES):
                 causes.append(asyncio.create_task(self.later(fleet, target, 1.0 + 3.0 * number)))
@@ -33,11 +33,11 @@
             refused = [sink for sink in sinks if sink.reason == 'crashes-replicas']
             self.assertEqual(0, len(refused), f'of {len(sinks)}')
             for target in CAUSES:
-                self.assertLessEqual(len(fleet.replicas.crashes_under(target)), 5)
+                self.assertLessEqual(len(fleet.replicas.crash_times(target)), 5)
 
-        self.play(work)
+        self.run_scenario(work)
 
     async def later(self, fleet: CrashingFleet, target: str, at_s: float) -> None:
         """Ask for what ends engines for a while, from some time on."""
         await asyncio.sleep(at_s)
-        await fleet.repeat(target, 0.4, 3.0)
+        await fleet.send_repeatedly(target, 0.4, 3.0)
--- a/packages/daemon/calicopathd/gateway/tests/blocked_known_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/blocked_known_tests.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from testkit.crashing_fleet import CONTACT_S, MOST_LATE, POISON, CrashingCase, CrashingFleet
+from testkit.crashing_fleet import BLOCKED_WITHIN_S, MAX_LATE_SENDS, POISON_TARGET, CrashingCase, CrashingFleet
 
 if TYPE_CHECKING:
     from testkit.gateway import FleetBox
@@ -24,22 +24,22 @@
         """Return boxes that have blocked a request."""
         fleet = CrashingFleet()
         await fleet.start()
-        fleet.replicas.crashing = {POISON}
-        await fleet.repeat(POISON, 0.4, 3.0)
-        self.sent = fleet.replicas.sent_after(POISON, 0.0)
+        fleet.replicas.crashing_targets = {POISON_TARGET}
+        await fleet.send_repeatedly(POISON_TARGET, 0.4, 3.0)
+        self.sent = fleet.replicas.count_arrivals_after(POISON_TARGET, 0.0)
         return fleet
 
     async def check_known(self, fleet: CrashingFleet, *names: str) -> None:
         """Check that boxes do not send the request on."""
         for name in names or fleet.boxes:
-            fleet.ask(name, POISON)
+            fleet.send_request(name, POISON_TARGET)
         await fleet.settle()
-        self.assertEqual(self.sent, fleet.replicas.sent_after(POISON, 0.0))
+        self.assertEqual(self.sent, fleet.replicas.count_arrivals_after(POISON_TARGET, 0.0))
 
     def test_a_box_that_starts_hears_of_it_before_it_is_in_touch(self) -> None:
         async def scenario() -> None:
             fleet = await self.blocked_fleet()
-            await fleet.add('box-9', 'south').start()
+            await fleet.add_box('box-9', 'south').start()
             await asyncio.sleep(2.0)
             await self.check_known(fleet, 'box-9')
             await fleet.stop()
@@ -48,41 +48,41 @@
 
     def test_the_scheduler_may_die_between_two_ends(self) -> None:
         async def work(fleet: CrashingFleet) -> None:
-            fleet.replicas.crashing = {POISON}
-            fleet.ask('box-3', POISON)
+            fleet.replicas.crashing_targets = {POISON_TARGET}
+            fleet.send_request('box-3', POISON_TARGET)
             await asyncio.sleep(1.0)
             fleet.kill('box-0')
-            await fleet.repeat(POISON, 0.5, 8.0)
+            await fleet.send_repeatedly(POISON_TARGET, 0.5, 8.0)
             await fleet.settle()
-            self.assertLessEqual(len(fleet.replicas.crashes_under(POISON)), 4)
+            self.assertLessEqual(len(fleet.replicas.crash_times(POISON_TARGET)), 4)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_a_box_that_was_cut_off_hears_of_it_when_it_is_back(self) -> None:
         async def work(fleet: CrashingFleet) -> None:
             fleet.network.blocked = lambda source, target: 'box-3:7' in (source, target)
-            fleet.replicas.crashing = {POISON}
+            fleet.replicas.crashing_targets = {POISON_TARGET}
             del (cut := dict(fleet.boxes))['box-3']
             whole, fleet.boxes = fleet.boxes, cut
-            await fleet.repeat(POISON, 0.4, 4.0)
+            await fleet.send_repeatedly(POISON_TARGET, 0.4, 4.0)
             fleet.boxes = whole
             fleet.network.blocked = lambda source, target: False
-            await asyncio.sleep(CONTACT_S)
-            self.sent = fleet.replicas.sent_after(POISON, 0.0)
+            await asyncio.sleep(BLOCKED_WITHIN_S)
+            self.sent = fleet.replicas.count_arrivals_after(POISON_TARGET, 0.0)
             await self.check_known(fleet, 'box-3')
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_half_of_all_messages_may_be_lost(self) -> None:
         async def work(fleet: CrashingFleet) -> None:
             fleet.network.loss = 0.5
-            fleet.replicas.crashing = {'/read/poison'}
-            await fleet.repeat('/read/poison', 0.7, 12.0)
-            crashes = fleet.replicas.crashes_under('/read/poison')
-            late = fleet.replicas.sent_after('/read/poison', crashes[2] + CONTACT_S)
-            self.assertLessEqual(late, MOST_LATE)
+            fleet.replicas.crashing_targets = {'/read/poison'}
+            await fleet.send_repeatedly('/read/poison', 0.7, 12.0)
+            crashes = fleet.replicas.crash_times('/read/poison')
+            late = fleet.replicas.count_arrivals_after('/read/poison', crashes[2] + BLOCKED_WITHIN_S)
+            self.assertLessEqual(late, MAX_LATE_SENDS)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_it_is_known_after_every_box_was_killed(self) -> None:
         async def scenario() -> None:
@@ -91,8 +91,8 @@
             for name in names:
                 fleet.kill(name)
             for number, name in enumerate(names):
-                await fleet.add(name, ('north', 'south')[number % 2]).start()
-            await asyncio.sleep(CONTACT_S)
+                await fleet.add_box(name, ('north', 'south')[number % 2]).start()
+            await asyncio.sleep(BLOCKED_WITHIN_S)
             await self.check_known(fleet)
             await fleet.stop()
 
@@ -109,15 +109,15 @@
             for name in names:
                 fleet.kill(name)
             starts = [
-                fleet.add(name, ('north', 'south')[number % 2]).start()
+                fleet.add_box(name, ('north', 'south')[number % 2]).start()
                 for number, name in enumerate(names)
             ]
             await asyncio.gather(*starts)
             for name in names:
                 await wait_ready(fleet.boxes[name])
-                fleet.ask(name, POISON)
+                fleet.send_request(name, POISON_TARGET)
             await fleet.settle()
-            self.assertEqual(self.sent, fleet.replicas.sent_after(POISON, 0.0))
+            self.assertEqual(self.sent, fleet.replicas.count_arrivals_after(POISON_TARGET, 0.0))
             await fleet.stop()
 
         self.run_virtual(scenario())
@@ -126,7 +126,7 @@
         async def scenario() -> None:
             fleet = CrashingFleet()
             for item in fleet.boxes.values():
-                item.store.blocked_cut = True
+                item.store.blocked_unreadable = True
                 await item.start()
             async with asyncio.timeout(2.0):
                 await asyncio.gather(*(wait_ready(item) for item in fleet.boxes.values()))
@@ -138,9 +138,9 @@
         async def work(fleet: CrashingFleet) -> None:
             for item in fleet.boxes.values():
                 item.store.cut = True
-            fleet.replicas.crashing = {POISON}
-            await fleet.repeat(POISON, 0.4, 3.0)
-            self.sent = fleet.replicas.sent_after(POISON, 0.0)
+            fleet.replicas.crashing_targets = {POISON_TARGET}
+            await fleet.send_repeatedly(POISON_TARGET, 0.4, 3.0)
+            self.sent = fleet.replicas.count_arrivals_after(POISON_TARGET, 0.0)
             self.assertLessEqual(self.sent, 4)
             await self.check_known(fleet)
             for item in fleet.boxes.values():
@@ -148,4 +148,4 @@
             await asyncio.sleep(10.0)
             self.assertEqual(1, len(fleet.store.blocked))
 
-        self.play(work)
+        self.run_scenario(work)
--- a/packages/daemon/calicopathd/gateway/tests/evacuating_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/evacuating_tests.py
@@ -43,7 +43,7 @@
         async def scenario(fleet: GatewayFleet) -> None:
             sinks = burst(fleet, range(12))
             await asyncio.sleep(0.2)
-            fleet.take_out('south')
+            fleet.evacuate('south')
             await asyncio.sleep(HEARD_S)
             before = reached(fleet)
             sinks += burst(fleet, range(12, 36))
@@ -57,9 +57,9 @@
 
     def test_a_zone_given_back_takes_its_part_within_seconds(self) -> None:
         async def scenario(fleet: GatewayFleet) -> None:
-            fleet.take_out('south')
+            fleet.evacuate('south')
             await asyncio.sleep(1.0)
-            fleet.give_back('south')
+            fleet.end_evacuation('south')
             await asyncio.sleep(HEARD_S)
             burst(fleet, range(24))
             await fleet.settle()
@@ -71,9 +71,9 @@
     def test_out_and_back_within_a_second_leaves_the_zone_in(self) -> None:
         async def scenario(fleet: GatewayFleet) -> None:
             for _ in range(3):
-                fleet.take_out('south')
+                fleet.evacuate('south')
                 await asyncio.sleep(0.15)
-                fleet.give_back('south')
+                fleet.end_evacuation('south')
                 await asyncio.sleep(0.15)
             burst(fleet, range(24))
             await fleet.settle()
@@ -83,8 +83,8 @@
 
     def test_with_every_zone_out_all_is_refused_at_once_as_not_run(self) -> None:
         async def scenario(fleet: GatewayFleet) -> None:
-            fleet.take_out('south')
-            fleet.take_out('north')
+            fleet.evacuate('south')
+            fleet.evacuate('north')
             await asyncio.sleep(HEARD_S)
             begun = asyncio.get_running_loop().time()
             sinks = burst(fleet, range(12))
@@ -99,9 +99,9 @@
     def test_results_that_lie_in_the_zone_are_read_and_not_made_again(self) -> None:
         async def scenario(fleet: GatewayFleet) -> None:
             sinks = [fleet.serve('box-1', exchange(number, 'draft', now())) for number in range(4)]
-            while len(fleet.stages.live) < 2:
+            while len(fleet.stages.live_results) < 2:
                 await asyncio.sleep(0.01)
-            fleet.take_out('south')
+            fleet.evacuate('south')
             await fleet.settle()
             self.assertEqual([WHOLE] * 4, [sink.event_ids for sink in sinks])
             self.assertEqual(12, sum(len(calls) for _, calls in fleet.stages.calls))
@@ -111,14 +111,14 @@
     def test_results_there_are_left_to_run_out_and_not_given_up_by_a_call(self) -> None:
         async def scenario(fleet: GatewayFleet) -> None:
             sinks = [fleet.serve('box-1', exchange(number, 'draft', now())) for number in range(4)]
-            while len(fleet.stages.live) < 2:
+            while len(fleet.stages.live_results) < 2:
                 await asyncio.sleep(0.01)
-            fleet.take_out('south')
+            fleet.evacuate('south')
             await asyncio.sleep(HEARD_S)
-            before = len(fleet.stages.freed_at)
+            before = len(fleet.stages.freed_addresses)
             await fleet.settle()
             self.assertEqual([WHOLE] * 4, [sink.event_ids for sink in sinks])
-            freed = fleet.stages.freed_at[before:]
+            freed = fleet.stages.freed_addresses[before:]
             self.assertNotEqual([], freed)
             self.assertEqual([], [address for address in freed if 'south' in address])
 
@@ -128,7 +128,7 @@
         async def scenario(fleet: GatewayFleet) -> None:
             fleet.boxes['box-0'].store.cut = True
             await asyncio.sleep(0.3)
-            fleet.take_out('south')
+            fleet.evacuate('south')
             await asyncio.sleep(HEARD_S)
             self.assertEqual({'box-0:7'}, fleet.schedulers())
             sinks = [fleet.serve('box-1', exchange(number, 'letter', now())) for number in range(8)]
@@ -140,10 +140,10 @@
 
     def test_a_box_that_starts_knows_before_it_is_ready(self) -> None:
         async def scenario(fleet: GatewayFleet) -> None:
-            fleet.take_out('south')
+            fleet.evacuate('south')
             await asyncio.sleep(HEARD_S)
             fleet.kill('box-3')
-            started = fleet.add('box-3', 'south')
+            started = fleet.add_box('box-3', 'south')
             await started.start()
             while not started.box.ready():
                 await asyncio.sleep(0.005)
@@ -164,12 +164,12 @@
             for box in cut:
                 box.store.cut = True
             await asyncio.sleep(1.0)
-            fleet.take_out('south')
+            fleet.evacuate('south')
             await asyncio.sleep(0.5)
             self.assertEqual(
                 [{'south'}] * len(cut), [set(box.box.evacuations.active) for box in cut]
             )
-            fleet.give_back('south')
+            fleet.end_evacuation('south')
             await asyncio.sleep(0.5)
             self.assertEqual([set()] * len(cut), [set(box.box.evacuations.active) for box in cut])
 
@@ -182,7 +182,7 @@
             }
             for name in relays:
                 fleet.boxes[name].store.cut = True
-            fleet.take_out('south')
+            fleet.evacuate('south')
             await asyncio.sleep(EVACUATE_S - 1.0)
             served = [box for name, box in fleet.boxes.items() if name not in relays]
             held = [set(box.box.evacuations.active) for box in served]
@@ -192,12 +192,12 @@
 
     def test_a_zone_given_back_while_a_box_was_cut_off_is_back_there_too(self) -> None:
         async def scenario(fleet: GatewayFleet) -> None:
-            fleet.take_out('south')
+            fleet.evacuate('south')
             await asyncio.sleep(HEARD_S)
             for box in fleet.boxes.values():
                 box.store.cut = True
-            fleet.give_back('south')
-            fleet.store.forget_history()
+            fleet.end_evacuation('south')
+            fleet.store.drop_history()
             await asyncio.sleep(2.5)
             for box in fleet.boxes.values():
                 box.store.cut = False
@@ -212,7 +212,7 @@
         async def scenario(fleet: GatewayFleet) -> None:
             for box in fleet.boxes.values():
                 box.store.silent_watches.add(RecordKind.EVACUATION)
-            fleet.take_out('south')
+            fleet.evacuate('south')
             await asyncio.sleep(EVACUATE_S - 1.0)
             held = [set(box.box.evacuations.active) for box in fleet.boxes.values()]
             self.assertEqual([{'south'}] * len(fleet.boxes), held)
--- a/packages/daemon/calicopathd/gateway/tests/exchanges_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/exchanges_tests.py
@@ -8,8 +8,8 @@
 from calicopath_core.exchanges.budget import USABLE_BUDGET_RATIO
 from testkit.cases import VirtualCase
 from testkit.gateway import GatewayFleet
-from testkit.gateway_replicas import ANY, FakeSink
-from testkit.gateway_world import EVENTS, KEY, TERMS, exchange
+from testkit.gateway_replicas import ANY_REPLICA, FakeSink
+from testkit.gateway_world import EVENTS, KEY, RETRY_BUDGET_TERMS, exchange
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -22,7 +22,7 @@
 class ExchangeCase(VirtualCase):
     """Serve requests on one box after giving replicas faults."""
 
-    def play(
+    def run_scenario(
         self,
         route: str,
         faults: dict[str, list[str]],
@@ -66,14 +66,14 @@
             self.assertEqual(502, sink.status)
             self.assertIsNone(sink.retry_after_s)
 
-        self.play('pay', {name: ['reset'] for name in BOTH_DESKS}, check)
+        self.run_scenario('pay', {name: ['reset'] for name in BOTH_DESKS}, check)
 
     def test_what_was_declined_goes_to_another_replica_and_runs_once(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
             self.assertEqual({'call-1': 1}, fleet.replicas.runs)
             self.assertEqual((200, b'call-1'), (sink.status, sink.body))
 
-        self.play('pay', {'desk-north': ['declined']}, check)
+        self.run_scenario('pay', {'desk-north': ['declined']}, check)
 
     def test_declined_by_all_is_refused_as_not_run_with_the_time_to_come_back(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
@@ -81,7 +81,7 @@
             self.assertEqual(503, sink.status)
             self.assertGreater(sink.retry_after_s or 0, 0)
 
-        self.play('pay', {name: ['declined'] for name in BOTH_DESKS}, check)
+        self.run_scenario('pay', {name: ['declined'] for name in BOTH_DESKS}, check)
 
     def test_a_silent_replica_ends_it_at_its_time_as_may_have_run(self) -> None:
         async def work(fleet: GatewayFleet) -> None:
@@ -100,20 +100,20 @@
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
             self.assertEqual((200, b'call-1'), (sink.status, sink.body))
 
-        self.play('read', {'desk-north': ['error']}, check)
+        self.run_scenario('read', {'desk-north': ['error']}, check)
 
     def test_an_error_of_the_last_replica_is_passed_on_as_it_is(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
             self.assertEqual((500, b'no'), (sink.status, sink.body))
             self.assertEqual(2, fleet.replicas.runs['call-1'])
 
-        self.play('read', {name: ['error'] for name in BOTH_DESKS}, check)
+        self.run_scenario('read', {name: ['error'] for name in BOTH_DESKS}, check)
 
     def test_a_silent_replica_is_left_for_another_in_time(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
             self.assertEqual(200, sink.status)
 
-        self.play('read', {'desk-north': ['dark']}, check)
+        self.run_scenario('read', {'desk-north': ['dark']}, check)
 
     def test_repeats_stay_within_this_boxs_share_of_the_budget(self) -> None:
         async def work(fleet: GatewayFleet) -> None:
@@ -122,7 +122,7 @@
                 fleet.serve('box-0', exchange(number, 'read', now()))
             await fleet.settle()
             repeats = len(fleet.replicas.sent) - 100
-            allowed = USABLE_BUDGET_RATIO * (TERMS.ratio * 100 + TERMS.slack)
+            allowed = USABLE_BUDGET_RATIO * (RETRY_BUDGET_TERMS.ratio * 100 + RETRY_BUDGET_TERMS.slack)
             self.assertEqual(int(allowed), repeats)
 
         self.play_work(work)
@@ -136,21 +136,21 @@
             self.assertNotEqual(first.replica.id, second.replica.id)
             self.assertEqual('3', second.last_event_id)
 
-        self.play('draft', {ANY: ['break:3']}, check)
+        self.run_scenario('draft', {ANY_REPLICA: ['break:3']}, check)
 
     def test_a_stream_that_hangs_is_left_and_goes_on_elsewhere(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
             self.assertEqual((WHOLE, 'whole'), (sink.event_ids, sink.state))
             self.assertEqual(2, len(fleet.replicas.sent))
 
-        self.play('draft', {ANY: ['break:0']}, check)
+        self.run_scenario('draft', {ANY_REPLICA: ['break:0']}, check)
 
     def test_one_that_may_not_be_resumed_is_cut_where_it_broke(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
             self.assertEqual(([1, 2], 'cut'), (sink.event_ids, sink.state))
             self.assertEqual(1, len(fleet.replicas.sent))
 
-        self.play('letter', {name: ['break:2'] for name in BOTH_ENGINES}, check)
+        self.run_scenario('letter', {name: ['break:2'] for name in BOTH_ENGINES}, check)
 
     def test_one_that_may_not_be_resumed_and_broke_before_its_first_event_may_have_run(
         self,
@@ -159,42 +159,42 @@
             self.assertEqual((502, 'refused'), (sink.status, sink.state))
             self.assertIsNone(sink.retry_after_s)
 
-        self.play('letter', {name: ['reset'] for name in BOTH_ENGINES}, check)
+        self.run_scenario('letter', {name: ['reset'] for name in BOTH_ENGINES}, check)
 
     def test_an_engine_that_declines_is_left_for_another(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
             self.assertEqual((WHOLE, 'whole'), (sink.event_ids, sink.state))
             self.assertEqual({'call-1': 1}, fleet.replicas.runs)
 
-        self.play('letter', {'engine-north': ['declined'], 'engine-south': ['none']}, check)
+        self.run_scenario('letter', {'engine-north': ['declined'], 'engine-south': ['none']}, check)
 
     def test_an_engine_that_declines_is_not_taken_for_a_broken_one(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
             board = fleet.boxes['box-0'].box.scheduler.engine_pools['engine']
             self.assertEqual([0.0, 0.0], [item.ejected_until for item in board.engines.values()])
 
-        self.play('draft', {ANY: ['declined']}, check)
+        self.run_scenario('draft', {ANY_REPLICA: ['declined']}, check)
 
     def test_an_engine_that_breaks_is_left_alone_for_a_while(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
             board = fleet.boxes['box-0'].box.scheduler.engine_pools['engine']
             self.assertGreater(max(item.ejected_until for item in board.engines.values()), now())
 
-        self.play('draft', {ANY: ['break:2']}, check)
+        self.run_scenario('draft', {ANY_REPLICA: ['break:2']}, check)
 
     def test_a_client_that_resumes_is_answered_from_where_it_stopped(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
             self.assertEqual([5, 6], sink.event_ids)
 
-        self.play('draft', {}, check, last_event_id='4')
+        self.run_scenario('draft', {}, check, last_event_id='4')
 
     def test_a_caller_that_leaves_takes_its_run_and_its_job_along(self) -> None:
         async def work(fleet: GatewayFleet) -> None:
-            fleet.replicas.faults = {ANY: ['break:0']}
+            fleet.replicas.faults = {ANY_REPLICA: ['break:0']}
             fleet.serve('box-0', exchange(1, 'draft', now()))
             await asyncio.sleep(1.2)
             self.assertEqual({'call-1'}, fleet.replicas.running)
-            fleet.served[0].cancel()
+            fleet.request_tasks[0].cancel()
             await asyncio.sleep(0.05)
             self.assertEqual(set(), fleet.replicas.running)
             self.assertEqual({}, fleet.boxes['box-0'].box.scheduler.jobs)
@@ -206,7 +206,7 @@
             for number in range(12):
                 fleet.serve('box-0', exchange(number, 'draft', now()))
             await asyncio.sleep(0.1)
-            for task in fleet.served:
+            for task in fleet.request_tasks:
                 task.cancel()
             await asyncio.sleep(0.05)
             queues = fleet.boxes['box-0'].box.scheduler.stages.queues
@@ -224,9 +224,9 @@
             self.assertEqual(401, sink.status)
             self.assertEqual([], fleet.replicas.sent)
 
-        self.play('read', {}, no_route, path='/nowhere/x')
-        self.play('read', {}, no_key, key='wrong')
-        self.play('read', {}, no_key, key=None)
+        self.run_scenario('read', {}, no_route, path='/nowhere/x')
+        self.run_scenario('read', {}, no_key, key='wrong')
+        self.run_scenario('read', {}, no_key, key=None)
 
     def test_the_replica_learns_the_tenant_and_the_time_that_is_left(self) -> None:
         def check(fleet: GatewayFleet, sink: FakeSink) -> None:
@@ -234,4 +234,4 @@
             self.assertEqual('hire', outbound.workspace)
             self.assertLessEqual(outbound.deadline_s, 0.7)
 
-        self.play('read', {}, check, deadline_s=0.7, key=KEY)
+        self.run_scenario('read', {}, check, deadline_s=0.7, key=KEY)
--- a/packages/daemon/calicopathd/gateway/tests/fleet_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/fleet_tests.py
@@ -7,7 +7,7 @@
 
 from testkit.cases import VirtualCase
 from testkit.gateway import GatewayFleet
-from testkit.gateway_replicas import ANY
+from testkit.gateway_replicas import ANY_REPLICA
 from testkit.gateway_world import EVENTS, exchange
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
             pieces = sum(len(calls) for _, calls in fleet.stages.calls)
             self.assertEqual(36, pieces)
             self.assertLess(len(fleet.stages.calls), 18)
-            self.assertEqual(1, fleet.stages.most_at_work)
+            self.assertEqual(1, fleet.stages.max_running_calls)
             await fleet.stop()
 
         self.run_virtual(scenario())
@@ -63,7 +63,7 @@
             fleet.kill('box-0')
             await asyncio.sleep(1.5)
             self.assertEqual({'box-1:7'}, fleet.schedulers())
-            await fleet.add('box-0', 'north').start()
+            await fleet.add_box('box-0', 'north').start()
             await asyncio.sleep(4.0)
             self.assertEqual({'box-1:7'}, fleet.schedulers())
             await fleet.stop()
@@ -211,8 +211,8 @@
             await fleet.start()
             sinks = [serve_draft(fleet, number, skip='') for number in range(8)]
             await asyncio.sleep(0.45)
-            fleet.stages.broken['look-north'] = 'dead'
-            fleet.stages.lose('look-north')
+            fleet.stages.faults['look-north'] = 'dead'
+            fleet.stages.lose_results('look-north')
             await fleet.settle()
             self.assertEqual([WHOLE] * 8, [sink.event_ids for sink in sinks])
             self.assertEqual(0, fleet.stages.wrong_inputs)
@@ -224,7 +224,7 @@
         async def scenario() -> None:
             fleet = GatewayFleet()
             await fleet.start()
-            fleet.stages.broken['look-north'] = 'room'
+            fleet.stages.faults['look-north'] = 'room'
             sinks = await load(fleet, 8)
             self.assertEqual([WHOLE] * 8, [sink.event_ids for sink in sinks])
             calls = [replica for replica, _ in fleet.stages.calls if replica == 'look-north']
@@ -237,11 +237,11 @@
         async def scenario() -> None:
             fleet = GatewayFleet()
             await fleet.start()
-            fleet.stages.broken['look-north'] = 'mute'
+            fleet.stages.faults['look-north'] = 'mute'
             begun = now()
             sinks = [serve_draft(fleet, number, skip='') for number in range(2)]
             await asyncio.sleep(0.1)
-            fleet.stages.broken.clear()
+            fleet.stages.faults.clear()
             await fleet.settle()
             self.assertEqual([WHOLE] * 2, [sink.event_ids for sink in sinks])
             self.assertLess(now() - begun, 2.0)
@@ -253,7 +253,7 @@
         async def scenario() -> None:
             fleet = GatewayFleet()
             await fleet.start()
-            fleet.stages.broken['look-north'] = fleet.stages.broken['look-south'] = 'slow'
+            fleet.stages.faults['look-north'] = fleet.stages.faults['look-south'] = 'slow'
             sinks = await load(fleet, 2)
             self.assertEqual([WHOLE] * 2, [sink.event_ids for sink in sinks])
             self.assertEqual(6, sum(len(calls) for _, calls in fleet.stages.calls))
@@ -283,7 +283,7 @@
             await fleet.start()
             await load(fleet, 8)
             await asyncio.sleep(0.5)
-            self.assertEqual({}, fleet.stages.live)
+            self.assertEqual({}, fleet.stages.live_results)
             self.assertEqual({}, fleet.boxes['box-0'].box.scheduler.jobs)
             await fleet.stop()
 
@@ -293,13 +293,13 @@
         async def scenario() -> None:
             fleet = GatewayFleet()
             await fleet.start()
-            fleet.replicas.faults[ANY] = ['busy']
+            fleet.replicas.faults[ANY_REPLICA] = ['busy']
             sink = serve_draft(fleet, 1, skip='')
             while not fleet.replicas.sent:
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.3)
             self.assertEqual([], sink.event_ids)
-            self.assertEqual({}, fleet.stages.live)
+            self.assertEqual({}, fleet.stages.live_results)
             await fleet.settle()
             self.assertEqual(WHOLE, sink.event_ids)
             await fleet.stop()
--- a/packages/daemon/calicopathd/gateway/tests/following_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/following_tests.py
@@ -56,7 +56,7 @@
             fleet.store.log.clear()
             fleet.store.records[RecordKind.REPLICA].pop('desk-north')
             fleet.store.write(RecordKind.BOX, 'box-9', None)
-            fleet.store.forget_history()
+            fleet.store.drop_history()
             await asyncio.sleep(2.1)
             box = fleet.boxes['box-0'].box
             self.assertEqual(['desk-south'], [item.id for item in box.replicas.usable('desk')])
@@ -94,7 +94,7 @@
                 box.store.cut = True
             await asyncio.sleep(3.0)
             fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(9))
-            fleet.store.forget_history()
+            fleet.store.drop_history()
             for box in fleet.boxes.values():
                 box.store.cut = False
             await asyncio.sleep(2.0)
--- a/packages/daemon/calicopathd/gateway/tests/leaving_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/leaving_tests.py
@@ -31,14 +31,14 @@
 
 
 class Leaving(VirtualCase):
-    def play(self, work: Callable[[NoticeFleet], Awaitable[None]]) -> NoticeFleet:
+    def run_scenario(self, steps: Callable[[NoticeFleet], Awaitable[None]]) -> NoticeFleet:
         """Run boxes that the store does not answer, and do some work with them."""
 
         async def scenario() -> NoticeFleet:
             fleet = NoticeFleet()
             await fleet.start()
             fleet.silence_store()
-            await work(fleet)
+            await steps(fleet)
             await fleet.stop()
             return fleet
 
@@ -51,28 +51,28 @@
 
     def test_an_engine_that_says_so_gets_no_more_requests(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.leave('engine-4', 'engine-8')
+            fleet.announce_leaving('engine-4', 'engine-8')
             await fleet.load('letter', GAP_S, for_s=6.0)
 
-        self.check_left(self.play(work))
+        self.check_left(self.run_scenario(work))
 
     def test_a_plain_services_replica_that_says_so_gets_no_more_requests(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.leave('desk-north', 'desk-south')
+            fleet.announce_leaving('desk-north', 'desk-south')
             await fleet.load('read', GAP_S, for_s=6.0)
 
-        self.check_left(self.play(work))
+        self.check_left(self.run_scenario(work))
 
     def test_a_stages_replica_that_says_so_gets_no_more_calls(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.leave('look-north', 'look-south')
+            fleet.announce_leaving('look-north', 'look-south')
             await fleet.load('draft', 0.2, for_s=6.0)
 
-        self.check_left(self.play(work))
+        self.check_left(self.run_scenario(work))
 
     def test_all_are_served_by_the_others(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.leave('engine-4', 'engine-8', 'look-north', 'look-south', 'desk-north')
+            fleet.announce_leaving('engine-4', 'engine-8', 'look-north', 'look-south', 'desk-north')
             kinds = itertools.cycle(('letter', 'read', 'pay', 'draft'))
             sinks = []
             for _ in range(100):
@@ -80,29 +80,29 @@
             await fleet.settle()
             self.assertEqual([], [sink.reason for sink in sinks if sink.status != 200])
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_the_stores_older_entry_does_not_take_it_back(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.leave('engine-4', 'engine-8')
+            fleet.announce_leaving('engine-4', 'engine-8')
             await fleet.load('letter', GAP_S, for_s=2.0)
-            fleet.store_answers()
-            fleet.touch('engine-4')
+            fleet.restore_store()
+            fleet.rewrite_entry('engine-4')
             await fleet.load('letter', GAP_S, for_s=4.0)
-            fleet.store.forget_history()
+            fleet.store.drop_history()
             await fleet.load('letter', GAP_S, for_s=4.0)
 
-        self.check_left(self.play(work))
+        self.check_left(self.run_scenario(work))
 
     def test_an_entry_that_lapsed_and_is_back_does_not_take_it_back(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.leave('engine-4', 'engine-8')
+            fleet.announce_leaving('engine-4', 'engine-8')
             await fleet.load('letter', GAP_S, for_s=2.0)
-            fleet.store_answers()
+            fleet.restore_store()
             await asyncio.sleep(3.0)
             entry = fleet.withdraw('engine-4')
             await fleet.load('letter', GAP_S, for_s=1.0)
-            fleet.announce(entry)
+            fleet.register(entry)
             await fleet.load('letter', GAP_S, for_s=4.0)
 
-        self.check_left(self.play(work))
+        self.check_left(self.run_scenario(work))
--- a/packages/daemon/calicopathd/gateway/tests/limit_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/limit_tests.py
@@ -32,15 +32,15 @@
 
 
 class LimitCase(VirtualCase):
-    def play(
-        self, work: Callable[[NoticeFleet], Awaitable[None]], *, count: int = 8
+    def run_scenario(
+        self, steps: Callable[[NoticeFleet], Awaitable[None]], *, count: int = 8
     ) -> NoticeFleet:
         """Run boxes and do some work with them."""
 
         async def scenario() -> NoticeFleet:
             fleet = NoticeFleet(count=count)
             await fleet.start()
-            await work(fleet)
+            await steps(fleet)
             await fleet.stop()
             return fleet
 
@@ -48,7 +48,7 @@
 
     def check_kept(self, fleet: NoticeFleet, per_s: float) -> None:
         """Check that no replica that named a limit got more, and that some did."""
-        worst = fleet.notices.most_after_limits(span_s=SPAN_S, after_s=CONTACT_S, heard_s=HEARD_S)
+        worst = fleet.notices.max_calls_after_limits(span_s=SPAN_S, limit_grace_s=CONTACT_S, notice_grace_s=HEARD_S)
         self.assertNotEqual({}, worst)
         most = SURPLUS_SHARE * SPAN_S * per_s + SURPLUS
         self.assertEqual({}, {name: count for name, count in worst.items() if count > most})
@@ -61,65 +61,65 @@
 class Kept(LimitCase):
     def test_an_engine_that_names_a_limit_gets_no_more_than_that(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.limit(1.0, 'engine-4')
+            fleet.advertise_limit(1.0, 'engine-4')
             await fleet.load('letter', GAP_S, for_s=10.0)
 
-        self.check_kept(self.play(work), 1.0)
+        self.check_kept(self.run_scenario(work), 1.0)
 
     def test_a_plain_services_replica_that_names_a_limit_gets_no_more(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.limit(1.0, 'desk-north', 'desk-south')
+            fleet.advertise_limit(1.0, 'desk-north', 'desk-south')
             await fleet.load('read', GAP_S, for_s=10.0)
 
-        self.check_kept(self.play(work), 1.0)
+        self.check_kept(self.run_scenario(work), 1.0)
 
     def test_a_stages_replica_that_names_a_limit_gets_no_more(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.limit(0.5, 'look-north')
+            fleet.advertise_limit(0.5, 'look-north')
             await fleet.load('draft', 0.1, for_s=12.0)
 
-        self.check_kept(self.play(work), 0.5)
+        self.check_kept(self.run_scenario(work), 0.5)
 
     def test_all_replicas_of_a_service_at_once(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.limit(1.0, *DESKS, 'engine-north', 'engine-south', *ENGINES)
+            fleet.advertise_limit(1.0, *DESKS, 'engine-north', 'engine-south', *ENGINES)
             for _ in range(10):
                 await fleet.load('read', GAP_S, for_s=0.5)
                 await fleet.load('letter', GAP_S, for_s=0.5)
 
-        self.check_kept(self.play(work), 1.0)
+        self.check_kept(self.run_scenario(work), 1.0)
 
     def test_with_twenty_boxes(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.limit(0.5, 'engine-4', 'desk-2', 'desk-3')
+            fleet.advertise_limit(0.5, 'engine-4', 'desk-2', 'desk-3')
             for _ in range(10):
                 await fleet.load('read', GAP_S, for_s=0.5)
                 await fleet.load('letter', GAP_S, for_s=0.5)
 
-        self.check_kept(self.play(work, count=20), 0.5)
+        self.check_kept(self.run_scenario(work, count=20), 0.5)
 
     def test_the_box_that_schedules_is_lost_meanwhile(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.limit(1.0, 'engine-4', 'desk-north', 'desk-south', 'look-north')
+            fleet.advertise_limit(1.0, 'engine-4', 'desk-north', 'desk-south', 'look-north')
             await fleet.load('letter', GAP_S, for_s=4.0)
             for name in ('box-0', 'box-1'):
                 fleet.kill(name)
                 await fleet.load('letter', GAP_S, for_s=2.0)
                 await fleet.load('read', GAP_S, for_s=2.0)
 
-        self.check_kept(self.play(work), 1.0)
+        self.check_kept(self.run_scenario(work), 1.0)
 
     def test_a_limit_that_falls_is_kept_to(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.limit(20.0, 'engine-4', 'desk-north')
+            fleet.advertise_limit(20.0, 'engine-4', 'desk-north')
             await fleet.load('letter', GAP_S, for_s=2.0)
             await fleet.load('read', GAP_S, for_s=2.0)
             fleet.notices.arrivals.clear()
-            fleet.limit(0.5, 'engine-4', 'desk-north')
+            fleet.advertise_limit(0.5, 'engine-4', 'desk-north')
             await fleet.load('letter', GAP_S, for_s=8.0)
             await fleet.load('read', GAP_S, for_s=8.0)
 
-        self.check_kept(self.play(work), 0.5)
+        self.check_kept(self.run_scenario(work), 0.5)
 
 
 class Views(LimitCase):
@@ -138,7 +138,7 @@
             await asyncio.sleep(ENFORCEMENT_DELAY_S)
             sinks = []
             for _ in range(20):
-                sinks.append(fleet.ask('box-3', 'draft'))
+                sinks.append(fleet.send_request('box-3', 'draft'))
                 await asyncio.sleep(0.2)
             await fleet.settle()
             self.assertEqual(20, self.served(sinks))
@@ -147,7 +147,7 @@
             pieces = sum(len(calls) for _, calls in fleet.stages.calls)
             self.assertEqual(20 * 3, pieces)
 
-        self.play(work, count=4)
+        self.run_scenario(work, count=4)
 
     def test_what_one_box_is_told_all_know_and_a_box_that_starts(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
@@ -155,14 +155,14 @@
             box = fleet.boxes['box-5'].box
             box.gate.on_notice(box.replicas.replicas['desk-2'], Notice(limit_per_s=2.0))
             await asyncio.sleep(1.0)
-            fleet.store_answers()
-            await fleet.add('box-new', 'north').start()
+            fleet.restore_store()
+            await fleet.add_box('box-new', 'north').start()
             await asyncio.sleep(3.0)
             limits = [item.box.notices.limits for item in fleet.boxes.values()]
             rates = [item.rate_of(box.replicas.replicas['desk-2']) for item in limits]
             self.assertEqual([2.0] * 9, rates)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_a_service_that_limits_as_a_whole_costs_each_box_little(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
@@ -179,7 +179,7 @@
             # 24 KB/s is all that a box may spend on control, pings included.
             self.assertLess(sent / 2.0, 24_000)
 
-        self.play(work, count=20)
+        self.run_scenario(work, count=20)
 
     def hear(self, fleet: NoticeFleet, name: str, replica: str, per_s: float) -> None:
         """Have a box hear of a limit in an answer."""
@@ -194,18 +194,18 @@
 class Served(LimitCase):
     def test_what_others_can_run_is_not_refused(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.limit(1.0, 'engine-4', 'engine-5', 'desk-2', 'look-north')
+            fleet.advertise_limit(1.0, 'engine-4', 'engine-5', 'desk-2', 'look-north')
             sinks = []
             for kind in ('letter', 'read', 'pay', 'draft', 'letter', 'read') * 40:
                 sinks += await fleet.load(kind, GAP_S, for_s=GAP_S)
             await fleet.settle()
             self.assertEqual([], [sink.reason for sink in sinks if sink.status != 200])
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_with_every_replica_limited_what_they_take_is_used(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.limit(2.0, *DESKS, 'engine-north', 'engine-south', *ENGINES)
+            fleet.advertise_limit(2.0, *DESKS, 'engine-north', 'engine-south', *ENGINES)
             await fleet.load('read', GAP_S, for_s=2.0)
             desks = await fleet.load('read', GAP_S, for_s=8.0)
             engines = await fleet.load('letter', GAP_S, for_s=8.0)
@@ -213,11 +213,11 @@
             self.assertGreater(self.served(desks), 0.7 * 2.0 * len(DESKS) * 8.0)
             self.assertGreater(self.served(engines), 0.7 * 2.0 * 9 * 8.0)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_what_exceeds_all_limits_is_refused_at_once_with_when_to_come_back(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.limit(0.5, *DESKS, 'engine-north', 'engine-south', *ENGINES)
+            fleet.advertise_limit(0.5, *DESKS, 'engine-north', 'engine-south', *ENGINES)
             for kind in ('read', 'letter'):
                 await fleet.load(kind, GAP_S, for_s=4.0)
                 await fleet.settle()
@@ -230,25 +230,25 @@
                 await fleet.settle()
                 self.assertLess(asyncio.get_running_loop().time() - asked_at, 9.0)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_what_gets_a_permit_has_time_left_to_run(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.limit(2.0, *DESKS)
+            fleet.advertise_limit(2.0, *DESKS)
             await fleet.load('read', GAP_S, for_s=8.0)
             await fleet.settle()
-            waits = [item.at - item.asked_at for item in fleet.notices.arrivals]
+            waits = [item.at - item.requested_at for item in fleet.notices.arrivals]
             # The route gives a request 1 s.
             self.assertLess(max(waits), 0.6)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_once_no_limit_is_named_all_is_served_again(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.limit(1.0, *DESKS, 'engine-north', 'engine-south', *ENGINES)
+            fleet.advertise_limit(1.0, *DESKS, 'engine-north', 'engine-south', *ENGINES)
             await fleet.load('read', GAP_S, for_s=4.0)
             await fleet.load('letter', GAP_S, for_s=4.0)
-            fleet.unlimit(*DESKS, 'engine-north', 'engine-south', *ENGINES)
+            fleet.clear_limit(*DESKS, 'engine-north', 'engine-south', *ENGINES)
             await fleet.load('read', GAP_S, for_s=2.0)
             await fleet.load('letter', GAP_S, for_s=2.0)
             await fleet.settle()
@@ -257,19 +257,19 @@
             await fleet.settle()
             self.assertEqual(len(sinks), self.served(sinks))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_one_that_takes_nothing_is_asked_now_and_then_whether_that_holds(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.limit(0.0, 'engine-4', *DESKS)
+            fleet.advertise_limit(0.0, 'engine-4', *DESKS)
             await fleet.load('letter', GAP_S, for_s=8.0)
             await fleet.load('read', GAP_S, for_s=8.0)
             fleet.notices.arrivals.clear()
-            fleet.unlimit('engine-4', *DESKS)
+            fleet.clear_limit('engine-4', *DESKS)
             await fleet.load('letter', GAP_S, for_s=12.0)
             await fleet.load('read', GAP_S, for_s=12.0)
             reached = [item.replica for item in fleet.notices.arrivals]
             self.assertGreater(reached.count('engine-4'), 10)
             self.assertGreater(sum(name in DESKS for name in reached), 100)
 
-        self.play(work)
+        self.run_scenario(work)
--- a/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/notice_knowledge_tests.py
@@ -20,8 +20,8 @@
 
 
 class KnowledgeCase(VirtualCase):
-    def play(
-        self, work: Callable[[NoticeFleet], Awaitable[None]], *, count: int = 4
+    def run_scenario(
+        self, steps: Callable[[NoticeFleet], Awaitable[None]], *, count: int = 4
     ) -> NoticeFleet:
         """Run boxes that the store does not answer, and do some work with them."""
 
@@ -29,7 +29,7 @@
             fleet = NoticeFleet(count=count)
             await fleet.start()
             fleet.silence_store()
-            await work(fleet)
+            await steps(fleet)
             await fleet.stop()
             return fleet
 
@@ -60,7 +60,7 @@
             await asyncio.sleep(1.0)
             self.assertEqual(set(fleet.boxes), self.knowing(fleet, 'engine-4'))
 
-        self.play(work, count=12)
+        self.run_scenario(work, count=12)
 
     def test_the_box_that_places_knows_at_once(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
@@ -71,7 +71,7 @@
                 self.assertIn('box-0', self.knowing(fleet, name))
                 await asyncio.sleep(0.033)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_it_is_known_where_many_messages_are_lost(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
@@ -82,18 +82,18 @@
             await asyncio.sleep(1.0)
             self.assertEqual(set(fleet.boxes), self.knowing(fleet, 'engine-4'))
 
-        self.play(work, count=8)
+        self.run_scenario(work, count=8)
 
     def test_a_box_that_starts_is_told(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
             self.hear(fleet, 'box-1', 'engine-4', LEAVES)
             await asyncio.sleep(0.5)
-            fleet.store_answers()
-            await fleet.add('box-new', 'north').start()
+            fleet.restore_store()
+            await fleet.add_box('box-new', 'north').start()
             await asyncio.sleep(3.0)
             self.assertIn('box-new', self.knowing(fleet, 'engine-4'))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_it_outlives_the_box_that_places(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
@@ -104,7 +104,7 @@
             await asyncio.sleep(3.0)
             self.assertEqual(set(fleet.boxes), self.knowing(fleet, 'engine-4'))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_a_service_replaced_as_a_whole_costs_each_box_little(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
@@ -117,7 +117,7 @@
             # 24 KB/s is all that a box may spend on control, pings included.
             self.assertLess(sent / 2.0, 24_000)
 
-        self.play(work, count=20)
+        self.run_scenario(work, count=20)
 
     def bytes_sent(self, fleet: NoticeFleet) -> dict[str, int]:
         """Return what each box has sent to peers so far."""
@@ -128,7 +128,7 @@
     def test_what_is_placed_and_not_sent_goes_elsewhere_and_costs_no_retry(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
             box = self.box(fleet, 'box-3')
-            sink = fleet.ask('box-3', 'letter')
+            sink = fleet.send_request('box-3', 'letter')
             await asyncio.sleep(0.0015)
             engines = [item for item in box.replicas.replicas.values() if item.service == 'engine']
             for item in engines[1:]:
@@ -140,12 +140,12 @@
                 0, len(box.executor.context.retry_budgets.for_service('engine').retries)
             )
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_a_stream_that_breaks_goes_on_elsewhere(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
             fleet.replicas.faults['*'] = ['break:3']
-            sink = fleet.ask('box-1', 'draft')
+            sink = fleet.send_request('box-1', 'draft')
             while not fleet.notices.arrivals:
                 await asyncio.sleep(0.001)
             await asyncio.sleep(0.05)
@@ -158,31 +158,31 @@
             self.assertNotIn(first, [later[-1].replica])
             self.assertFalse(later[-1].replica in {f'engine-{n}' for n in range(2, 6)})
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_a_request_whose_other_replicas_all_leave_is_refused_at_once(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
             for name in ('desk-north', 'desk-south', 'desk-2', 'desk-3'):
                 self.hear(fleet, 'box-1', name, LEAVES)
             for kind in ('read', 'pay'):
-                sink = fleet.ask('box-1', kind)
+                sink = fleet.send_request('box-1', kind)
                 await asyncio.sleep(0.01)
                 self.assertEqual((503, 'no-endpoint'), (sink.status, sink.reason))
             self.assertEqual([], fleet.notices.arrivals)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_with_all_engines_leaving_a_stream_is_refused_at_once(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
             for item in list(self.box(fleet, 'box-1').replicas.usable('engine')):
                 self.hear(fleet, 'box-1', item.id, LEAVES)
             await asyncio.sleep(0.5)
-            sink = fleet.ask('box-2', 'letter')
+            sink = fleet.send_request('box-2', 'letter')
             await asyncio.sleep(0.02)
             self.assertEqual(503, sink.status)
             self.assertEqual([], fleet.notices.arrivals)
 
-        self.play(work)
+        self.run_scenario(work)
 
 
 class Backoffs(KnowledgeCase):
@@ -194,7 +194,7 @@
             self.assertEqual(Exclusion.BACKOFF, bars.pop('box-1'))
             self.assertEqual({None}, set(bars.values()))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def bar(self, fleet: NoticeFleet, name: str, replica: str) -> Exclusion | None:
         """Return why a box would not call a replica."""
@@ -215,7 +215,7 @@
             held = scheduler.scheduler.engine_pools.backoffs.of_box('box-3:7', now)
             self.assertEqual({'engine-4', 'engine-5'}, set(held))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_a_suspension_counts_as_time(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
@@ -223,7 +223,7 @@
             self.box(fleet, 'box-1').clock.suspended_s += PAUSE_S + 1.0
             self.assertIsNone(self.bar(fleet, 'box-1', 'desk-2'))
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_an_answer_without_a_wish_ends_none(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
@@ -231,4 +231,4 @@
             self.hear(fleet, 'box-1', 'desk-2', EMPTY_NOTICE)
             self.assertEqual(Exclusion.BACKOFF, self.bar(fleet, 'box-1', 'desk-2'))
 
-        self.play(work)
+        self.run_scenario(work)
--- a/packages/daemon/calicopathd/gateway/tests/relaying_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/relaying_tests.py
@@ -123,7 +123,7 @@
             gone = replicas()[0].id
             fleet.store.records[RecordKind.REPLICA].pop(gone)
             fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(9))
-            fleet.store.forget_history()
+            fleet.store.drop_history()
             await asyncio.sleep(2.5)
             self.assertEqual({9}, versions(fleet))
             for box in fleet.boxes.values():
@@ -141,7 +141,7 @@
                 box.store.silent = True
             await asyncio.sleep(2.0)
             fleet.kill('box-9')
-            again = fleet.add('box-9', 'south')
+            again = fleet.add_box('box-9', 'south')
             again.store.silent = True
             await again.start(register=False)
             await asyncio.sleep(2.5)
--- a/packages/daemon/calicopathd/gateway/tests/reloading_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/reloading_tests.py
@@ -16,7 +16,7 @@
 from calicopathd.gateway import reloading
 from calicopathd.gateway.reloading import SettingsFile
 from testkit.gateway import settings
-from testkit.gateway_world import TERMS
+from testkit.gateway_world import RETRY_BUDGET_TERMS
 from testkit.virtual import VirtualClock, run_virtual
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
 
     from calicopathd.gateway.settings import GatewaySettings
 
-WIDER = TERMS._replace(slack=TERMS.slack + 7)
+WIDER = RETRY_BUDGET_TERMS._replace(slack=RETRY_BUDGET_TERMS.slack + 7)
 
 
 class Files(testtools.TestCase):
--- a/packages/daemon/calicopathd/gateway/tests/replaced_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/replaced_tests.py
@@ -20,14 +20,14 @@
 
 
 class Replaced(VirtualCase):
-    def play(self, work: Callable[[NoticeFleet], Awaitable[None]]) -> NoticeFleet:
+    def run_scenario(self, steps: Callable[[NoticeFleet], Awaitable[None]]) -> NoticeFleet:
         """Run boxes that the store does not answer, and do some work with them."""
 
         async def scenario() -> NoticeFleet:
             fleet = NoticeFleet()
             await fleet.start()
             fleet.silence_store()
-            await work(fleet)
+            await steps(fleet)
             await fleet.stop()
             return fleet
 
@@ -42,7 +42,7 @@
             await fleet.settle()
             self.assertEqual([], [sink.reason for sink in sinks if sink.status != 200])
 
-        fleet = self.play(work)
+        fleet = self.run_scenario(work)
         came = Counter(
             item.replica for item in fleet.notices.arrivals if item.notice.from_other_replica
         )
@@ -64,24 +64,24 @@
             fleet.replace('engine-2')
             box = fleet.boxes['box-3'].box
             replica = box.replicas.replicas['engine-2']
-            box.gate.on_notice(replica, fleet.notices.said['engine-2'])
+            box.gate.on_notice(replica, fleet.notices.current['engine-2'])
             await asyncio.sleep(1.0)
             bars = {item.box.gate.exclusion_of(replica) for item in fleet.boxes.values()}
             self.assertEqual({Exclusion.GONE}, bars)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_one_that_is_announced_at_another_address_is_called(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            fleet.store_answers()
+            fleet.restore_store()
             box = fleet.boxes['box-0'].box
             replica = box.replicas.replicas['engine-2']
             fleet.replace('engine-2')
-            box.gate.on_notice(replica, fleet.notices.said['engine-2'])
+            box.gate.on_notice(replica, fleet.notices.current['engine-2'])
             await asyncio.sleep(3.0)
-            fleet.announce(replica._replace(address='engine-2:9'))
+            fleet.register(replica._replace(address='engine-2:9'))
             await asyncio.sleep(1.0)
             for item in fleet.boxes.values():
                 self.assertIsNone(item.box.gate.exclusion_of(replica))
 
-        self.play(work)
+        self.run_scenario(work)
--- a/packages/daemon/calicopathd/gateway/tests/restored_store_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/restored_store_tests.py
@@ -36,14 +36,14 @@
 
 
 class RestoredStore(VirtualCase):
-    def play(self, count: int, work: Callable[[NoticeFleet], Awaitable[None]]) -> NoticeFleet:
+    def run_scenario(self, count: int, steps: Callable[[NoticeFleet], Awaitable[None]]) -> NoticeFleet:
         """Run boxes and do some work with them."""
 
         async def scenario() -> NoticeFleet:
             fleet = NoticeFleet(count=count)
             await fleet.start()
             ticking = asyncio.create_task(tick_often(fleet))
-            await work(fleet)
+            await steps(fleet)
             ticking.cancel()
             await fleet.stop()
             return fleet
@@ -63,7 +63,7 @@
             leaving = replica_of('look-north')
             await go_back(fleet, lost=4)
             await asyncio.sleep(1.0)
-            fleet.announce(leaving._replace(draining=True))
+            fleet.register(leaving._replace(draining=True))
             for version in range(10, 10 + others):
                 fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(version))
             await asyncio.sleep(DRAIN_S)
@@ -75,7 +75,7 @@
             called = {name for name, _ in fleet.stages.calls}
             self.assertNotIn(leaving.id, called)
 
-        self.play(count, work)
+        self.run_scenario(count, work)
 
     def test_a_configuration_acknowledged_after_the_return_is_in_force_in_time(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
@@ -85,15 +85,15 @@
             self.assertEqual({90}, versions(fleet))
 
         for count in (FEW, MANY):
-            self.play(count, work)
+            self.run_scenario(count, work)
 
     def test_a_configuration_that_the_copy_lacks_stays_in_force(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            copy = fleet.store.copy()
+            copy = fleet.store.snapshot()
             fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(50))
             await asyncio.sleep(1.0)
             seen: set[int] = set()
-            back = asyncio.create_task(fleet.store.go_back(copy, AWAY_S, again_s=1.0))
+            back = asyncio.create_task(fleet.store.restore(copy, AWAY_S, rewrite_delay_s=1.0))
             while not back.done():
                 await asyncio.sleep(0.05)
                 seen |= versions(fleet)
@@ -101,43 +101,43 @@
             self.assertEqual({50}, seen | versions(fleet))
 
         for count in (FEW, MANY):
-            self.play(count, work)
+            self.run_scenario(count, work)
 
     def test_draining_that_the_copy_lacks_is_not_taken_back(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
             leaving = replica_of('look-north')
-            copy = fleet.store.copy()
-            fleet.announce(leaving._replace(draining=True))
+            copy = fleet.store.snapshot()
+            fleet.register(leaving._replace(draining=True))
             await asyncio.sleep(DRAIN_S)
             fleet.stages.calls.clear()
-            back = asyncio.create_task(fleet.store.go_back(copy, AWAY_S, again_s=3.0))
+            back = asyncio.create_task(fleet.store.restore(copy, AWAY_S, rewrite_delay_s=3.0))
             await fleet.load('draft', 0.2, for_s=AWAY_S + 6.0)
             await back
             self.assertNotIn(leaving.id, {name for name, _ in fleet.stages.calls})
 
         for count in (FEW, MANY):
-            self.play(count, work)
+            self.run_scenario(count, work)
 
     def test_a_replica_that_is_gone_is_not_back_because_the_copy_holds_it(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            copy = fleet.store.copy()
+            copy = fleet.store.snapshot()
             gone = fleet.withdraw('look-north')
             await asyncio.sleep(DRAIN_S)
             fleet.stages.calls.clear()
-            back = asyncio.create_task(fleet.store.go_back(copy, AWAY_S, again_s=3.0))
+            back = asyncio.create_task(fleet.store.restore(copy, AWAY_S, rewrite_delay_s=3.0))
             await fleet.load('draft', 0.2, for_s=AWAY_S + 6.0)
             await back
             self.assertNotIn(gone.id, {name for name, _ in fleet.stages.calls})
 
         for count in (FEW, MANY):
-            self.play(count, work)
+            self.run_scenario(count, work)
 
     def test_a_zone_taken_out_since_the_copy_stays_out_until_it_is_written_again(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            copy = fleet.store.copy()
-            fleet.take_out('north')
+            copy = fleet.store.snapshot()
+            fleet.evacuate('north')
             await asyncio.sleep(DRAIN_S)
-            back = asyncio.create_task(fleet.store.go_back(copy, AWAY_S, again_s=4.0))
+            back = asyncio.create_task(fleet.store.restore(copy, AWAY_S, rewrite_delay_s=4.0))
             while not back.done():
                 await asyncio.sleep(0.1)
                 for box in fleet.boxes.values():
@@ -147,51 +147,51 @@
                 self.assertEqual({'north'}, box.box.replicas.evacuated)
 
         for count in (FEW, MANY):
-            self.play(count, work)
+            self.run_scenario(count, work)
 
     def test_a_zone_that_nobody_takes_out_again_is_given_back(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            copy = fleet.store.copy()
-            fleet.take_out('north')
+            copy = fleet.store.snapshot()
+            fleet.evacuate('north')
             await asyncio.sleep(DRAIN_S)
-            await fleet.store.go_back(copy, AWAY_S, again_s=2 * KEEP_MISSING_S)
-            fleet.give_back('north')
+            await fleet.store.restore(copy, AWAY_S, rewrite_delay_s=2 * KEEP_MISSING_S)
+            fleet.end_evacuation('north')
             await asyncio.sleep(DRAIN_S)
             for box in fleet.boxes.values():
                 self.assertEqual(frozenset(), box.box.replicas.evacuated)
 
         for count in (FEW, MANY):
-            self.play(count, work)
+            self.run_scenario(count, work)
 
     def test_a_live_replica_that_the_copy_brings_back_is_called_again(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            copy = fleet.store.copy()
+            copy = fleet.store.snapshot()
             entry = fleet.withdraw('look-north')
             await asyncio.sleep(DRAIN_S)
             fleet.store.log = [item for item in fleet.store.log if item[2].name != entry.id]
-            await fleet.store.go_back(copy, AWAY_S)
+            await fleet.store.restore(copy, AWAY_S)
             await asyncio.sleep(settings('box-0', 'north').replica_lapse_s + APPLY_S)
             for box in fleet.boxes.values():
                 self.assertIn(entry, box.box.replicas.usable('look'))
 
         for count in (FEW, MANY):
-            self.play(count, work)
+            self.run_scenario(count, work)
 
     def test_replicas_announced_since_the_copy_go_on_being_called(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
             for name in ('desk-north', 'desk-south', 'desk-2', 'desk-3'):
                 fleet.withdraw(name)
-            copy = fleet.store.copy()
-            fleet.announce(replica_of('desk-north')._replace(id='desk-new', address='desk-new:1'))
+            copy = fleet.store.snapshot()
+            fleet.register(replica_of('desk-north')._replace(id='desk-new', address='desk-new:1'))
             await asyncio.sleep(1.0)
-            back = asyncio.create_task(fleet.store.go_back(copy, AWAY_S, again_s=1.5))
+            back = asyncio.create_task(fleet.store.restore(copy, AWAY_S, rewrite_delay_s=1.5))
             sinks = await fleet.load('read', 0.05, for_s=AWAY_S + 4.0)
             await back
             await fleet.settle()
             self.assertEqual([], [sink.reason for sink in sinks if sink.status != 200])
 
         for count in (FEW, MANY):
-            self.play(count, work)
+            self.run_scenario(count, work)
 
     def test_the_store_is_not_asked_more_often_than_it_bears(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
@@ -202,14 +202,14 @@
                 self.assertLess((box.store.calls - before[name]) / 5.0, CALLS_A_SECOND, name)
 
         for count in (FEW, MANY):
-            self.play(count, work)
+            self.run_scenario(count, work)
 
     def test_boxes_that_the_copy_lacks_are_listed_again(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            copy = fleet.store.copy()
-            await fleet.add('box-new', 'north').start()
+            copy = fleet.store.snapshot()
+            await fleet.add_box('box-new', 'north').start()
             await asyncio.sleep(2.0)
-            await fleet.store.go_back(copy, AWAY_S)
+            await fleet.store.restore(copy, AWAY_S)
             await asyncio.sleep(5.0)
             self.assertIn('box-new', fleet.store.records[RecordKind.BOX])
             for box in fleet.boxes.values():
@@ -217,79 +217,79 @@
             self.assertEqual(1, len(fleet.schedulers()))
 
         for count in (FEW, MANY):
-            self.play(count, work)
+            self.run_scenario(count, work)
 
     def test_boxes_of_which_the_copy_holds_an_earlier_life_are_listed_again(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            copy = fleet.store.copy()
+            copy = fleet.store.snapshot()
             fleet.kill('box-1')
-            again = fleet.add('box-1', 'south')
+            again = fleet.add_box('box-1', 'south')
             await again.start()
             await asyncio.sleep(2.0)
-            await fleet.store.go_back(copy, AWAY_S)
+            await fleet.store.restore(copy, AWAY_S)
             await asyncio.sleep(5.0)
             listed = fleet.store.records[RecordKind.BOX]['box-1']
             self.assertEqual(again.box.life, getattr(listed, 'incarnation', ''))
 
         for count in (FEW, MANY):
-            self.play(count, work)
+            self.run_scenario(count, work)
 
     def test_a_box_that_leaves_does_not_list_itself_again(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            copy = fleet.store.copy()
-            leaving = fleet.add('box-new', 'north')
+            copy = fleet.store.snapshot()
+            leaving = fleet.add_box('box-new', 'north')
             await leaving.start()
             await asyncio.sleep(2.0)
             leaving.box.leave()
-            await fleet.store.go_back(copy, AWAY_S)
+            await fleet.store.restore(copy, AWAY_S)
             await asyncio.sleep(5.0)
             self.assertNotIn('box-new', fleet.store.records[RecordKind.BOX])
 
-        self.play(FEW, work)
+        self.run_scenario(FEW, work)
 
     def test_a_box_that_has_left_is_not_listed_because_the_copy_holds_it(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            copy = fleet.store.copy()
+            copy = fleet.store.snapshot()
             gone = fleet.boxes['box-2']
             fleet.kill('box-2')
             await gone.store.withdraw(gone.box.own)
             await asyncio.sleep(1.0)
-            await fleet.store.go_back(copy, AWAY_S)
+            await fleet.store.restore(copy, AWAY_S)
             await asyncio.sleep(APPLY_S)
             self.assertNotIn('box-2', fleet.store.records[RecordKind.BOX])
             for box in fleet.boxes.values():
                 self.assertEqual(len(fleet.boxes), box.box.election.box_count())
 
         for count in (FEW, MANY):
-            self.play(count, work)
+            self.run_scenario(count, work)
 
     def test_relays_that_the_copy_lacks_are_written_down_again(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
             noted = fleet.store.relays
             self.assertTrue(noted)
-            copy = fleet.store.copy()._replace(relays=None)
-            await fleet.store.go_back(copy, AWAY_S)
+            copy = fleet.store.snapshot()._replace(relays=None)
+            await fleet.store.restore(copy, AWAY_S)
             await asyncio.sleep(5.0)
             self.assertEqual(noted, fleet.store.relays)
 
-        self.play(MANY, work)
+        self.run_scenario(MANY, work)
 
     def test_blocked_requests_that_the_copy_lacks_are_kept_again(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
-            copy = fleet.store.copy()
+            copy = fleet.store.snapshot()
             ended = {f'r-{number}': (1.0 + number, 1.0 + number) for number in range(3)}
             evidence = [Evidence('a.b', 'desk', ended, None)]
             for box in fleet.boxes.values():
                 box.box.ledger.merge(evidence, 'test')
             await asyncio.sleep(1.0)
             self.assertEqual(['a.b'], [item.content for item in fleet.store.blocked])
-            await fleet.store.go_back(copy, AWAY_S)
+            await fleet.store.restore(copy, AWAY_S)
             self.assertEqual((), fleet.store.blocked)
             await asyncio.sleep(5.0)
             self.assertEqual(['a.b'], [item.content for item in fleet.store.blocked])
 
         for count in (FEW, MANY):
-            self.play(count, work)
+            self.run_scenario(count, work)
 
     def test_a_box_that_was_cut_off_meanwhile_follows_too(self) -> None:
         async def work(fleet: NoticeFleet) -> None:
@@ -298,7 +298,7 @@
             fleet.network.blocked = lambda source, target: 'box-1:7' in (source, target)
             await go_back(fleet, lost=4)
             leaving = replica_of('look-north')
-            fleet.announce(leaving._replace(draining=True))
+            fleet.register(leaving._replace(draining=True))
             for version in range(20, 30):
                 fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(version))
             await asyncio.sleep(3.0)
@@ -308,7 +308,7 @@
             self.assertEqual({Exclusion.DRAINING}, bars(fleet, leaving))
 
         for count in (FEW, MANY):
-            self.play(count, work)
+            self.run_scenario(count, work)
 
 
 async def tick_often(fleet: NoticeFleet) -> None:
@@ -323,11 +323,11 @@
     """Have the store go back by some configurations, which are not written again yet."""
     for version in range(2, 4):
         fleet.store.write(RecordKind.DEPLOYMENT, 'main', deployment(version))
-    copy = fleet.store.copy()
+    copy = fleet.store.snapshot()
     for number in range(lost):
         fleet.store.write(RecordKind.BOX, f'gone-{number}', None)
     await asyncio.sleep(1.0)
-    await fleet.store.go_back(copy, away_s)
+    await fleet.store.restore(copy, away_s)
 
 
 def replica_of(name: str) -> Replica:
--- a/packages/daemon/calicopathd/gateway/tests/server_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/server_tests.py
@@ -64,7 +64,7 @@
 
 
 class ServerCase(testtools.TestCase):
-    def play(self, work: Callable[[HttpServer, int], Awaitable[Any]]) -> tuple[Any, Echo]:
+    def run_scenario(self, steps: Callable[[HttpServer, int], Awaitable[Any]]) -> tuple[Any, Echo]:
         """Run some work against a server."""
 
         async def scenario() -> tuple[Any, Echo]:
@@ -72,7 +72,7 @@
             server = HttpServer(handler=handler, clock=LoopClock())
             port = await server.start('127.0.0.1', 0)
             try:
-                return await work(server, port), handler
+                return await steps(server, port), handler
             finally:
                 server.close_idle()
                 for connection in list(server.connections):
@@ -90,7 +90,7 @@
             writer.close()
             return found
 
-        return self.play(work)
+        return self.run_scenario(work)
 
 
 class Connections(ServerCase):
@@ -107,7 +107,7 @@
             open_ones[1][1].close()
             return [*found, str(server.turned_away).encode()]
 
-        (turned, served, count), handler = self.play(work)
+        (turned, served, count), handler = self.run_scenario(work)
         self.assertEqual(b'', turned)
         self.assertThat(served, StartsWith(OK))
         self.assertEqual(b'1', count)
@@ -188,7 +188,7 @@
             writer.close()
             await asyncio.sleep(0.05)
 
-        self.assertEqual(1, self.play(work)[1].cancelled)
+        self.assertEqual(1, self.run_scenario(work)[1].cancelled)
 
 
 class Answers(ServerCase):
@@ -209,7 +209,7 @@
             writer.close()
             return found
 
-        found, _ = self.play(work)
+        found, _ = self.run_scenario(work)
         self.assertNotIn(b'0\r\n\r\n', found)
         self.assertIn(found.partition(b'\r\n\r\n')[2], (b'', b'4\r\npart\r\n'))
 
@@ -228,7 +228,7 @@
             resting[1].close()
             return found
 
-        found, _ = self.play(work)
+        found, _ = self.run_scenario(work)
         self.assertThat(found, StartsWith(OK))
         self.assertIn(b'Connection: close', found)
         self.assertThat(found, EndsWith(b'ab'))
--- a/packages/daemon/calicopathd/gateway/tests/starting_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/starting_tests.py
@@ -31,7 +31,7 @@
     async def restarted(self, fleet: GatewayFleet, name: str) -> FleetBox:
         """Kill a box and start it again."""
         fleet.kill(name)
-        again = fleet.add(name, 'south')
+        again = fleet.add_box(name, 'south')
         await again.start()
         return again
 
@@ -81,7 +81,7 @@
             for name in names:
                 fleet.kill(name)
             for name in names:
-                await fleet.add(name, 'south').start()
+                await fleet.add_box(name, 'south').start()
             await asyncio.sleep(0.5)
             self.assertTrue(all(box.box.ready() for box in fleet.boxes.values()))
             asked = sorted(box.store.calls for box in fleet.boxes.values())
@@ -93,7 +93,7 @@
     def test_a_store_that_fails_to_tell_relays_keeps_nobody_from_starting(self) -> None:
         async def scenario() -> None:
             fleet = await self.started()
-            again = fleet.add('box-new', 'south')
+            again = fleet.add_box('box-new', 'south')
             unread = mock.AsyncMock(side_effect=FleetStoreError('unread'))
             with mock.patch.object(again.store, 'read_relays', unread):
                 await again.start()
--- a/packages/daemon/calicopathd/http/tests/callers_tests.py
+++ b/packages/daemon/calicopathd/http/tests/callers_tests.py
@@ -9,8 +9,8 @@
 import testtools
 
 from calicopath_core.store.view import ViewUpdate
-from testkit.callers import new_key, read_events
-from testkit.daemon import Surroundings, running_box
+from testkit.callers import new_idempotency_key, read_events
+from testkit.daemon import BoxStandIns, running_box
 from testkit.world import uuid7
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
 
 
 async def post_request(
-    around: Surroundings, path: str, body: Any, key: str | None = None
+    around: BoxStandIns, path: str, body: Any, key: str | None = None
 ) -> Answer:
     """Post a request body, as JSON unless it is bytes."""
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
@@ -47,7 +47,7 @@
 
 class CallersCase(testtools.TestCase):
     def with_box(
-        self, work: Callable[[BoxRunner, Surroundings], Awaitable[None]], **flags: str
+        self, work: Callable[[BoxRunner, BoxStandIns], Awaitable[None]], **flags: str
     ) -> None:
         """Run `work` against a running box that has these settings."""
 
@@ -60,7 +60,7 @@
 
 class Answers(CallersCase):
     def test_an_answer_in_one_piece_has_stages_and_digest(self) -> None:
-        async def work(runner: BoxRunner, around: Surroundings) -> None:
+        async def work(runner: BoxRunner, around: BoxStandIns) -> None:
             answer = await post_request(around, PATH + 'answer/requests', {'input': 'ਕਿੱਥੇ? پھاٹک'})
             self.assertEqual(200, answer.status)
             self.assertTrue(answer.json['output'].startswith('ਕਿੱਥੇ? پھاٹک —'))
@@ -72,7 +72,7 @@
         self.with_box(work)
 
     def test_a_stream_ends_with_the_whole_answer(self) -> None:
-        async def work(runner: BoxRunner, around: Surroundings) -> None:
+        async def work(runner: BoxRunner, around: BoxStandIns) -> None:
             body = {'input': 'Напомняне 🚤', 'stream': True}
             answer = await post_request(around, PATH + 'answer/requests', body)
             self.assertEqual('text/event-stream', answer.headers['Content-Type'])
@@ -82,7 +82,7 @@
         self.with_box(work)
 
     def test_a_stream_that_cannot_be_resumed_ends_marked_as_broken(self) -> None:
-        async def work(runner: BoxRunner, around: Surroundings) -> None:
+        async def work(runner: BoxRunner, around: BoxStandIns) -> None:
             runner.box.executor.context.budget.tokens = 0
             around.engine.cut_after = 3
             body = {'input': 'Where may we moor?', 'stream': True}
@@ -95,8 +95,8 @@
         self.with_box(work)
 
     def test_a_repeated_request_is_answered_from_the_store(self) -> None:
-        async def work(runner: BoxRunner, around: Surroundings) -> None:
-            key = new_key()
+        async def work(runner: BoxRunner, around: BoxStandIns) -> None:
+            key = new_idempotency_key()
             first = await post_request(around, PATH + 'act/requests', {'input': 'charge'}, key)
             await asyncio.gather(*runner.box.executor.late)
             again = await post_request(around, PATH + 'act/requests', {'input': 'charge'}, key)
@@ -110,7 +110,7 @@
 
 class BadInput(CallersCase):
     def test_each_kind_of_bad_request_has_its_status_and_the_box_keeps_serving(self) -> None:
-        async def work(runner: BoxRunner, around: Surroundings) -> None:
+        async def work(runner: BoxRunner, around: BoxStandIns) -> None:
             good = {'input': 'x'}
             cases: list[tuple[str, Any, int]] = [
                 ('/v1/workspaces/nowhere/pipelines/answer/requests', good, 404),
@@ -143,7 +143,7 @@
         self.with_box(work, max_body_bytes='4096')
 
     def test_a_field_given_twice_is_refused_and_named(self) -> None:
-        async def work(runner: BoxRunner, around: Surroundings) -> None:
+        async def work(runner: BoxRunner, around: BoxStandIns) -> None:
             body = b'{"input": "moor here?", "input": "or there?"}'
             answer = await post_request(around, PATH + 'answer/requests', body)
             self.assertEqual(400, answer.status)
@@ -153,7 +153,7 @@
         self.with_box(work)
 
     def test_oversized_headers_and_oversized_bodies_have_different_problem_types(self) -> None:
-        async def work(runner: BoxRunner, around: Surroundings) -> None:
+        async def work(runner: BoxRunner, around: BoxStandIns) -> None:
             path = f'{around.url}{PATH}answer/requests'
             large = {'X-Large': 'x' * 30_000}
             async with around.session.post(path, json={'input': 'x'}, headers=large) as answer:
@@ -166,7 +166,7 @@
         self.with_box(work, max_body_bytes='4096')
 
     def test_problems_are_named_in_plain_words_and_no_header_is_empty(self) -> None:
-        async def work(runner: BoxRunner, around: Surroundings) -> None:
+        async def work(runner: BoxRunner, around: BoxStandIns) -> None:
             unknown = await post_request(around, '/v1/else', {'input': 'x'})
             self.assertEqual('urn:calicopath:problem:unknown-path', unknown.json['type'])
             answer = await post_request(around, PATH + 'answer/requests', {'input': 'x'})
@@ -176,7 +176,7 @@
         self.with_box(work)
 
     def test_a_refusal_names_no_internal_address_and_has_a_retry_time(self) -> None:
-        async def work(runner: BoxRunner, around: Surroundings) -> None:
+        async def work(runner: BoxRunner, around: BoxStandIns) -> None:
             for name, entry in list(runner.box.view.entries.items()):
                 if name.startswith('config/endpoints/') and entry.spec is not None:
                     spec = entry.spec | {'address': 'http://127.0.0.1:9'}
@@ -191,9 +191,9 @@
         self.with_box(work)
 
     def test_a_refusal_has_a_retry_time(self) -> None:
-        async def work(runner: BoxRunner, around: Surroundings) -> None:
+        async def work(runner: BoxRunner, around: BoxStandIns) -> None:
             around.platform.faults.down = True
-            answer = await post_request(around, PATH + 'act/requests', {'input': 'x'}, new_key())
+            answer = await post_request(around, PATH + 'act/requests', {'input': 'x'}, new_idempotency_key())
             self.assertEqual(503, answer.status)
             self.assertEqual('2', answer.headers['Retry-After'])
             self.assertEqual('refused-not-run', answer.json['outcome'])
@@ -201,7 +201,7 @@
         self.with_box(work)
 
     def test_a_pipeline_whose_template_is_gone_is_refused_as_not_run(self) -> None:
-        async def work(runner: BoxRunner, around: Surroundings) -> None:
+        async def work(runner: BoxRunner, around: BoxStandIns) -> None:
             runner.box.view.apply(ViewUpdate('config/templates/answer', 999, None))
             answer = await post_request(around, PATH + 'answer/requests', {'input': 'x'})
             self.assertEqual(503, answer.status)
@@ -211,7 +211,7 @@
         self.with_box(work)
 
     def test_an_internal_error_is_not_reported_as_a_refusal(self) -> None:
-        async def work(runner: BoxRunner, around: Surroundings) -> None:
+        async def work(runner: BoxRunner, around: BoxStandIns) -> None:
             runner.box.executor = None  # type: ignore[assignment]
             answer = await post_request(around, PATH + 'answer/requests', {'input': 'x'})
             self.assertEqual(500, answer.status)
@@ -220,7 +220,7 @@
         self.with_box(work)
 
     def test_a_key_made_long_ago_is_accepted_while_no_newer_claim_was_deleted(self) -> None:
-        async def work(runner: BoxRunner, around: Surroundings) -> None:
+        async def work(runner: BoxRunner, around: BoxStandIns) -> None:
             key = uuid7(1_700_000_000.0)
             answer = await post_request(around, PATH + 'act/requests', {'input': 'x'}, key)
             self.assertEqual(200, answer.status)
@@ -232,7 +232,7 @@
     def test_boxes_with_the_same_seed_never_share_an_identifier(self) -> None:
         found: list[str] = []
 
-        async def work(runner: BoxRunner, around: Surroundings) -> None:
+        async def work(runner: BoxRunner, around: BoxStandIns) -> None:
             found.extend(runner.box.new_id() for _ in range(100))
 
         self.with_box(work, seed='7')
@@ -242,7 +242,7 @@
 
 class Operations(CallersCase):
     def test_a_leaving_box_is_not_ready_and_refuses_as_not_run(self) -> None:
-        async def work(runner: BoxRunner, around: Surroundings) -> None:
+        async def work(runner: BoxRunner, around: BoxStandIns) -> None:
             await runner.leave()
             async with around.session.get(around.url + '/readyz') as answer:
                 self.assertEqual(503, answer.status)
@@ -253,7 +253,7 @@
         self.with_box(work)
 
     def test_an_isolated_box_takes_no_new_requests(self) -> None:
-        async def work(runner: BoxRunner, around: Surroundings) -> None:
+        async def work(runner: BoxRunner, around: BoxStandIns) -> None:
             box = runner.box
             box.gossip.members.expects_others = True
             self.assertTrue(box.may_serve())
@@ -265,7 +265,7 @@
         self.with_box(work)
 
     def test_metrics_health_status_and_versions_are_served(self) -> None:
-        async def work(runner: BoxRunner, around: Surroundings) -> None:
+        async def work(runner: BoxRunner, around: BoxStandIns) -> None:
             await post_request(around, PATH + 'answer/requests', {'input': 'x'})
             async with around.session.get(around.url + '/metrics') as answer:
                 text = await answer.text()
--- a/packages/daemon/calicopathd/tests/transport_tests.py
+++ b/packages/daemon/calicopathd/tests/transport_tests.py
@@ -9,7 +9,7 @@
 from calicopathd.config.options import Address
 from calicopathd.exceptions import StartError
 from calicopathd.peers.zmq_transport import MAX_CONNECTIONS, SEND_QUEUE_MESSAGES, ZmqTransport
-from testkit.servers import listening
+from testkit.servers import serve_connections
 
 CHUNK = 65536
 ANY_PORT = Address('127.0.0.1', 0)
@@ -66,7 +66,7 @@
             receiver.listen(received.put_nowait)
             task = asyncio.create_task(receiver.run())
             proxy = SilencingProxy(port=receiver.port)
-            async with listening(proxy.handle) as address:
+            async with serve_connections(proxy.handle) as address:
                 sender.send(address, b'before')
                 found = [await received.get()]
                 proxy.silence()
--- a/testkit/callers.py
+++ b/testkit/callers.py
@@ -40,7 +40,7 @@
         return 'refused' if self.body.get('outcome') == 'refused-not-run' else 'failed'
 
 
-def new_key() -> str:
+def new_idempotency_key() -> str:
     """Return an idempotency key: a UUID of version 7, which holds the time it was made."""
     time_ms = time.time_ns() // 1_000_000
     random_bits = uuid.uuid4().int & ((1 << 76) - 1)
--- a/testkit/cases.py
+++ b/testkit/cases.py
@@ -17,6 +17,6 @@
 class VirtualCase(testtools.TestCase):
     """Run coroutines on virtual time."""
 
-    def run_virtual(self, work: Coroutine[Any, Any, T]) -> T:
+    def run_virtual(self, coroutine: Coroutine[Any, Any, T]) -> T:
         """Return what a coroutine returns."""
-        return run_virtual(work)
+        return run_virtual(coroutine)
--- a/testkit/crashing.py
+++ b/testkit/crashing.py
@@ -24,14 +24,14 @@
 CRASH_AFTER_S = 0.1
 """How long a run lasts that ends its replica."""
 
-BACK_AFTER_S = 3.5
+REPLACED_AFTER_S = 3.5
 """When another replica stands at the address of one that has ended."""
 
-LAPSE_S = 3.6
+ENTRY_EXPIRY_S = 3.6
 """When the entry of a replica that has ended lapses in the store: three heartbeats of 1.2 s."""
 
-HEAD_S = 0.01
-REACH_S = 0.3
+RESPONSE_HEAD_S = 0.01
+PROBE_TIMEOUT_S = 0.3
 
 
 class Arrival:
@@ -44,35 +44,35 @@
         self.at = at
 
 
-class BreakingAnswer(FakeBody):
+class CrashableBody(FakeBody):
     """Break as soon as its replica ends."""
 
-    def __init__(self, *, head: AnswerHead, body: bytes, ended: asyncio.Event) -> None:
+    def __init__(self, *, head: AnswerHead, body: bytes, crashed: asyncio.Event) -> None:
         super().__init__(head=head, body=body)
-        self.ended = ended
+        self.crashed = crashed
 
     async def read(self) -> bytes | None:
         """Return the body; raise `ConnectionBroken` if the replica has ended."""
-        if self.ended.is_set():
+        if self.crashed.is_set():
             raise ConnectionBroken('the connection was lost: None')
         return await super().read()
 
 
-class BreakingStream(FakeStream):
+class CrashableStream(FakeStream):
     """Give events until the replica ends."""
 
     def __init__(
-        self, *, engine: FakeReplicas, outbound: OutboundRequest, ended: asyncio.Event, gap_s: float
+        self, *, engine: FakeReplicas, outbound: OutboundRequest, crashed: asyncio.Event, event_gap_s: float
     ) -> None:
         super().__init__(engine=engine, outbound=outbound, status=200, break_after=None)
-        self.ended = ended
-        self.gap_s = gap_s
+        self.crashed = crashed
+        self.event_gap_s = event_gap_s
 
     async def read(self) -> bytes | None:
         """Return the next event; raise `ConnectionBroken` as soon as the replica has ended."""
         try:
-            async with asyncio.timeout(self.gap_s):
-                await self.ended.wait()
+            async with asyncio.timeout(self.event_gap_s):
+                await self.crashed.wait()
         except TimeoutError:
             return await super().read()
         raise ConnectionBroken('the connection was lost: None')
@@ -88,32 +88,32 @@
     while their replica lives on. Whatever else runs at a replica that ends breaks with it.
     """
 
-    def __init__(self, *, store: FakeStore, gap_s: float = 0.1) -> None:
+    def __init__(self, *, store: FakeStore, event_gap_s: float = 0.1) -> None:
         super().__init__()
         self.store = store
-        self.gap_s = gap_s
-        self.crashing: set[str] = set()
-        self.resetting: set[str] = set()
+        self.event_gap_s = event_gap_s
+        self.crashing_targets: set[str] = set()
+        self.resetting_targets: set[str] = set()
         self.crashing_bodies: set[bytes] = set()
         self.arrivals: list[Arrival] = []
         self.crashes: list[Arrival] = []
-        self.ended: dict[str, asyncio.Event] = {}
-        self.ended_at: dict[str, float] = {}
-        self.port_closes_s = 0.0
-        self.dark: set[str] = set()
-        self.ends_dark = False
+        self.crash_events: dict[str, asyncio.Event] = {}
+        self.crashed_at: dict[str, float] = {}
+        self.port_close_delay_s = 0.0
+        self.silent: set[str] = set()
+        self.silent_after_crash = False
         self.tasks: set[asyncio.Task[None]] = set()
-        self.lives = itertools.count(1)
+        self.replacement_numbers = itertools.count(1)
 
-    def ended_of(self, replica: Replica) -> asyncio.Event:
+    def crash_event(self, replica: Replica) -> asyncio.Event:
         """Return what tells that a replica has ended."""
-        return self.ended.setdefault(replica.id, asyncio.Event())
+        return self.crash_events.setdefault(replica.id, asyncio.Event())
 
     async def send(self, outbound: OutboundRequest) -> ReplicaAnswer:
         """Run a request; it may end its replica a moment later."""
         replica, exchange = outbound.replica, outbound.exchange
-        ended = self.ended_of(replica)
-        await asyncio.sleep(HEAD_S)
+        ended = self.crash_event(replica)
+        await asyncio.sleep(RESPONSE_HEAD_S)
         if ended.is_set():
             raise NotStarted(f'{replica.address} cannot be reached: connection refused')
         arrival = Arrival(
@@ -123,66 +123,66 @@
             at=asyncio.get_running_loop().time(),
         )
         self.arrivals.append(arrival)
-        if exchange.target in self.resetting:
+        if exchange.target in self.resetting_targets:
             raise ConnectionBroken("the connection was lost: ConnectionResetError(104, 'reset')")
-        if self.crashes_under_it(exchange):
-            self.spawn_end(replica, arrival)
+        if self.is_crashing_request(exchange):
+            self.start_crash(replica, arrival)
         if replica.service == 'engine':
             self.running.add(exchange.call_id)
-            return BreakingStream(engine=self, outbound=outbound, ended=ended, gap_s=self.gap_s)
+            return CrashableStream(engine=self, outbound=outbound, crashed=ended, event_gap_s=self.event_gap_s)
         answer = await super().send(outbound)
-        await asyncio.sleep(2 * CRASH_AFTER_S if exchange.target in self.crashing else 0)
-        return BreakingAnswer(head=answer.head, body=exchange.call_id.encode(), ended=ended)
+        await asyncio.sleep(2 * CRASH_AFTER_S if exchange.target in self.crashing_targets else 0)
+        return CrashableBody(head=answer.head, body=exchange.call_id.encode(), crashed=ended)
 
     async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
         """Return what an attempt to connect shows, at the end of the watch."""
-        await asyncio.sleep(HEAD_S)
-        if replica.id in self.dark:
-            await asyncio.sleep(REACH_S)
+        await asyncio.sleep(RESPONSE_HEAD_S)
+        if replica.id in self.silent:
+            await asyncio.sleep(PROBE_TIMEOUT_S)
             return ProbeResult.SILENT
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + watch_s
-        while not self.is_refused(replica) and loop.time() < ends_at:
-            await asyncio.sleep(HEAD_S)
-        return ProbeResult.REFUSED if self.is_refused(replica) else ProbeResult.OPEN
+        while not self.is_port_closed(replica) and loop.time() < ends_at:
+            await asyncio.sleep(RESPONSE_HEAD_S)
+        return ProbeResult.REFUSED if self.is_port_closed(replica) else ProbeResult.OPEN
 
-    def is_refused(self, replica: Replica) -> bool:
+    def is_port_closed(self, replica: Replica) -> bool:
         """Tell whether a replica's port is closed: it closes after the connections have."""
-        at = self.ended_at.get(replica.id)
-        return at is not None and asyncio.get_running_loop().time() >= at + self.port_closes_s
+        at = self.crashed_at.get(replica.id)
+        return at is not None and asyncio.get_running_loop().time() >= at + self.port_close_delay_s
 
-    def crashes_under_it(self, exchange: Exchange) -> bool:
+    def is_crashing_request(self, exchange: Exchange) -> bool:
         """Tell whether a request ends the replicas that run it."""
-        return exchange.target in self.crashing or exchange.body in self.crashing_bodies
+        return exchange.target in self.crashing_targets or exchange.body in self.crashing_bodies
 
-    def spawn_end(self, replica: Replica, arrival: Arrival) -> None:
+    def start_crash(self, replica: Replica, arrival: Arrival) -> None:
         """End a replica in a moment."""
-        task = asyncio.get_running_loop().create_task(self.end(replica, arrival))
+        task = asyncio.get_running_loop().create_task(self.crash(replica, arrival))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def end(self, replica: Replica, arrival: Arrival) -> None:
+    async def crash(self, replica: Replica, arrival: Arrival) -> None:
         """End a replica; another comes back at its address, and its entry lapses."""
         await asyncio.sleep(CRASH_AFTER_S)
-        ended = self.ended_of(replica)
+        ended = self.crash_event(replica)
         if ended.is_set():
             return
-        self.ended_at[replica.id] = asyncio.get_running_loop().time()
-        if self.ends_dark:
-            self.dark.add(replica.id)
+        self.crashed_at[replica.id] = asyncio.get_running_loop().time()
+        if self.silent_after_crash:
+            self.silent.add(replica.id)
         ended.set()
         self.crashes.append(arrival)
-        await asyncio.sleep(BACK_AFTER_S)
-        name = f'{replica.service}-life-{next(self.lives)}'
+        await asyncio.sleep(REPLACED_AFTER_S)
+        name = f'{replica.service}-life-{next(self.replacement_numbers)}'
         self.store.write(RecordKind.REPLICA, name, replica._replace(id=name))
-        await asyncio.sleep(LAPSE_S - BACK_AFTER_S)
+        await asyncio.sleep(ENTRY_EXPIRY_S - REPLACED_AFTER_S)
         self.store.write(RecordKind.REPLICA, replica.id, None)
 
-    def crashes_under(self, target: str) -> list[float]:
+    def crash_times(self, target: str) -> list[float]:
         """Return when replicas have ended under a request, in order."""
         return sorted(item.at + CRASH_AFTER_S for item in self.crashes if item.target == target)
 
-    def sent_after(self, target: str, at: float) -> int:
+    def count_arrivals_after(self, target: str, at: float) -> int:
         """Return how often a request has reached replicas later than some time."""
         return sum(item.target == target and item.at > at for item in self.arrivals)
 
@@ -193,7 +193,7 @@
     def __init__(self, *, replicas: CrashingReplicas) -> None:
         super().__init__()
         self.replicas = replicas
-        self.crashing: set[str] = set()
+        self.crashing_targets: set[str] = set()
 
     async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
         """Return what an attempt to connect shows."""
@@ -201,23 +201,23 @@
 
     async def run(self, replica: Replica, calls: list[PieceCall]) -> list[PieceResult]:
         """Make one call; break with the replica."""
-        ended = self.replicas.ended_of(replica)
+        ended = self.replicas.crash_event(replica)
         if ended.is_set():
             raise NotStarted(f'{replica.address} cannot be reached: connection refused')
         for call in calls:
-            if call.piece_key in self.crashing:
+            if call.piece_key in self.crashing_targets:
                 now = asyncio.get_running_loop().time()
                 arrival = Arrival(
                     target=call.piece_key, call_id=call.call_id, replica=replica.id, at=now
                 )
                 self.replicas.arrivals.append(arrival)
-                self.replicas.spawn_end(replica, arrival)
+                self.replicas.start_crash(replica, arrival)
         answer = asyncio.ensure_future(super().run(replica, calls))
         broken = asyncio.ensure_future(ended.wait())
         await asyncio.wait({answer, broken}, return_when=asyncio.FIRST_COMPLETED)
         broken.cancel()
         if ended.is_set():
             answer.cancel()
-            self.lose(replica.id)
+            self.lose_results(replica.id)
             raise ConnectionBroken('the connection was lost: None')
         return answer.result()
--- a/testkit/crashing_fleet.py
+++ b/testkit/crashing_fleet.py
@@ -20,13 +20,13 @@
     from testkit.gateway_replicas import FakeSink
 
 ENGINES = 9
-POISON = '/chat/poison'
+POISON_TARGET = '/chat/poison'
 """What a request asks that ends engines, in most tests."""
 
-CONTACT_S = 3.0
+BLOCKED_WITHIN_S = 3.0
 """How long after the third end a request must not be sent on any more, but for what follows."""
 
-MOST_LATE = 3
+MAX_LATE_SENDS = 3
 """Sends later than that which the users' rules allow."""
 
 WORKSPACES = (Workspace('hire', (KEY,), None), Workspace('other', ('key-2',), None))
@@ -66,7 +66,7 @@
         replica = Replica(name, service, f'{name}:1', failure_domain, 6, False)
         self.store.write(RecordKind.REPLICA, name, replica)
 
-    def ask(self, box: str, target: str, **changes: object) -> FakeSink:
+    def send_request(self, box: str, target: str, **changes: object) -> FakeSink:
         """Have a box serve a request for a target, as a try of its own."""
         name = target.split('/')[1]
         now = asyncio.get_running_loop().time()
@@ -78,18 +78,18 @@
         sinks = []
         boxes = itertools.cycle(sorted(self.boxes))
         for number in range(int(for_s / gap_s)):
-            sinks.append(self.ask(next(boxes), f'{target}{number}'))
+            sinks.append(self.send_request(next(boxes), f'{target}{number}'))
             await asyncio.sleep(gap_s)
         return sinks
 
-    async def repeat(
+    async def send_repeatedly(
         self, target: str, gap_s: float, for_s: float, **changes: object
     ) -> list[FakeSink]:
         """Ask for the same again and again, at all boxes in turn."""
         sinks = []
         boxes = itertools.cycle(sorted(self.boxes))
         for _ in range(int(for_s / gap_s)):
-            sinks.append(self.ask(next(boxes), target, **changes))
+            sinks.append(self.send_request(next(boxes), target, **changes))
             await asyncio.sleep(gap_s)
         return sinks
 
@@ -97,13 +97,13 @@
 class CrashingCase(VirtualCase):
     """Run boxes before replicas that a request can end."""
 
-    def play(self, work: Callable[[CrashingFleet], Awaitable[None]]) -> None:
+    def run_scenario(self, steps: Callable[[CrashingFleet], Awaitable[None]]) -> None:
         """Start a fleet, do some work with it, and stop it."""
 
         async def scenario() -> None:
             fleet = CrashingFleet()
             await fleet.start()
-            await work(fleet)
+            await steps(fleet)
             await fleet.stop()
 
         self.run_virtual(scenario())
--- a/testkit/daemon.py
+++ b/testkit/daemon.py
@@ -16,7 +16,7 @@
 from standins.platform import PlatformStandIn
 from standins.service import ServiceStandIn
 from standins.stagepool import StagePoolStandIn
-from testkit.servers import served
+from testkit.servers import serve_app
 from testkit.world import SERVICES, TEMPLATES, pipeline_spec
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
 )
 
 
-class Surroundings:
+class BoxStandIns:
     """Hold the stand-ins around a box."""
 
     def __init__(self, *, url: str, session: aiohttp.ClientSession) -> None:
@@ -41,14 +41,14 @@
 
 
 @contextlib.asynccontextmanager
-async def running_box(**flags: str) -> AsyncIterator[tuple[BoxRunner, Surroundings]]:
+async def running_box(**flags: str) -> AsyncIterator[tuple[BoxRunner, BoxStandIns]]:
     """Yield a ready box with one endpoint of each kind and the pipelines `answer` and `act`."""
     set_up_logs(level='ERROR', json=True, box='box-1')
     async with contextlib.AsyncExitStack() as stack:
         session = await stack.enter_async_context(new_session())
-        around = Surroundings(url='', session=session)
-        await configure(around, stack)
-        platform = await stack.enter_async_context(served(around.platform.app()))
+        stand_ins = BoxStandIns(url='', session=session)
+        await configure(stand_ins, stack)
+        platform = await stack.enter_async_context(serve_app(stand_ins.platform.app()))
         values = {
             'box': 'box-1',
             'failure_domain': 'lahore-a',
@@ -68,20 +68,20 @@
         )
         await runner.box.feed.relist()
         await runner.start()
-        around.url = f'http://{runner.address}'
+        stand_ins.url = f'http://{runner.address}'
         try:
-            yield runner, around
+            yield runner, stand_ins
         finally:
             await runner.stop()
 
 
-async def configure(around: Surroundings, stack: contextlib.AsyncExitStack) -> None:
+async def configure(stand_ins: BoxStandIns, stack: contextlib.AsyncExitStack) -> None:
     """Start an endpoint of each kind and enter the configuration in the platform."""
-    apps = {'drafting': around.engine.app(), 'desk': around.service.app()}
+    apps = {'drafting': stand_ins.engine.app(), 'desk': stand_ins.service.app()}
     documents: dict[str, dict[str, Any]] = {}
     for service, kind in SERVICES.items():
         pool = StagePoolStandIn(kind=kind.value, concurrency=8, service_s=0.0)
-        url = await stack.enter_async_context(served(apps.get(service) or pool.app()))
+        url = await stack.enter_async_context(serve_app(apps.get(service) or pool.app()))
         documents[f'endpoints/{service}'] = {
             'kind': 'endpoint',
             'name': service,
@@ -96,9 +96,9 @@
         documents[f'pipelines/towpath/{name}'] = pipeline_spec(name)
     for version, (name, spec) in enumerate(documents.items(), start=1):
         key = CONFIG_PREFIX + name
-        around.platform.objects[key] = {
+        stand_ins.platform.objects[key] = {
             'key': key,
             'version': version,
             'value': {'spec': spec, 'change': {}},
         }
-    around.platform.version = len(documents)
+    stand_ins.platform.version = len(documents)
--- a/testkit/fake_endpoints.py
+++ b/testkit/fake_endpoints.py
@@ -42,8 +42,8 @@
 
 HANG_S = 3600.0
 
-ENDS_AFTER_S = 0.03
-BACK_AFTER_S = 1.0
+CRASH_AFTER_S = 0.03
+RESTART_AFTER_S = 1.0
 """How long a call runs that ends its endpoint, and when that is back."""
 
 
@@ -74,7 +74,7 @@
     token_s: float = 0.004
     batch_slowdown: float = 0.0
     prefill_s: float = 0.0
-    prefixes: int = 8
+    cached_prefixes: int = 8
 
 
 class FakeEndpoint:
@@ -95,19 +95,19 @@
         self.numbers = itertools.count()
         self.fault: Callable[[str], Fault | None] = lambda call: None
         self.down = False
-        self.ending: set[str] = set()
-        self.ends_quietly = False
-        self.ends: list[float] = []
-        self.ended = asyncio.Event()
+        self.crashing_texts: set[str] = set()
+        self.crash_ends_streams = False
+        self.crash_times: list[float] = []
+        self.crashed = asyncio.Event()
         self.speed = 1.0
         self.started: list[str] = []
         self.offsets: list[int] = []
-        self.ran: Counter[str] = Counter()
+        self.run_counts: Counter[str] = Counter()
         self.busy_s = 0.0
         self.busy_by_request: Counter[str] = Counter()
         self.prefixes: OrderedDict[str, None] = OrderedDict()
 
-    async def enter(self, call: str, priority: int) -> None:
+    async def acquire_slot(self, call: str, priority: int) -> None:
         """Take a place, or wait for one."""
         if self.down:
             raise NotStarted('connection refused')
@@ -121,7 +121,7 @@
                 await future
             except asyncio.CancelledError:
                 if future.done() and not future.cancelled():
-                    self.leave()
+                    self.release_slot()
                 raise
         else:
             self.running += 1
@@ -134,31 +134,31 @@
         engine that `ends_quietly` just stop, as where the end of the connection ends the answer.
         """
         loop = asyncio.get_running_loop()
-        if text in self.ending and not self.down:
-            loop.call_later(ENDS_AFTER_S, self.end)
-            seconds = max(seconds, 2 * ENDS_AFTER_S)
-        ended = asyncio.ensure_future(self.ended.wait())
+        if text in self.crashing_texts and not self.down:
+            loop.call_later(CRASH_AFTER_S, self.crash)
+            seconds = max(seconds, 2 * CRASH_AFTER_S)
+        ended = asyncio.ensure_future(self.crashed.wait())
         done, _ = await asyncio.wait({ended}, timeout=seconds)
         ended.cancel()
         if done:
             raise ConnectionBroken('connection lost')
 
-    def end(self) -> None:
+    def crash(self) -> None:
         """End the endpoint; it comes back."""
         if self.down:
             return
         loop = asyncio.get_running_loop()
         self.down = True
-        self.ends.append(loop.time())
-        self.ended.set()
-        loop.call_later(BACK_AFTER_S, self.come_back)
+        self.crash_times.append(loop.time())
+        self.crashed.set()
+        loop.call_later(RESTART_AFTER_S, self.restart)
 
-    def come_back(self) -> None:
+    def restart(self) -> None:
         """Take calls again."""
         self.down = False
-        self.ended = asyncio.Event()
+        self.crashed = asyncio.Event()
 
-    def leave(self) -> None:
+    def release_slot(self) -> None:
         """Pass the place on."""
         while self.waiting:
             future = heapq.heappop(self.waiting)[2]
@@ -168,9 +168,9 @@
         self.running -= 1
 
     @contextlib.asynccontextmanager
-    async def place(self, call: str, priority: int) -> AsyncIterator[None]:
+    async def hold_slot(self, call: str, priority: int) -> AsyncIterator[None]:
         """Hold a place while a call runs, and count the time."""
-        await self.enter(call, priority)
+        await self.acquire_slot(call, priority)
         loop = asyncio.get_running_loop()
         began = loop.time()
         try:
@@ -179,7 +179,7 @@
             busy_s = loop.time() - began
             self.busy_s += busy_s
             self.busy_by_request[call.split('/')[0]] += busy_s  # type: ignore[assignment]
-            self.leave()
+            self.release_slot()
 
     def prefill(self, params: dict[str, Any]) -> float:
         """Return the time for a prompt's prefix, and cache it in place of the oldest."""
@@ -187,7 +187,7 @@
         cached = prefix in self.prefixes
         self.prefixes[prefix] = None
         self.prefixes.move_to_end(prefix)
-        if len(self.prefixes) > self.timing.prefixes:
+        if len(self.prefixes) > self.timing.cached_prefixes:
             self.prefixes.popitem(last=False)
         return 0.0 if cached else self.timing.prefill_s
 
@@ -209,18 +209,18 @@
     def backends(self, gate: Gate | None = None) -> Backends:
         """Return one box's adapters to this fleet."""
         calls = FakeCalls(fleet=self, gate=gate or Gate())
-        reach = FakeReach(fleet=self)
+        reach = FakeProber(fleet=self)
         return Backends(engine=FakeEngine(fleet=self), pool=calls, service=calls, prober=reach)
 
-    def ran(self) -> Counter[str]:
+    def run_counts(self) -> Counter[str]:
         """Count what ran over all endpoints, by idempotency key or call."""
         total: Counter[str] = Counter()
         for item in self.endpoints.values():
-            total.update(item.ran)
+            total.update(item.run_counts)
         return total
 
 
-class FakeReach(EndpointProber):
+class FakeProber(EndpointProber):
     """Look whether fake endpoints are there."""
 
     def __init__(self, *, fleet: FakeFleet) -> None:
@@ -240,16 +240,16 @@
 
     async def call(self, endpoint: Endpoint, call: StageCall) -> StageOutput:
         """Run a stage, with the fault that the endpoint has for it."""
-        await self.gate.passed()
+        await self.gate.wait_open()
         target = self.fleet[endpoint.name]
         fault = target.fault(str(call.id))
-        raise_early(fault)
+        raise_fault_before_run(fault)
         if endpoint.kind is StageKind.SERVICE:
             # What a plain service has begun goes on when its caller dies or hangs up.
             await asyncio.shield(asyncio.ensure_future(self.serve(target, call)))
         else:
             await self.serve(target, call)
-        await self.gate.passed()
+        await self.gate.wait_open()
         if fault is Fault.HANG:
             await asyncio.sleep(HANG_S)
         if fault is Fault.RESET_AFTER:
@@ -265,9 +265,9 @@
     async def serve(self, target: FakeEndpoint, call: StageCall) -> None:
         """Spend the service time and count the effect."""
         identity = str(call.id)
-        async with target.place(identity, call.priority):
+        async with target.hold_slot(identity, call.priority):
             await target.run(call.input['text'], target.timing.service_s * target.slowdown())
-            target.ran[call.idempotency_key or identity] += 1
+            target.run_counts[call.idempotency_key or identity] += 1
 
 
 class FakeEngine(Engine):
@@ -283,20 +283,20 @@
         target = self.fleet[endpoint.name]
         identity = str(call.id)
         fault = target.fault(identity)
-        raise_early(fault)
+        raise_fault_before_run(fault)
         tokens = answer_tokens(call.params, dict(call.input))
         if fault is Fault.WRONG_IDENTITY:
             # What crosses is another caller's answer, not only its name.
             tokens = answer_tokens(call.params, {'text': "another caller's question"})
         target.offsets.append(call.offset)
         middle = call.offset + (len(tokens) - call.offset) // 2
-        async with target.place(identity, call.priority):
-            target.ran[identity] += 1
+        async with target.hold_slot(identity, call.priority):
+            target.run_counts[identity] += 1
             first_s = target.timing.first_token_s + target.prefill(call.params)
             try:
                 await target.run(call.input['text'], first_s * target.slowdown())
             except ConnectionBroken:
-                if target.ends_quietly:
+                if target.crash_ends_streams:
                     return
                 raise
             for number in range(call.offset, len(tokens)):
@@ -322,7 +322,7 @@
         self.fleet.cancelled.append(str(call.id))
 
 
-def raise_early(fault: Fault | None) -> None:
+def raise_fault_before_run(fault: Fault | None) -> None:
     """Raise the faults that come before a call runs."""
     if fault is Fault.REFUSED:
         raise NotStarted('connection refused')
--- a/testkit/fake_network.py
+++ b/testkit/fake_network.py
@@ -45,7 +45,7 @@
     def __init__(self, *, network: FakeNetwork, address: str) -> None:
         self.network = network
         self.address = address
-        self.renewed: list[str] = []
+        self.dropped_connections: list[str] = []
 
     def send(self, address: str, data: bytes) -> None:
         """Send a message."""
@@ -57,4 +57,4 @@
 
     def drop_connection(self, address: str) -> None:
         """Note that a connection was given up."""
-        self.renewed.append(address)
+        self.dropped_connections.append(address)
--- a/testkit/fake_store.py
+++ b/testkit/fake_store.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable
 
-LATE_EFFECT_S = 0.3
+LATE_WRITE_DELAY_S = 0.3
 
 
 class Gate:
@@ -30,7 +30,7 @@
         self.open = asyncio.Event()
         self.open.set()
 
-    async def passed(self) -> None:
+    async def wait_open(self) -> None:
         """Wait until the box is not paused."""
         await self.open.wait()
 
@@ -38,12 +38,12 @@
         """Pause the box."""
         self.open.clear()
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Wake the box."""
         self.open.set()
 
 
-class WriteFate(enum.Enum):
+class WriteOutcome(enum.Enum):
     """Say what becomes of a write and its answer."""
 
     DONE = 'done'
@@ -80,13 +80,13 @@
                 queue.put_nowait(stored)
         return stored
 
-    def copy(self) -> tuple[int, dict[str, StoredObject]]:
+    def snapshot(self) -> tuple[int, dict[str, StoredObject]]:
         """Return a copy to come back from."""
         return self.sequence, dict(self.objects)
 
-    def go_back(self, copy: tuple[int, dict[str, StoredObject]]) -> None:
+    def restore(self, snapshot: tuple[int, dict[str, StoredObject]]) -> None:
         """Come back from a copy: what was written since is gone, numbers are given out again."""
-        self.sequence, self.objects = copy[0], dict(copy[1])
+        self.sequence, self.objects = snapshot[0], dict(snapshot[1])
         self.era += 1
         self.end_watches()
 
@@ -106,12 +106,12 @@
         self.gate = gate or Gate()
         self.latency_s = latency_s
         self.cut = False
-        self.fate: Callable[[str], WriteFate] = lambda key: WriteFate.DONE
+        self.write_outcome: Callable[[str], WriteOutcome] = lambda key: WriteOutcome.DONE
         self.deliver: Callable[[StoredObject], list[StoredObject]] = lambda stored: [stored]
 
-    async def travel(self, kind: str) -> None:
+    async def begin_call(self, kind: str) -> None:
         """Spend the latency and fail if the store cannot be reached."""
-        await self.gate.passed()
+        await self.gate.wait_open()
         self.state.counts[kind] += 1
         await asyncio.sleep(self.latency_s)
         if self.cut or self.state.down:
@@ -119,28 +119,28 @@
 
     async def get(self, key: str) -> StoredObject | None:
         """Return an object, or nothing."""
-        await self.travel('read')
+        await self.begin_call('read')
         return self.state.objects.get(key)
 
     async def list(self, prefix: str) -> list[StoredObject]:
         """Return every object below `prefix`."""
-        await self.travel('read')
+        await self.begin_call('read')
         return [item for key, item in self.state.objects.items() if key.startswith(prefix)]
 
     async def put(self, key: str, value: dict[str, Any], expected_version: int) -> StoredObject:
         """Write if the version is the expected one, unless a fault says otherwise."""
-        await self.travel('write')
-        fate = self.fate(key)
-        if fate is WriteFate.LOST_BEFORE:
+        await self.begin_call('write')
+        fate = self.write_outcome(key)
+        if fate is WriteOutcome.LOST_BEFORE:
             raise WriteUnknown('lost before it took effect')
-        if fate is WriteFate.LATE:
+        if fate is WriteOutcome.LATE:
             loop = asyncio.get_running_loop()
-            loop.call_later(LATE_EFFECT_S, self.write_late, key, value, expected_version)
+            loop.call_later(LATE_WRITE_DELAY_S, self.write_late, key, value, expected_version)
             raise WriteUnknown('not answered in time')
         stored = self.state.write(key, value, expected_version)
-        if fate is WriteFate.LOST_AFTER:
+        if fate is WriteOutcome.LOST_AFTER:
             raise WriteUnknown('the answer was lost')
-        await self.gate.passed()
+        await self.gate.wait_open()
         return stored
 
     def write_late(self, key: str, value: dict[str, Any], expected: int) -> None:
@@ -152,7 +152,7 @@
 
     async def watch(self, prefix: str) -> AsyncIterator[StoredObject]:
         """Yield what changes below `prefix`, in the way that `deliver` says."""
-        await self.travel('watch')
+        await self.begin_call('watch')
         queue: asyncio.Queue[StoredObject | None] = asyncio.Queue()
         entry = (prefix, queue)
         self.state.watchers.append(entry)
@@ -161,7 +161,7 @@
                 await asyncio.sleep(self.latency_s)
                 if self.cut or self.state.down:
                     continue
-                await self.gate.passed()
+                await self.gate.wait_open()
                 for item in self.deliver(stored):
                     yield item
         finally:
