--- a/testkit/fleet.py
+++ b/testkit/fleet.py
@@ -43,7 +43,7 @@
         self,
         *,
         name: str,
-        domain: str,
+        failure_domain: str,
         state: StoreState,
         network: FakeNetwork,
         records: list[BoxRecord],
@@ -56,14 +56,14 @@
         self.view = ConfigView()
         self.feed = StoreFeed(store=self.store, view=self.view, clock=self.clock)
         self.network = network
-        own = MemberInfo(name, domain, name, started_ms, 0, False)
+        own = MemberInfo(name, failure_domain, name, started_ms, 0, False)
         self.gossip = Gossip(
             view=self.view,
             members=MemberTable(own=own),
             transport=FakeTransport(network=network, address=name),
             clock=self.clock,
             rng=self.rng,
-            is_ready=lambda: self.synced,
+            is_ready=lambda: self.is_synced,
         )
         self.roles = RelayController(
             gossip=self.gossip,
@@ -75,7 +75,7 @@
         self.task: asyncio.Task[None] | None = None
 
     @property
-    def synced(self) -> bool:
+    def is_synced(self) -> bool:
         """Tell whether the view was once whole."""
         return self.feed.synced or self.gossip.agreed_with_ready_peer
 
@@ -94,11 +94,11 @@
 class PeerFleet:
     """Hold boxes spread evenly over failure domains."""
 
-    def __init__(self, *, count: int, domains: int, seed: int = 1, loss: float = 0.0) -> None:
+    def __init__(self, *, count: int, failure_domains: int, seed: int = 1, loss: float = 0.0) -> None:
         self.state = StoreState()
         self.network = FakeNetwork(seed=seed, loss=loss)
         self.records = [
-            BoxRecord(f'box-{n}', f'domain-{n % domains}', f'box-{n}', f'box-{n}', False)
+            BoxRecord(f'box-{n}', f'domain-{n % failure_domains}', f'box-{n}', f'box-{n}', False)
             for n in range(count)
         ]
         self.boxes = {record.name: self.new_box(record) for record in self.records}
@@ -107,7 +107,7 @@
         """Return a box that is not started yet."""
         return PeerBox(
             name=record.name,
-            domain=record.failure_domain,
+            failure_domain=record.failure_domain,
             state=self.state,
             network=self.network,
             records=self.records,
@@ -134,15 +134,15 @@
         value = {'spec': {'n': content}, 'change': {}}
         return self.state.write(key, value, held.version if held else 0).version
 
-    async def in_force(
-        self, key: str, version: int, among: Iterable[str] | None = None, limit_s: float = 60.0
+    async def wait_in_force(
+        self, key: str, version: int, among: Iterable[str] | None = None, timeout_s: float = 60.0
     ) -> float:
         """Return the seconds until a version is in force on all boxes, or `limit_s`."""
         loop = asyncio.get_running_loop()
         started = loop.time()
         names = list(among if among is not None else self.boxes)
         while any(self.boxes[name].view.version(key) < version for name in names):
-            if loop.time() - started >= limit_s:
+            if loop.time() - started >= timeout_s:
                 break
             await asyncio.sleep(0.01)
         return loop.time() - started
--- a/testkit/gateway.py
+++ b/testkit/gateway.py
@@ -22,10 +22,10 @@
         Exchange,
     )
 
-from testkit.gateway_callers import BoxReplicas, BoxStages, Notices
+from testkit.gateway_callers import BoxReplicas, BoxStages, ReplicaNotices
 from testkit.gateway_replicas import FakeReplicas, FakeSink, FakeStages
 from testkit.gateway_store import FakeStore, FakeStoreClient
-from testkit.gateway_world import FAILURE_DOMAINS, TERMS, deployment, replicas
+from testkit.gateway_world import FAILURE_DOMAINS, RETRY_BUDGET_TERMS, deployment, replicas
 
 EVACUATE_S = 5.0
 """How soon nothing more may reach a failure domain that is taken out, as the users' sheet says."""
@@ -70,14 +70,14 @@
         self.network = FakeNetwork(seed=seed)
         self.replicas = self.new_replicas()
         self.stages = self.new_stages()
-        self.notices = Notices()
+        self.notices = ReplicaNotices()
         self.boxes: dict[str, FleetBox] = {}
-        self.served: list[asyncio.Task[None]] = []
+        self.request_tasks: list[asyncio.Task[None]] = []
         self.store.write(RecordKind.DEPLOYMENT, 'main', deployment())
         for replica in replicas():
             self.store.write(RecordKind.REPLICA, replica.id, replica)
         for number in range(count):
-            self.add(f'box-{number}', FAILURE_DOMAINS[number % len(FAILURE_DOMAINS)])
+            self.add_box(f'box-{number}', FAILURE_DOMAINS[number % len(FAILURE_DOMAINS)])
 
     def new_replicas(self) -> FakeReplicas:
         """Return the engines and plain services."""
@@ -87,7 +87,7 @@
         """Return the replicas of stages."""
         return FakeStages()
 
-    def add(self, name: str, failure_domain: str) -> FleetBox:
+    def add_box(self, name: str, failure_domain: str) -> FleetBox:
         """Return a new box, not started."""
         client = FakeStoreClient(store=self.store)
         box = GatewayBox(
@@ -113,12 +113,12 @@
         self.boxes.pop(name).kill()
         self.network.handlers.pop(f'{name}:7', None)
 
-    def take_out(self, failure_domain: str) -> None:
+    def evacuate(self, failure_domain: str) -> None:
         """Take a failure domain out, as an operator does."""
         record = Evacuation(failure_domain, self.store.revision + 1)
         self.store.write(RecordKind.EVACUATION, failure_domain, record)
 
-    def give_back(self, failure_domain: str) -> None:
+    def end_evacuation(self, failure_domain: str) -> None:
         """Take a failure domain's evacuation back."""
         self.store.write(RecordKind.EVACUATION, failure_domain, None)
 
@@ -130,13 +130,13 @@
         """Have a box serve a request; return where its answer goes."""
         sink = FakeSink()
         task = asyncio.create_task(self.boxes[name].box.executor.serve(request, sink))
-        self.served.append(task)
+        self.request_tasks.append(task)
         return sink
 
-    async def settle(self, limit_s: float = 20.0) -> None:
+    async def settle(self, timeout_s: float = 20.0) -> None:
         """Wait until every request has its answer."""
-        async with asyncio.timeout(limit_s):
-            await asyncio.gather(*self.served, return_exceptions=True)
+        async with asyncio.timeout(timeout_s):
+            await asyncio.gather(*self.request_tasks, return_exceptions=True)
 
     async def stop(self) -> None:
         """Stop every box."""
@@ -159,7 +159,7 @@
         store=nowhere,
         drain_s=2.0,
         stop_grace_s=8.0,
-        retry_budget=TERMS,
+        retry_budget=RETRY_BUDGET_TERMS,
         cpu_cores=1.0,
         link_mbps=1000.0,
         max_descriptors=1000,
--- a/testkit/gateway_callers.py
+++ b/testkit/gateway_callers.py
@@ -20,7 +20,7 @@
 
 STATUS_UNAVAILABLE = 503
 STATUS_MISDIRECTED = 421
-DECLINE_S = 0.01
+DECLINE_DELAY_S = 0.01
 
 
 class Arrival(NamedTuple):
@@ -32,26 +32,26 @@
 
     box: str
     replica: str
-    asked_at: float
+    requested_at: float
     at: float
     notice: Notice
 
 
-class Notices:
+class ReplicaNotices:
     """Hold what replicas say in their answers, and what reached them; shared by all boxes."""
 
     def __init__(self) -> None:
-        self.said: dict[str, Notice] = {}
+        self.current: dict[str, Notice] = {}
         self.arrivals: list[Arrival] = []
 
-    def arrive(self, box: str, replica: Replica, asked_at: float) -> Notice:
+    def record_arrival(self, box: str, replica: Replica, requested_at: float) -> Notice:
         """Note a call and return what its answer tells."""
-        notice = self.said.get(replica.id, EMPTY_NOTICE)
+        notice = self.current.get(replica.id, EMPTY_NOTICE)
         now = asyncio.get_running_loop().time()
-        self.arrivals.append(Arrival(box, replica.id, asked_at, now, notice))
+        self.arrivals.append(Arrival(box, replica.id, requested_at, now, notice))
         return notice
 
-    def between(self, box: str, replica: str, begin: float, end: float) -> list[Arrival]:
+    def arrivals_between(self, box: str, replica: str, begin: float, end: float) -> list[Arrival]:
         """Return what reached a replica from a box in a span."""
         return [
             item
@@ -65,7 +65,7 @@
         found = []
         for item in self.arrivals:
             key = (item.box, item.replica)
-            if item.asked_at > told.get(key, item.at) + drain_s:
+            if item.requested_at > told.get(key, item.at) + drain_s:
                 found.append(item)
             if item.notice.leaving:
                 told.setdefault(key, item.at)
@@ -77,11 +77,11 @@
         for item in self.arrivals:
             if item.notice.backoff_s > slack_s:
                 span = (item.at + slack_s, item.at + item.notice.backoff_s)
-                came = self.between(item.box, item.replica, *span)
+                came = self.arrivals_between(item.box, item.replica, *span)
                 found[item.box, item.replica, item.at] = len(came)
         return found
 
-    def most_after_limits(self, *, span_s: float, after_s: float, heard_s: float) -> dict[str, int]:
+    def max_calls_after_limits(self, *, span_s: float, limit_grace_s: float, notice_grace_s: float) -> dict[str, int]:
         """Return the most calls in a span that replicas which named a limit got from told boxes.
 
         Counted from `after_s` after the first answer that names it; a box counts from `heard_s`
@@ -93,9 +93,9 @@
         for item in self.arrivals:
             key = (item.box, item.replica)
             first, heard = named.get(item.replica), told.get(key)
-            if first is not None and item.at >= first + after_s:
+            if first is not None and item.at >= first + limit_grace_s:
                 times = counted.setdefault(item.replica, [])
-                if heard is not None and item.at >= heard + heard_s:
+                if heard is not None and item.at >= heard + notice_grace_s:
                     times.append(item.at)
             if item.notice.limit_per_s is not None:
                 named.setdefault(item.replica, item.at)
@@ -110,7 +110,7 @@
 class BoxReplicas(ReplicaClient):
     """Give one box the engines and plain services; one that wants a pause declines."""
 
-    def __init__(self, *, replicas: FakeReplicas, notices: Notices, box: str) -> None:
+    def __init__(self, *, replicas: FakeReplicas, notices: ReplicaNotices, box: str) -> None:
         self.replicas = replicas
         self.notices = notices
         self.box = box
@@ -119,15 +119,15 @@
         """Send a request, and tell the listener what the answer's head tells."""
         replica = outbound.replica
         self.interceptor.check_call(replica, new_work=True)
-        notice = self.notices.arrive(self.box, replica, outbound.exchange.received_at)
+        notice = self.notices.record_arrival(self.box, replica, outbound.exchange.received_at)
         if notice.backoff_s:
             self.replicas.sent.append(outbound)
-            await asyncio.sleep(DECLINE_S)
+            await asyncio.sleep(DECLINE_DELAY_S)
             self.interceptor.on_notice(replica, notice)
             head = AnswerHead(STATUS_UNAVAILABLE, (), True, None)
             return FakeBody(head=head, body=b'')
         if notice.from_other_replica:
-            await asyncio.sleep(DECLINE_S)
+            await asyncio.sleep(DECLINE_DELAY_S)
             self.interceptor.on_notice(replica, notice)
             return FakeBody(head=AnswerHead(STATUS_MISDIRECTED, (), True, None), body=b'')
         answer = await self.replicas.send(outbound)
@@ -142,7 +142,7 @@
 class BoxStages(StageCaller):
     """Give one box the replicas of stages."""
 
-    def __init__(self, *, stages: FakeStages, notices: Notices, box: str) -> None:
+    def __init__(self, *, stages: FakeStages, notices: ReplicaNotices, box: str) -> None:
         self.stages = stages
         self.notices = notices
         self.box = box
@@ -151,13 +151,13 @@
         """Make one call; its head comes when it is done."""
         self.interceptor.check_call(replica, new_work=True)
         now = asyncio.get_running_loop().time()
-        notice = self.notices.arrive(self.box, replica, now)
+        notice = self.notices.record_arrival(self.box, replica, now)
         if notice.backoff_s:
-            await asyncio.sleep(DECLINE_S)
+            await asyncio.sleep(DECLINE_DELAY_S)
             self.interceptor.on_notice(replica, notice)
             raise NotStarted(f'{replica.id} declined with {STATUS_UNAVAILABLE}')
         if notice.from_other_replica:
-            await asyncio.sleep(DECLINE_S)
+            await asyncio.sleep(DECLINE_DELAY_S)
             self.interceptor.on_notice(replica, notice)
             raise NotStarted(f'{replica.id} declined with {STATUS_MISDIRECTED}')
         results = await self.stages.run(replica, calls)
@@ -168,14 +168,14 @@
         """Return what a replica tells of itself."""
         self.interceptor.check_call(replica, new_work=False)
         report = await self.stages.report(replica)
-        self.interceptor.on_notice(replica, self.notices.said.get(replica.id, EMPTY_NOTICE))
+        self.interceptor.on_notice(replica, self.notices.current.get(replica.id, EMPTY_NOTICE))
         return report
 
     async def free(self, replica: Replica, handles: list[str]) -> None:
         """Give results up."""
         self.interceptor.check_call(replica, new_work=False)
         await self.stages.free(replica, handles)
-        self.interceptor.on_notice(replica, self.notices.said.get(replica.id, EMPTY_NOTICE))
+        self.interceptor.on_notice(replica, self.notices.current.get(replica.id, EMPTY_NOTICE))
 
     async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
         """Return what an attempt to connect shows."""
--- a/testkit/gateway_replicas.py
+++ b/testkit/gateway_replicas.py
@@ -25,41 +25,41 @@
     """Stand for every replica of stages; `broken` maps a replica to what it does instead."""
 
     def __init__(self) -> None:
-        self.numbers = itertools.count(1)
+        self.result_numbers = itertools.count(1)
         self.calls: list[tuple[str, list[PieceCall]]] = []
-        self.live: dict[str, str] = {}
-        self.broken: dict[str, str] = {}
-        self.at_work: dict[str, int] = {}
-        self.most_at_work = 0
+        self.live_results: dict[str, str] = {}
+        self.faults: dict[str, str] = {}
+        self.running_calls: dict[str, int] = {}
+        self.max_running_calls = 0
         self.wrong_inputs = 0
         self.reports = 0
-        self.freed_at: list[str] = []
+        self.freed_addresses: list[str] = []
 
     async def run(self, replica: Replica, calls: list[PieceCall]) -> list[PieceResult]:
         """Make one call."""
         self.calls.append((replica.id, calls))
-        fault = self.broken.get(replica.id)
+        fault = self.faults.get(replica.id)
         if fault == 'full':
             raise NotStarted('full')
         if fault == 'dead':
             raise MayHaveRun('reset')
         if fault == 'room':
             return [PieceResult(None, 'room') for _ in calls]
-        self.at_work[replica.id] = self.at_work.get(replica.id, 0) + 1
-        self.most_at_work = max(self.most_at_work, self.at_work[replica.id])
+        self.running_calls[replica.id] = self.running_calls.get(replica.id, 0) + 1
+        self.max_running_calls = max(self.max_running_calls, self.running_calls[replica.id])
         try:
             await asyncio.sleep(0.005)
-            gone = [self.missing(call) for call in calls]
+            gone = [self.has_missing_input(call) for call in calls]
             slow = 4 if fault == 'slow' else 1
             await asyncio.sleep(slow * (STAGE.call_s + STAGE.piece_s * len(calls)))
         finally:
-            self.at_work[replica.id] -= 1
+            self.running_calls[replica.id] -= 1
         if fault == 'mute':
             for _ in calls:
-                self.make(replica.id)
+                self.new_result(replica.id)
             await asyncio.sleep(3600)
         return [
-            PieceResult(None, 'gone') if lost else PieceResult(self.make(replica.id))
+            PieceResult(None, 'gone') if lost else PieceResult(self.new_result(replica.id))
             for lost in gone
         ]
 
@@ -67,34 +67,34 @@
         """Tell that replicas live: what breaks here is the connection."""
         return ProbeResult.OPEN
 
-    def missing(self, call: PieceCall) -> bool:
+    def has_missing_input(self, call: PieceCall) -> bool:
         """Tell whether an input is gone; none at all where some are due is a fault."""
         if call.inputs is not None and not call.inputs:
             self.wrong_inputs += 1
-        return any(handle not in self.live for handle in call.inputs or ())
+        return any(handle not in self.live_results for handle in call.inputs or ())
 
-    def make(self, replica: str) -> str:
+    def new_result(self, replica: str) -> str:
         """Return a new result."""
-        handle = f'{replica}/{next(self.numbers)}'
-        self.live[handle] = replica
+        handle = f'{replica}/{next(self.result_numbers)}'
+        self.live_results[handle] = replica
         return handle
 
-    def lose(self, replica: str) -> None:
+    def lose_results(self, replica: str) -> None:
         """Lose every result of a replica that died."""
-        self.live = {handle: maker for handle, maker in self.live.items() if maker != replica}
+        self.live_results = {handle: maker for handle, maker in self.live_results.items() if maker != replica}
 
     async def report(self, replica: Replica) -> StageReport:
         """Return the room that is left, and whether a call is at work."""
         self.reports += 1
-        held = sum(maker == replica.id for maker in self.live.values())
+        held = sum(maker == replica.id for maker in self.live_results.values())
         free_bytes = max(0.0, STAGE.result_capacity_bytes - held * RESULT_BYTES)
-        return StageReport(free_bytes, idle=not self.at_work.get(replica.id, 0))
+        return StageReport(free_bytes, idle=not self.running_calls.get(replica.id, 0))
 
     async def free(self, replica: Replica, handles: list[str]) -> None:
         """Give results up."""
-        self.freed_at.append(replica.address)
+        self.freed_addresses.append(replica.address)
         for handle in handles:
-            self.live.pop(handle, None)
+            self.live_results.pop(handle, None)
 
 
 class FakeStream(ReplicaAnswer):
@@ -120,7 +120,7 @@
         """Return the next event."""
         await asyncio.sleep(EVENT_GAP_S)
         if self.break_after is not None and self.sent >= self.break_after:
-            if self.break_after == HANG:
+            if self.break_after == HANGS_BEFORE_EVENTS:
                 await asyncio.sleep(3600)
             raise MayHaveRun('broken')
         if self.next_id > EVENTS:
@@ -140,10 +140,10 @@
 BUSY_S = 1.0
 """How long an engine with the fault `busy` reads before its first event."""
 
-ANY = '*'
+ANY_REPLICA = '*'
 """Names the faults of whichever replica is called next."""
 
-HANG = 0
+HANGS_BEFORE_EVENTS = 0
 """A stream that breaks after no event hangs instead."""
 
 
@@ -176,7 +176,7 @@
         """Answer as the replica's next fault says."""
         self.sent.append(outbound)
         await asyncio.sleep(0.01)
-        waiting = self.faults.get(ANY) or self.faults.get(outbound.replica.id, [])
+        waiting = self.faults.get(ANY_REPLICA) or self.faults.get(outbound.replica.id, [])
         fault = waiting.pop(0) if waiting else 'none'
         if fault == 'refused':
             raise NotStarted('refused')
--- a/testkit/gateway_store.py
+++ b/testkit/gateway_store.py
@@ -22,11 +22,11 @@
     from calicopath_core.scheduling.election import BoxAddress
 
 
-WRITTEN_AGAIN = (RecordKind.DEPLOYMENT, RecordKind.REPLICA, RecordKind.EVACUATION)
+REWRITTEN_KINDS = (RecordKind.DEPLOYMENT, RecordKind.REPLICA, RecordKind.EVACUATION)
 """Kinds whose writers, operators and replicas, write again what the store has lost."""
 
 
-class StoreCopy(NamedTuple):
+class StoreSnapshot(NamedTuple):
     """Hold what the store held at some time."""
 
     revision: int
@@ -46,8 +46,8 @@
         self.revision = 0
         self.records: dict[RecordKind, dict[str, Record]] = {kind: {} for kind in RecordKind}
         self.log: list[tuple[int, RecordKind, Change]] = []
-        self.forgotten = 0
-        self.deaf = False
+        self.compacted_revision = 0
+        self.watches_silent = False
         self.relays: tuple[BoxAddress, ...] | None = None
         self.blocked: tuple[StoredRequest, ...] = ()
         self.changed = asyncio.Event()
@@ -73,51 +73,51 @@
         changed, self.changed = self.changed, asyncio.Event()
         changed.set()
 
-    def copy(self) -> StoreCopy:
+    def snapshot(self) -> StoreSnapshot:
         """Return what the store holds now."""
         records = {kind: dict(held) for kind, held in self.records.items()}
-        return StoreCopy(self.revision, records, list(self.log), self.relays, self.blocked)
+        return StoreSnapshot(self.revision, records, list(self.log), self.relays, self.blocked)
 
-    async def go_back(self, copy: StoreCopy, away_s: float, again_s: float = 0.0) -> None:
+    async def restore(self, snapshot: StoreSnapshot, down_s: float, rewrite_delay_s: float = 0.0) -> None:
         """Be away for a while and come back as a copy says.
 
         What operators and replicas wrote since is written again `again_s` after that, in order.
         """
         self.down = True
         self.wake_watches()
-        await asyncio.sleep(away_s)
-        lost = self.lost_since(copy)
-        self.revision, self.log = copy.revision, list(copy.log)
-        self.records = {kind: dict(held) for kind, held in copy.records.items()}
-        self.relays, self.blocked = copy.relays, copy.blocked
+        await asyncio.sleep(down_s)
+        lost = self.lost_since(snapshot)
+        self.revision, self.log = snapshot.revision, list(snapshot.log)
+        self.records = {kind: dict(held) for kind, held in snapshot.records.items()}
+        self.relays, self.blocked = snapshot.relays, snapshot.blocked
         self.era += 1
         self.down = False
-        await asyncio.sleep(again_s)
-        written = {(kind, item.name) for at, kind, item in self.log if at > copy.revision}
+        await asyncio.sleep(rewrite_delay_s)
+        written = {(kind, item.name) for at, kind, item in self.log if at > snapshot.revision}
         for kind, name, record in lost:
             if (kind, name) not in written and self.records[kind].get(name) != record:
                 self.write(kind, name, record)
 
-    def lost_since(self, copy: StoreCopy) -> list[tuple[RecordKind, str, Record | None]]:
+    def lost_since(self, snapshot: StoreSnapshot) -> list[tuple[RecordKind, str, Record | None]]:
         """Return the newest state of what operators and replicas wrote since a copy."""
         found = {
             (kind, change.name): change.record
             for at, kind, change in self.log
-            if at > copy.revision and kind in WRITTEN_AGAIN
+            if at > snapshot.revision and kind in REWRITTEN_KINDS
         }
         return [(kind, name, record) for (kind, name), record in found.items()]
 
-    async def compact(self, deaf_s: float) -> None:
+    async def compact(self, silent_s: float) -> None:
         """Tell watches nothing for a while, then cut them and lose what has changed so far."""
-        self.deaf = True
-        await asyncio.sleep(deaf_s)
-        self.deaf = False
-        self.forget_history()
+        self.watches_silent = True
+        await asyncio.sleep(silent_s)
+        self.watches_silent = False
+        self.drop_history()
         self.wake_watches()
 
-    def forget_history(self) -> None:
+    def drop_history(self) -> None:
         """Lose what has changed so far."""
-        self.forgotten = self.revision
+        self.compacted_revision = self.revision
 
 
 CALL_TIMEOUT_S = 0.8
@@ -135,26 +135,26 @@
         self.cut = False
         self.silent = False
         self.silent_watches: set[RecordKind] = set()
-        self.blocked_cut = False
+        self.blocked_unreadable = False
         self.calls = 0
 
-    def check(self) -> None:
+    def check_reachable(self) -> None:
         """Count a call, and fail it if the box is cut off."""
         self.calls += 1
         if self.cut or self.store.down:
             raise FleetStoreError('cut off')
 
-    async def hang(self, wait_s: float) -> None:
+    async def time_out(self, wait_s: float) -> None:
         """Fail a call as a silent store does."""
         self.calls += 1
         await asyncio.sleep(wait_s + CALL_TIMEOUT_S)
         raise FleetStoreError('silent')
 
-    async def hear_nothing(self, wait_s: float) -> None:
+    async def wait_on_silent_watch(self, wait_s: float) -> None:
         """Wait as a watch does that is told nothing, until it is cut or overdue."""
         try:
             async with asyncio.timeout(wait_s + CALL_TIMEOUT_S):
-                while self.store.deaf:
+                while self.store.watches_silent:
                     await asyncio.sleep(0.01)
         except TimeoutError:
             pass
@@ -164,29 +164,29 @@
         """Return every record."""
         await asyncio.sleep(0.004)
         if self.silent:
-            await self.hang(0.0)
-        self.check()
+            await self.time_out(0.0)
+        self.check_reachable()
         return Listing(dict(self.store.records[kind]), self.store.position())
 
     async def watch(self, kind: RecordKind, revision: int, wait_s: float) -> Changes:
         """Return what has changed."""
-        self.check()
+        self.check_reachable()
         began = asyncio.get_running_loop().time()
         ends_at = asyncio.get_running_loop().time() + wait_s
         while True:
-            if self.store.deaf:
-                await self.hear_nothing(wait_s)
+            if self.store.watches_silent:
+                await self.wait_on_silent_watch(wait_s)
             if self.store.down:
                 raise FleetStoreError('reset')
-            if not self.store.forgotten <= revision <= self.store.revision:
+            if not self.store.compacted_revision <= revision <= self.store.revision:
                 raise HistoryLost(kind.value)
             found = [item for at, of, item in self.store.log if at > revision and of is kind]
             left_s = ends_at - asyncio.get_running_loop().time()
             if self.silent or kind in self.silent_watches:
                 self.silent_watches.discard(kind)
-                await self.hang(wait_s - (asyncio.get_running_loop().time() - began))
+                await self.time_out(wait_s - (asyncio.get_running_loop().time() - began))
             if found or left_s <= 0:
-                self.check()
+                self.check_reachable()
                 return Changes(tuple(found), self.store.position())
             try:
                 async with asyncio.timeout(left_s):
@@ -198,41 +198,41 @@
         """Return the relays that are written down."""
         await asyncio.sleep(0.004)
         if self.silent:
-            await self.hang(0.0)
-        self.check()
+            await self.time_out(0.0)
+        self.check_reachable()
         return self.store.relays
 
     async def write_relays(self, relays: tuple[BoxAddress, ...]) -> int:
         """Write down which boxes are relays."""
         if self.silent:
-            await self.hang(0.0)
-        self.check()
+            await self.time_out(0.0)
+        self.check_reachable()
         self.store.relays = relays
         return self.store.era
 
     async def read_blocked(self) -> tuple[StoredRequest, ...]:
         """Return the requests that are kept as blocked."""
         await asyncio.sleep(0.004)
-        if self.silent or self.blocked_cut:
-            await self.hang(0.0)
-        self.check()
+        if self.silent or self.blocked_unreadable:
+            await self.time_out(0.0)
+        self.check_reachable()
         return self.store.blocked
 
     async def write_blocked(self, kept: tuple[StoredRequest, ...]) -> int:
         """Keep requests as blocked."""
         if self.silent:
-            await self.hang(0.0)
-        self.check()
+            await self.time_out(0.0)
+        self.check_reachable()
         self.store.blocked = kept
         return self.store.era
 
     async def register(self, box: BoxAddress) -> None:
         """Write the box's record."""
-        self.check()
+        self.check_reachable()
         record = box._replace(order=self.store.revision + 1)
         self.store.write(RecordKind.BOX, box.name, record)
 
     async def withdraw(self, box: BoxAddress) -> None:
         """Remove the box's record."""
-        self.check()
+        self.check_reachable()
         self.store.write(RecordKind.BOX, box.name, None)
--- a/testkit/gateway_world.py
+++ b/testkit/gateway_world.py
@@ -25,7 +25,7 @@
 FAILURE_DOMAINS = ('north', 'south')
 HOST = 'example.test'
 KEY = 'key-1'
-TERMS = RetryBudgetTerms(0.2, 50.0, 10.0)
+RETRY_BUDGET_TERMS = RetryBudgetTerms(0.2, 50.0, 10.0)
 STAGE = StageSpec(
     concurrency=1,
     batch=4,
--- a/testkit/naive.py
+++ b/testkit/naive.py
@@ -31,7 +31,7 @@
     from calicopath_core.structure.outcomes import Outcome
     from calicopath_core.structure.stages import Plan, StagePlan
 
-TRIES = 3
+MAX_ATTEMPTS = 3
 
 
 class NaiveView:
@@ -84,12 +84,12 @@
         self, request: PipelineRequest, stage: StagePlan, data: StageInput, sink: TokenSink
     ) -> StageOutput:
         """Try a stage a few times, each from the start."""
-        for attempt in range(TRIES):
+        for attempt in range(MAX_ATTEMPTS):
             endpoint = self.pick(stage)
             try:
                 return await self.call(request, stage, data, sink, endpoint, attempt)
             except BackendError:
-                if attempt == TRIES - 1:
+                if attempt == MAX_ATTEMPTS - 1:
                     raise
         raise AssertionError('unreachable')
 
--- a/testkit/notice_fleet.py
+++ b/testkit/notice_fleet.py
@@ -34,9 +34,9 @@
                     f'{service}-{number}',
                     FAILURE_DOMAINS[number % len(FAILURE_DOMAINS)],
                 )
-                self.announce(Replica(name, service, f'{name}:1', failure_domain, 6, False))
+                self.register(Replica(name, service, f'{name}:1', failure_domain, 6, False))
 
-    def announce(self, replica: Replica) -> None:
+    def register(self, replica: Replica) -> None:
         """Write a replica's entry."""
         self.store.write(RecordKind.REPLICA, replica.id, replica)
 
@@ -47,47 +47,47 @@
         self.store.write(RecordKind.REPLICA, name, None)
         return entry
 
-    def touch(self, name: str) -> None:
+    def rewrite_entry(self, name: str) -> None:
         """Have a replica write its entry once more as it stands."""
         entry = self.store.records[RecordKind.REPLICA][name]
         self.store.write(RecordKind.REPLICA, name, entry)
 
-    def leave(self, *names: str) -> None:
+    def announce_leaving(self, *names: str) -> None:
         """Have replicas say from now on that they leave; the store learns nothing of it."""
         for name in names:
-            self.notices.said[name] = Notice(leaving=True)
+            self.notices.current[name] = Notice(leaving=True)
 
     def replace(self, *names: str) -> None:
         """Have other replicas answer at the addresses of some; the store learns nothing of it."""
         for name in names:
-            self.notices.said[name] = Notice(executed=False, from_other_replica=True)
+            self.notices.current[name] = Notice(executed=False, from_other_replica=True)
 
-    def pause(self, pause_s: float, *names: str) -> None:
+    def request_backoff(self, backoff_s: float, *names: str) -> None:
         """Have replicas turn all away from now on, and ask for a pause."""
         for name in names:
-            self.notices.said[name] = Notice(backoff_s=pause_s)
+            self.notices.current[name] = Notice(backoff_s=backoff_s)
 
-    def limit(self, per_s: float, *names: str) -> None:
+    def advertise_limit(self, per_s: float, *names: str) -> None:
         """Have replicas name from now on how many requests a second they take."""
         for name in names:
-            self.notices.said[name] = Notice(limit_per_s=per_s)
+            self.notices.current[name] = Notice(limit_per_s=per_s)
 
-    def unlimit(self, *names: str) -> None:
+    def clear_limit(self, *names: str) -> None:
         """Have replicas name no limit any more."""
         for name in names:
-            self.notices.said.pop(name, None)
+            self.notices.current.pop(name, None)
 
     def silence_store(self) -> None:
         """Have the store answer no box."""
         for box in self.boxes.values():
             box.store.silent = True
 
-    def store_answers(self) -> None:
+    def restore_store(self) -> None:
         """Have the store answer all boxes again."""
         for box in self.boxes.values():
             box.store.silent = False
 
-    def ask(self, box: str, route: str) -> FakeSink:
+    def send_request(self, box: str, route: str) -> FakeSink:
         """Have a box serve a new request on a route."""
         now = asyncio.get_running_loop().time()
         return self.serve(box, exchange(next(self.numbers), route, now))
@@ -96,6 +96,6 @@
         """Ask on a route at any of the boxes; return where the answers go."""
         sinks = []
         for _ in range(max(1, round(for_s / gap_s))):
-            sinks.append(self.ask(self.rng.choice(sorted(self.boxes)), route))
+            sinks.append(self.send_request(self.rng.choice(sorted(self.boxes)), route))
             await asyncio.sleep(gap_s)
         return sinks
--- a/testkit/processes.py
+++ b/testkit/processes.py
@@ -96,11 +96,11 @@
         self.processes.append(process)
         return process
 
-    async def platform(self) -> Process:
+    async def start_platform(self) -> Process:
         """Start the platform's stand-in."""
         return await self.start('platform', ['standins.platform'])
 
-    async def endpoint(self, spec: dict[str, Any], *flags: str) -> EndpointProcess:
+    async def start_endpoint(self, spec: dict[str, Any], *flags: str) -> EndpointProcess:
         """Start the stand-in of an endpoint and return its document with the real address."""
         name, kind = spec['name'], spec['stage']
         concurrency = ['--concurrency', str(spec['concurrency'])]
@@ -111,7 +111,7 @@
         process = await self.start(name, [*arguments, *flags])
         return EndpointProcess(process, {**spec, 'address': process.url})
 
-    async def daemon(
+    async def start_daemon(
         self, platform: Process, box: str, failure_domain: str, *flags: str
     ) -> Process:
         """Start a daemon and enter it in the platform's box list."""
@@ -126,7 +126,7 @@
                 *flags,
             ],
         )  # fmt: skip
-        await enter_box(platform, process, failure_domain)
+        await register_box(platform, process, failure_domain)
         return process
 
     def write_documents(self, name: str, documents: Sequence[dict[str, Any]]) -> Path:
@@ -136,7 +136,7 @@
         return path
 
 
-async def enter_box(platform: Process, daemon: Process, failure_domain: str) -> None:
+async def register_box(platform: Process, daemon: Process, failure_domain: str) -> None:
     """Enter a daemon in the box list, as the platform does when it makes a box."""
     record = {
         'failure_domain': failure_domain,
@@ -169,7 +169,7 @@
     errors: str
 
 
-async def operate(platform: Process | None, *arguments: str, who: str = 'tester') -> CommandResult:
+async def run_cli(platform: Process | None, *arguments: str, who: str = 'tester') -> CommandResult:
     """Run the operators' command line."""
     environment = {**os.environ, 'CALICOPATH_WHO': who}
     if platform is not None:
--- a/testkit/replay/stages.py
+++ b/testkit/replay/stages.py
@@ -49,7 +49,7 @@
     def __init__(self, *, specs: dict[str, StageSpec], size_of: Callable[[PieceCall], int]) -> None:
         self.specs = specs
         self.size_of = size_of
-        self.numbers = itertools.count(1)
+        self.result_numbers = itertools.count(1)
         self.makers: dict[str, Maker] = {}
         self.kept: dict[str, Kept] = {}
         self.calls = 0
@@ -103,7 +103,7 @@
             reasons.append(reason)
         took_s = (spec.call_s + spec.piece_s * len(calls)) * maker.slow
         handles = [
-            self.make(replica, call, now + took_s + spec.result_ttl_s, took_s / len(calls))
+            self.new_result(replica, call, now + took_s + spec.result_ttl_s, took_s / len(calls))
             if not reason
             else None
             for call, reason in zip(calls, reasons, strict=True)
@@ -126,9 +126,9 @@
                 self.crossed_bytes += item.size
         return ''
 
-    def make(self, replica: Replica, call: PieceCall, until: float, work_s: float) -> str:
+    def new_result(self, replica: Replica, call: PieceCall, until: float, work_s: float) -> str:
         """Keep a new result and return its handle."""
-        handle = f'{replica.address}/{next(self.numbers)}'
+        handle = f'{replica.address}/{next(self.result_numbers)}'
         self.kept[handle] = Kept(
             replica.id, replica.failure_domain, self.size_of(call), until, work_s
         )
--- a/testkit/servers.py
+++ b/testkit/servers.py
@@ -13,7 +13,7 @@
 
 
 @contextlib.asynccontextmanager
-async def served(app: web.Application) -> AsyncIterator[str]:
+async def serve_app(app: web.Application) -> AsyncIterator[str]:
     """Yield the URL of an application while it is served."""
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
     await runner.setup()
@@ -26,7 +26,7 @@
 
 
 @contextlib.asynccontextmanager
-async def listening(
+async def serve_connections(
     serve: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]],
 ) -> AsyncIterator[str]:
     """Yield the address, `host:port`, at which each connection is served."""
@@ -39,7 +39,7 @@
 
 
 @contextlib.asynccontextmanager
-async def scripted(
+async def serve_script(
     script: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]],
 ) -> AsyncIterator[str]:
     """Yield the URL of a server that does to each connection exactly what a script says."""
@@ -49,7 +49,7 @@
             await script(reader, writer)
         writer.close()
 
-    async with listening(serve) as address:
+    async with serve_connections(serve) as address:
         yield f'http://{address}'
 
 
@@ -63,7 +63,7 @@
     return await reader.readexactly(length)
 
 
-def http_answer(body: bytes, status: str = '200 OK', headers: str = '') -> bytes:
+def http_response(body: bytes, status: str = '200 OK', headers: str = '') -> bytes:
     """Return an HTTP answer as bytes."""
     head = f'HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n{headers}\r\n'
     return head.encode() + body
--- a/testkit/virtual.py
+++ b/testkit/virtual.py
@@ -17,7 +17,7 @@
 """The wall clock when virtual time starts, in seconds since 1970."""
 
 
-class NothingLeft(RuntimeError):
+class DeadlockError(RuntimeError):
     """Report that a test waits for something that can never happen."""
 
 
@@ -31,7 +31,7 @@
     def select(self, timeout: float | None = None) -> Any:
         """Skip the waiting time."""
         if timeout is None:
-            raise NothingLeft('every task waits and no timer is set')
+            raise DeadlockError('every task waits and no timer is set')
         self.now += max(0.0, timeout)
         return super().select(0)
 
@@ -40,12 +40,12 @@
     """Tell the selector's time."""
 
     def __init__(self) -> None:
-        self.virtual = VirtualSelector()
-        super().__init__(self.virtual)
+        self.virtual_selector = VirtualSelector()
+        super().__init__(self.virtual_selector)
 
     def time(self) -> float:
         """Return virtual seconds since the loop was made."""
-        return self.virtual.now
+        return self.virtual_selector.now
 
 
 class VirtualClock(Clock):
@@ -63,7 +63,7 @@
         return WALL_START_S + self.monotonic() + self.wall_error_s
 
 
-def run_virtual(work: Coroutine[Any, Any, T]) -> T:
+def run_virtual(coroutine: Coroutine[Any, Any, T]) -> T:
     """Run a coroutine to its end on virtual time."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
-        return runner.run(work)
+        return runner.run(coroutine)
--- a/testkit/world.py
+++ b/testkit/world.py
@@ -230,7 +230,7 @@
             if task is not None:
                 task.cancel()
 
-    async def settled(self) -> None:
+    async def wait_background_tasks(self) -> None:
         """Wait until nothing goes on in the background."""
         while self.executor.late:
             await asyncio.wait(set(self.executor.late))
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -11,8 +11,8 @@
 import aiohttp
 import yaml
 
-from testkit.callers import Reply, SampleRequest, new_key, send
-from testkit.processes import ROOT, EndpointProcess, Process, ProcessGroup, operate, wait_ready
+from testkit.callers import Reply, SampleRequest, new_idempotency_key, send
+from testkit.processes import ROOT, EndpointProcess, Process, ProcessGroup, run_cli, wait_ready
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -33,15 +33,15 @@
 
     async def set_up(self) -> None:
         """Start everything and apply the example's configuration."""
-        platform = await self.group.platform()
+        platform = await self.group.start_platform()
         specs = list(yaml.safe_load_all((self.example / 'config/endpoints.yaml').read_text()))
-        started = await asyncio.gather(*(self.group.endpoint(spec) for spec in specs))
+        started = await asyncio.gather(*(self.group.start_endpoint(spec) for spec in specs))
         self.endpoints = {item.process.name: item for item in started}
         domains = sorted({spec['failure_domain'] for spec in specs})
         self.boxes = list(
             await asyncio.gather(
                 *(
-                    self.group.daemon(
+                    self.group.start_daemon(
                         platform, f'box-{n + 1}', domains[n], '--leave-grace-s', '0.2',
                         '--boxes', str(BOXES),
                     )
@@ -52,13 +52,13 @@
         addresses = self.group.write_documents('endpoints.yaml', [item.spec for item in started])
         config = self.example / 'config'
         files = [str(config / name) for name in ('templates.yaml', 'pipelines.yaml')]
-        applied = await operate(platform, 'apply', str(addresses), *files, '--wait', '10')
+        applied = await run_cli(platform, 'apply', str(addresses), *files, '--wait', '10')
         if applied.code:
             raise SystemExit(f'apply failed: {applied.errors}')
         print(applied.output.splitlines()[-1])
         for box in self.boxes:
             await wait_ready(box)
-        print((await operate(platform, 'status', '--last', '2')).output)
+        print((await run_cli(platform, 'status', '--last', '2')).output)
 
     async def send_all(self) -> list[Reply]:
         """Send every request, in turn to each box, and print what came back."""
@@ -67,7 +67,7 @@
         async with aiohttp.ClientSession() as session:
             for number, item in enumerate(samples):
                 sample = SampleRequest(**item)
-                key = None if sample.repeatable else new_key()
+                key = None if sample.repeatable else new_idempotency_key()
                 for again in range(1 + sample.twice):
                     box = self.boxes[(number + again) % len(self.boxes)]
                     reply = await send(session, box, sample, key)
--- a/tools/faults/deployment.py
+++ b/tools/faults/deployment.py
@@ -6,13 +6,13 @@
 from typing import TYPE_CHECKING, Any
 
 from testkit.callers import Reply, SampleRequest, send
-from testkit.processes import EndpointProcess, Process, ProcessGroup, operate, wait_ready
+from testkit.processes import EndpointProcess, Process, ProcessGroup, run_cli, wait_ready
 from testkit.world import SERVICES, TEMPLATES, pipeline_spec
 
 if TYPE_CHECKING:
     import aiohttp
 
-    from testkit.load import Load
+    from testkit.load import LoadGenerator
 
 BOXES = 3
 REPLICAS = 2
@@ -46,7 +46,7 @@
 
     async def start(self) -> None:
         """Start and configure everything."""
-        self.platform = await self.group.platform()
+        self.platform = await self.group.start_platform()
         specs = [
             self.endpoint_spec(service, number)
             for service in SERVICES
@@ -58,7 +58,7 @@
         documents += list(TEMPLATES.values())
         documents += [{**pipeline_spec(name), 'deadline_ms': 10_000} for name in TEMPLATES]
         path = self.group.write_documents('config.yaml', documents)
-        result = await operate(self.platform, 'apply', str(path))
+        result = await run_cli(self.platform, 'apply', str(path))
         check(result.code == 0, result.errors)
         for number in range(BOXES):
             await self.add_box(f'box-{number + 1}', DOMAINS[number])
@@ -78,11 +78,11 @@
     async def start_endpoint(self, spec: dict[str, Any]) -> EndpointProcess:
         """Start a replica; services are slow enough to be caught in the act."""
         flags = ('--service-ms', '100') if spec['stage'] == 'service' else ()
-        return await self.group.endpoint(spec, *flags)
+        return await self.group.start_endpoint(spec, *flags)
 
     async def add_box(self, name: str, domain: str, *flags: str) -> Process:
         """Start a daemon and wait until it is ready."""
-        box = await self.group.daemon(
+        box = await self.group.start_daemon(
             self.platform, name, domain, '--boxes', str(BOXES), '--leave-grace-s', '0.3', *flags
         )
         self.boxes = [item for item in self.boxes if item.name != name] + [box]
@@ -112,11 +112,11 @@
         """Send one request."""
         return await send(self.session, box, sample, key)
 
-    async def check_load(self, load: Load, *, cut: tuple[str, ...] = ()) -> None:
+    async def check_load(self, load: LoadGenerator, *, cut: tuple[str, ...] = ()) -> None:
         """Check that answers are right, keys ran at most once, and refused ones not at all."""
         ran = await self.ran()
         for item in load.results:
-            check(item.is_right, f'wrong answer: {item}')
+            check(item.is_correct, f'wrong answer: {item}')
             check(item.outcome != 'broken' or item.box in cut, f'cut: {item}')
             if item.key is None:
                 continue
--- a/tools/faults/scenarios.py
+++ b/tools/faults/scenarios.py
@@ -7,9 +7,9 @@
 import signal
 from typing import TYPE_CHECKING
 
-from testkit.callers import new_key
-from testkit.load import Load
-from testkit.processes import operate
+from testkit.callers import new_idempotency_key
+from testkit.load import LoadGenerator
+from testkit.processes import run_cli
 from testkit.world import SERVICES
 from tools.faults.deployment import (
     ACT,
@@ -30,7 +30,7 @@
 async def box_killed(deployment: Deployment) -> str:
     """Kill a daemon under load; its unfinished keys asked again elsewhere run at most once."""
     victim = deployment.boxes[0]
-    load = Load(boxes=deployment.boxes, samples=MIXED)
+    load = LoadGenerator(boxes=deployment.boxes, samples=MIXED)
     async with load.running(CLIENTS):
         await asyncio.sleep(1)
         victim.send(signal.SIGKILL)
@@ -49,7 +49,7 @@
 async def box_frozen(deployment: Deployment) -> str:
     """Freeze a daemon under load, ask its keys elsewhere, and wake it."""
     victim, other = deployment.boxes[0], deployment.boxes[1]
-    keys = [new_key() for _ in range(12)]
+    keys = [new_idempotency_key() for _ in range(12)]
     first = [asyncio.create_task(deployment.send(victim, ACT, key)) for key in keys]
     await asyncio.sleep(0.25)
     victim.send(signal.SIGSTOP)
@@ -67,7 +67,7 @@
 async def planned_stop(deployment: Deployment) -> str:
     """Stop a daemon under load: no request is cut and it exits 0."""
     victim = deployment.boxes[0]
-    load = Load(boxes=deployment.boxes, samples=MIXED)
+    load = LoadGenerator(boxes=deployment.boxes, samples=MIXED)
     async with load.running(CLIENTS):
         await asyncio.sleep(0.5)
         victim.send(signal.SIGTERM)
@@ -84,12 +84,12 @@
 
 async def drains(deployment: Deployment) -> str:
     """Drain an endpoint of each kind under load: nothing is cut, and no new work comes."""
-    load = Load(boxes=deployment.boxes, samples=MIXED)
+    load = LoadGenerator(boxes=deployment.boxes, samples=MIXED)
     names = [f'{service}-1' for service in SERVICES]
     async with load.running(CLIENTS):
         await asyncio.sleep(0.5)
         for name in names:
-            result = await operate(deployment.platform, 'endpoint', 'drain', name, *WAIT)
+            result = await run_cli(deployment.platform, 'endpoint', 'drain', name, *WAIT)
             check(result.code == 0, result.errors)
         await asyncio.sleep(0.5)
         before = [
@@ -117,26 +117,26 @@
         f'--{flag.replace("_", "-")}={spec[flag]}'
         for flag in ('service', 'stage', 'address', 'failure_domain', 'concurrency')
     ]
-    result = await operate(deployment.platform, 'endpoint', 'add', name, *flags, *WAIT)
+    result = await run_cli(deployment.platform, 'endpoint', 'add', name, *flags, *WAIT)
     check(result.code == 0, result.errors)
 
 
 async def platform_outage(deployment: Deployment) -> str:
     """Take the platform away under load; what needs no claim goes on, changes come later."""
-    load = Load(boxes=deployment.boxes, samples=MIXED)
+    load = LoadGenerator(boxes=deployment.boxes, samples=MIXED)
     async with load.running(CLIENTS):
         await asyncio.sleep(0.3)
         await deployment.faults(deployment.platform, down=True)
-        result = await operate(deployment.platform, 'endpoint', 'drain', 'drafting-1')
+        result = await run_cli(deployment.platform, 'endpoint', 'drain', 'drafting-1')
         check(result.code in (1, 4), f'a change was accepted by a platform that is down: {result}')
         # The write may have been sent twice; it must have had no effect.
         await asyncio.sleep(1)
-        refused = await deployment.send(deployment.boxes[0], ACT, new_key())
+        refused = await deployment.send(deployment.boxes[0], ACT, new_idempotency_key())
         check(refused.outcome == 'refused', f'{refused}')
         answered = await deployment.send(deployment.boxes[0], ANSWER)
         check(answered.outcome == 'answered', f'{answered}')
         await deployment.faults(deployment.platform, down=False)
-        result = await operate(deployment.platform, 'endpoint', 'drain', 'drafting-1', *WAIT)
+        result = await run_cli(deployment.platform, 'endpoint', 'drain', 'drafting-1', *WAIT)
         check(result.code == 0, result.errors)
     await deployment.check_load(load)
     await put_back(deployment, 'drafting-1')
@@ -167,7 +167,7 @@
     await deployment.faults(deployment.platform, slow_s=0.3)
     results = await asyncio.gather(
         *(
-            operate(deployment.platform, 'endpoint', command, 'rerankers-1', who=f'op-{number}')
+            run_cli(deployment.platform, 'endpoint', command, 'rerankers-1', who=f'op-{number}')
             for number, command in enumerate(commands)
         )
     )
@@ -175,7 +175,7 @@
     accepted = sum(result.code == 0 for result in results)
     check(0 < accepted < len(results), f'{accepted} accepted: the operators did not race')
     check(all(result.code in (0, 3) for result in results), f'{results}')
-    audit = await operate(
+    audit = await run_cli(
         deployment.platform, '--output', 'json', 'audit', '--key', 'endpoints/rerankers-1'
     )
     records = [item for item in json.loads(audit.output) if item['who'].startswith('op-')]
@@ -188,10 +188,10 @@
 async def lost_answers(deployment: Deployment) -> str:
     """Lose answers after the platform took the write: neither operators nor claims do it twice."""
     await deployment.faults(deployment.platform, lose_answers=2)
-    result = await operate(deployment.platform, 'endpoint', 'drain', 'encoders-1', *WAIT)
+    result = await run_cli(deployment.platform, 'endpoint', 'drain', 'encoders-1', *WAIT)
     check(result.code == 0, result.errors)
     await deployment.faults(deployment.platform, lose_answers=3)
-    key = new_key()
+    key = new_idempotency_key()
     replies = [await deployment.send(box, ACT, key) for box in deployment.boxes]
     ran = await deployment.ran()
     check(ran.get(key, 0) <= 1, f'{key} ran {ran.get(key)} times')
