--- a/bench/replay.py
+++ b/bench/replay.py
@@ -53,7 +53,7 @@
     Column('least workspace', lambda item: min(item.by_workspace.values()), '.3f'),
     Column('refused', lambda item: float(item.refused), '.0f'),
     Column('read again, 1,000 tokens', lambda item: item.reread_tokens / 1000, '.0f'),
-    Column('between zones, MB', lambda item: item.crossed_bytes / 1e6, '.0f'),
+    Column('between zones, MB', lambda item: item.cross_domain_bytes / 1e6, '.0f'),
 )
 
 
--- a/packages/core/calicopath_core/scheduling/tests/fairness_tests.py
+++ b/packages/core/calicopath_core/scheduling/tests/fairness_tests.py
@@ -10,7 +10,7 @@
 from calicopath_core.scheduling.tests.work import job, phase, queue, replica, result
 from calicopath_core.scheduling.waiting import rank
 from testkit.replay.fleet import fleet_of
-from testkit.replay.load import FLOODER
+from testkit.replay.load import FLOODING_WORKSPACE
 from testkit.replay.plain import OURS, VARIANTS
 from testkit.replay.world import replay
 
@@ -107,5 +107,5 @@
         ours, before = (replay('flood', 1, variant, fleet) for variant in (OURS, plain))
         self.assertGreater(ours.others['patient'], before.others['patient'] + 0.08)
         self.assertGreater(ours.others['urgent'], before.others['urgent'] - 0.01)
-        self.assertGreater(ours.by_workspace[FLOODER], 0.8)
+        self.assertGreater(ours.by_workspace[FLOODING_WORKSPACE], 0.8)
         self.assertGreater(ours.worth, before.worth - 0.02)
--- a/packages/daemon/calicopathd/http/tests/callers_tests.py
+++ b/packages/daemon/calicopathd/http/tests/callers_tests.py
@@ -103,7 +103,7 @@
             other = await post_request(around, PATH + 'act/requests', {'input': 'charge more'}, key)
             self.assertEqual([200, 200, 422], [first.status, again.status, other.status])
             self.assertTrue(again.json['replayed'])
-            self.assertEqual(1, around.service.ran[key])
+            self.assertEqual(1, around.service.run_counts[key])
 
         self.with_box(work)
 
@@ -136,7 +136,7 @@
                 self.assertEqual('refused-not-run', answer.json['outcome'])
             long_key = await post_request(around, PATH + 'act/requests', good, 'k' * 100)
             self.assertEqual(400, long_key.status)
-            self.assertEqual({}, around.engine.asked)
+            self.assertEqual({}, around.engine.answer_digests)
             answer = await post_request(around, PATH + 'answer/requests', good)
             self.assertEqual(200, answer.status)
 
--- a/standins/common.py
+++ b/standins/common.py
@@ -38,10 +38,10 @@
 
 def parser(doc: str) -> argparse.ArgumentParser:
     """Return a parser with the flags that every stand-in takes."""
-    found = argparse.ArgumentParser(description=doc)
-    found.add_argument('--host', default='127.0.0.1')
-    found.add_argument('--port', type=int, default=0, help='0 takes a free one')
-    return found
+    arguments = argparse.ArgumentParser(description=doc)
+    arguments.add_argument('--host', default='127.0.0.1')
+    arguments.add_argument('--port', type=int, default=0, help='0 takes a free one')
+    return arguments
 
 
 async def serve(app: web.Application, host: str, port: int) -> None:
@@ -60,6 +60,6 @@
     await runner.cleanup()
 
 
-def run(args: argparse.Namespace, new: Callable[[argparse.Namespace], web.Application]) -> None:
+def run(args: argparse.Namespace, new_application: Callable[[argparse.Namespace], web.Application]) -> None:
     """Run a stand-in as a process."""
-    asyncio.run(serve(new(args), args.host, args.port))
+    asyncio.run(serve(new_application(args), args.host, args.port))
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -32,7 +32,7 @@
     """Hold the engine's figures; times are in seconds."""
 
     concurrency: int
-    queue: int
+    queue_limit: int
     first_token_s: float
     token_s: float
     report_lag_s: float
@@ -51,10 +51,10 @@
             break
         tokens.append(encoded[position : position + size])
         position += size
-    return whole_characters(tokens)
+    return trim_to_whole_characters(tokens)
 
 
-def whole_characters(tokens: list[bytes]) -> list[bytes]:
+def trim_to_whole_characters(tokens: list[bytes]) -> list[bytes]:
     """Cut the last token so that the answer ends with a whole character."""
     joined = b''.join(tokens)
     whole = joined.decode(errors='ignore').encode()
@@ -77,8 +77,8 @@
         self.waiting: list[tuple[int, int, str, asyncio.Future[None]]] = []
         self.numbers = itertools.count()
         self.cancelled: set[str] = set()
-        self.asked: dict[str, str] = {}
-        self.report = {'running': 0, 'waiting': 0, 'measured_at': 0.0}
+        self.answer_digests: dict[str, str] = {}
+        self.load_report = {'running': 0, 'waiting': 0, 'measured_at': 0.0}
         self.cut_after: int | None = None
 
     def app(self) -> web.Application:
@@ -89,21 +89,21 @@
         app.router.add_get('/v1/load', self.load)
         app.router.add_get('/admin/asked', self.get_asked)
         app.router.add_post('/admin/faults', self.set_faults)
-        app.cleanup_ctx.append(self.keep_report)
+        app.cleanup_ctx.append(self.run_load_reports)
         return app
 
-    async def keep_report(self, app: web.Application) -> Any:
+    async def run_load_reports(self, app: web.Application) -> Any:
         """Measure the load from time to time, which makes reports lag."""
-        task = asyncio.create_task(self.measure())
+        task = asyncio.create_task(self.refresh_load_report())
         yield
         task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await task
 
-    async def measure(self) -> None:
+    async def refresh_load_report(self) -> None:
         """Refresh the report."""
         while True:
-            self.report = {
+            self.load_report = {
                 'running': len(self.running),
                 'waiting': len(self.waiting),
                 'measured_at': time.time(),
@@ -114,20 +114,20 @@
         """Stream one answer as lines of JSON."""
         body = await read_json(request)
         call = body['call']
-        if len(self.waiting) >= self.settings.queue:
+        if len(self.waiting) >= self.settings.queue_limit:
             return json_response({'error': 'queue full'}, 429, **{'Retry-After': '0.2'})
         tokens = answer_tokens(body['params'], body['input'])
         offset = body['offset']
         if b''.join(tokens[:offset]) != base64.b64decode(body['prefix']):
             return json_response({'error': 'prefix does not match'}, 400)
-        self.asked[call] = hashlib.sha256(b''.join(tokens)).hexdigest()
-        await self.enter(call, body['priority'])
+        self.answer_digests[call] = hashlib.sha256(b''.join(tokens)).hexdigest()
+        await self.acquire_slot(call, body['priority'])
         try:
             return await self.stream(request, call, tokens, offset)
         finally:
-            self.leave(call)
+            self.release_slot(call)
 
-    async def enter(self, call: str, priority: int) -> None:
+    async def acquire_slot(self, call: str, priority: int) -> None:
         """Wait for a place in the batch."""
         if len(self.running) >= self.settings.concurrency:
             future = asyncio.get_running_loop().create_future()
@@ -140,19 +140,19 @@
                     self.waiting.remove(entry)
                     heapq.heapify(self.waiting)
                 else:
-                    self.leave(call)
+                    self.release_slot(call)
                 raise
             return
         self.running.add(call)
 
-    def leave(self, call: str) -> None:
+    def release_slot(self, call: str) -> None:
         """Give the place to the next call."""
         self.running.discard(call)
         self.cancelled.discard(call)
         while self.waiting:
-            _, _, heir, future = heapq.heappop(self.waiting)
+            _, _, next_call, future = heapq.heappop(self.waiting)
             if not future.done():
-                self.running.add(heir)
+                self.running.add(next_call)
                 future.set_result(None)
                 return
 
@@ -189,11 +189,11 @@
 
     async def load(self, request: web.Request) -> web.StreamResponse:
         """Answer the lagging report."""
-        return json_response(self.report)
+        return json_response(self.load_report)
 
     async def get_asked(self, request: web.Request) -> web.StreamResponse:
         """Answer which calls came, with the digest of each one's whole answer."""
-        return json_response(self.asked)
+        return json_response(self.answer_digests)
 
     async def set_faults(self, request: web.Request) -> web.StreamResponse:
         """Cut the next stream after so many tokens."""
@@ -205,7 +205,7 @@
     """Return the stand-in's application."""
     settings = EngineSettings(
         concurrency=args.concurrency,
-        queue=args.queue,
+        queue_limit=args.queue,
         first_token_s=args.first_token_ms / 1000,
         token_s=args.token_ms / 1000,
         report_lag_s=args.report_lag_ms / 1000,
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -41,7 +41,7 @@
         self.objects: dict[str, dict[str, Any]] = {}
         self.version = 0
         self.era = 0
-        self.copied: tuple[int, dict[str, dict[str, Any]]] = (0, {})
+        self.snapshot: tuple[int, dict[str, dict[str, Any]]] = (0, {})
         self.boxes: dict[str, dict[str, Any]] = {}
         self.faults = Faults()
         self.counts: Counter[str] = Counter()
@@ -59,19 +59,19 @@
         app.router.add_delete('/admin/boxes/{name}', self.delete_box)
         app.router.add_post('/admin/faults', self.set_faults)
         app.router.add_get('/admin/counts', self.get_counts)
-        app.router.add_post('/admin/copy', self.take_copy)
+        app.router.add_post('/admin/copy', self.take_snapshot)
         app.router.add_post('/admin/restore', self.restore)
         return app
 
-    async def fault(self, request: web.Request, kind: str) -> None:
+    async def apply_faults(self, request: web.Request, kind: str) -> None:
         """Count a call and apply the faults that come before any effect."""
         self.counts[kind] += 1
         if self.faults.slow_s:
             await asyncio.sleep(self.faults.slow_s)
         if self.faults.down:
-            self.cut(request)
+            self.close_connection(request)
 
-    def cut(self, request: web.Request) -> None:
+    def close_connection(self, request: web.Request) -> None:
         """Close the caller's connection without an answer."""
         if request.transport is not None:
             request.transport.close()
@@ -79,13 +79,13 @@
 
     async def get(self, request: web.Request) -> web.StreamResponse:
         """Answer one object."""
-        await self.fault(request, 'read')
+        await self.apply_faults(request, 'read')
         found = self.objects.get(request.match_info['key'])
         return json_response(found) if found else json_response({'error': 'absent'}, 404)
 
     async def list(self, request: web.Request) -> web.StreamResponse:
         """Answer all objects below a prefix."""
-        await self.fault(request, 'read')
+        await self.apply_faults(request, 'read')
         prefix = request.query['prefix']
         found = [item for key, item in self.objects.items() if key.startswith(prefix)]
         return json_response({'objects': found})
@@ -94,7 +94,7 @@
         """Write an object if its version is the expected one."""
         key = request.match_info['key']
         value = await read_json(request)
-        await self.fault(request, 'write')
+        await self.apply_faults(request, 'write')
         held = self.objects.get(key)
         found = (held['era'], held['version']) if held else (0, 0)
         if found != (int(request.query.get('era', 0)), int(request.query['expected'])):
@@ -105,7 +105,7 @@
         self.publish(stored)
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            self.cut(request)
+            self.close_connection(request)
         return json_response(stored)
 
     def publish(self, stored: dict[str, Any]) -> None:
@@ -118,7 +118,7 @@
 
     async def watch(self, request: web.Request) -> web.StreamResponse:
         """Stream changes below a prefix until the caller leaves or the platform goes down."""
-        await self.fault(request, 'watch')
+        await self.apply_faults(request, 'watch')
         response = web.StreamResponse()
         await response.prepare(request)
         queue: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
@@ -138,7 +138,7 @@
 
     async def list_boxes(self, request: web.Request) -> web.StreamResponse:
         """Answer the box list."""
-        await self.fault(request, 'read')
+        await self.apply_faults(request, 'read')
         return json_response({'boxes': list(self.boxes.values())})
 
     async def put_box(self, request: web.Request) -> web.StreamResponse:
@@ -162,14 +162,14 @@
             self.end_watches()
         return json_response(vars(self.faults))
 
-    async def take_copy(self, request: web.Request) -> web.StreamResponse:
+    async def take_snapshot(self, request: web.Request) -> web.StreamResponse:
         """Take a copy to come back from."""
-        self.copied = (self.version, dict(self.objects))
+        self.snapshot = (self.version, dict(self.objects))
         return json_response({'version': self.version})
 
     async def restore(self, request: web.Request) -> web.StreamResponse:
         """Come back from the copy taken last."""
-        version, objects = self.copied
+        version, objects = self.snapshot
         self.version, self.objects = version, dict(objects)
         self.era += 1
         self.end_watches()
--- a/standins/service.py
+++ b/standins/service.py
@@ -25,8 +25,8 @@
     def __init__(self, *, name: str, service_s: float) -> None:
         self.name = name
         self.service_s = service_s
-        self.ran: Counter[str] = Counter()
-        self.asked: dict[str, Any] = {}
+        self.run_counts: Counter[str] = Counter()
+        self.results: dict[str, Any] = {}
         self.running = 0
         self.run_first = 0
         self.reset_first = 0
@@ -46,25 +46,25 @@
         body = await read_json(request)
         if self.reset_first > 0:
             self.reset_first -= 1
-            self.cut(request)
+            self.close_connection(request)
         self.running += 1
         try:
             await asyncio.sleep(self.service_s)
         finally:
             self.running -= 1
-        self.ran[body.get('idempotency_key') or body['call']] += 1
+        self.run_counts[body.get('idempotency_key') or body['call']] += 1
         result = {
             'service': self.name,
             'operation': body['params'].get('operation', ''),
             'text': body['input']['text'],
         }
-        self.asked[body['call']] = result
+        self.results[body['call']] = result
         if self.run_first > 0:
             self.run_first -= 1
-            self.cut(request)
+            self.close_connection(request)
         return json_response({'call': body['call'], 'output': {'result': result}})
 
-    def cut(self, request: web.Request) -> None:
+    def close_connection(self, request: web.Request) -> None:
         """Close the caller's connection without an answer."""
         assert request.transport is not None
         request.transport.abort()
@@ -76,11 +76,11 @@
 
     async def get_ran(self, request: web.Request) -> web.StreamResponse:
         """Answer how often each key ran."""
-        return json_response(self.ran)
+        return json_response(self.run_counts)
 
     async def get_asked(self, request: web.Request) -> web.StreamResponse:
         """Answer every call run, with its result."""
-        return json_response(self.asked)
+        return json_response(self.results)
 
     async def set_faults(self, request: web.Request) -> web.StreamResponse:
         """Set how many of the next calls are cut, after or before they run."""
--- a/standins/stagepool.py
+++ b/standins/stagepool.py
@@ -45,7 +45,7 @@
     return {'documents': sorted(data['documents'], key=score)[:keep]}
 
 
-WORK = {'encoder': encode, 'retriever': retrieve, 'reranker': rerank}
+STAGE_FUNCTIONS = {'encoder': encode, 'retriever': retrieve, 'reranker': rerank}
 
 
 class StagePoolStandIn:
@@ -57,7 +57,7 @@
         self.service_s = service_s
         self.running = 0
         self.waiting = 0
-        self.asked: dict[str, Any] = {}
+        self.outputs: dict[str, Any] = {}
 
     def app(self) -> web.Application:
         """Return the HTTP application."""
@@ -78,8 +78,8 @@
                 await asyncio.sleep(self.service_s)
             finally:
                 self.running -= 1
-        output = WORK[self.kind](body['input'], body['params'])
-        self.asked[body['call']] = output
+        output = STAGE_FUNCTIONS[self.kind](body['input'], body['params'])
+        self.outputs[body['call']] = output
         return json_response({'call': body['call'], 'output': output})
 
     async def load(self, request: web.Request) -> web.StreamResponse:
@@ -90,7 +90,7 @@
 
     async def get_asked(self, request: web.Request) -> web.StreamResponse:
         """Answer every call answered, with its output."""
-        return json_response(self.asked)
+        return json_response(self.outputs)
 
 
 def new_stage_pool(args: argparse.Namespace) -> web.Application:
@@ -102,7 +102,7 @@
 
 if __name__ == '__main__':
     found = parser(__doc__ or '')
-    found.add_argument('--kind', choices=sorted(WORK), required=True)
+    found.add_argument('--kind', choices=sorted(STAGE_FUNCTIONS), required=True)
     found.add_argument('--concurrency', type=int, default=8)
     found.add_argument('--service-ms', type=float, default=10)
     run(found.parse_args(), new_stage_pool)
--- a/testkit/daemon.py
+++ b/testkit/daemon.py
@@ -25,7 +25,7 @@
     import aiohttp
 
 ENGINE_SETTINGS = EngineSettings(
-    concurrency=8, queue=64, first_token_s=0.0, token_s=0.0, report_lag_s=0.1
+    concurrency=8, queue_limit=64, first_token_s=0.0, token_s=0.0, report_lag_s=0.1
 )
 
 
--- a/testkit/fake_endpoints.py
+++ b/testkit/fake_endpoints.py
@@ -32,7 +32,7 @@
 )
 from calicopath_core.structure.stages import StageKind
 from standins.engine import answer_tokens
-from standins.stagepool import WORK
+from standins.stagepool import STAGE_FUNCTIONS
 from testkit.fake_store import Gate
 
 if TYPE_CHECKING:
@@ -259,7 +259,7 @@
         if endpoint.kind is StageKind.SERVICE:
             result = {'operation': call.params.get('operation'), 'text': call.input['text']}
             return StageOutput(result=result)
-        output: StageOutput = WORK[endpoint.kind.value](dict(call.input), call.params)  # type: ignore[assignment]
+        output: StageOutput = STAGE_FUNCTIONS[endpoint.kind.value](dict(call.input), call.params)  # type: ignore[assignment]
         return output
 
     async def serve(self, target: FakeEndpoint, call: StageCall) -> None:
--- a/testkit/replay/engines.py
+++ b/testkit/replay/engines.py
@@ -9,11 +9,11 @@
     from calicopath_core.fleet.deployment import EngineSpec
     from calicopath_core.scheduling.messages import Prompt
 
-PREFILL_S_A_TOKEN = 1 / 32_400
-FIRST_S = 0.064
-STEP_S = 0.00612
-STEP_S_A_RUN = 0.0000234
-AGAIN_WITHIN_S = 9.5
+PREFILL_S_PER_TOKEN = 1 / 32_400
+FIRST_EVENT_S = 0.064
+DECODE_STEP_S = 0.00612
+DECODE_STEP_S_PER_RUN = 0.0000234
+REREAD_WINDOW_S = 9.5
 
 
 class ReplayEngine:
@@ -23,27 +23,27 @@
         self.spec = spec
         self.free_at = 0.0
         self.running = 0
-        self.parts: OrderedDict[str, int] = OrderedDict()
-        self.held = 0
+        self.cached_parts: OrderedDict[str, int] = OrderedDict()
+        self.cached_tokens = 0
 
-    def read(self, prompt: Prompt, now: float) -> tuple[float, int]:
+    def prefill(self, prompt: Prompt, now: float) -> tuple[float, int]:
         """Return when the first event comes and how many tokens had to be read."""
         kept = 0
         for part in prompt.parts:
-            if part.id not in self.parts:
+            if part.id not in self.cached_parts:
                 break
             kept += part.tokens
         uncached = max(0, prompt.tokens_in - kept)
-        self.free_at = max(now, self.free_at) + uncached * PREFILL_S_A_TOKEN
+        self.free_at = max(now, self.free_at) + uncached * PREFILL_S_PER_TOKEN
         for part in prompt.parts:
-            if part.id not in self.parts:
-                self.held += part.tokens
-            self.parts[part.id] = part.tokens
-            self.parts.move_to_end(part.id)
-        while self.held > self.spec.kv_tokens:
-            self.held -= self.parts.popitem(last=False)[1]
-        return self.free_at + FIRST_S, uncached
+            if part.id not in self.cached_parts:
+                self.cached_tokens += part.tokens
+            self.cached_parts[part.id] = part.tokens
+            self.cached_parts.move_to_end(part.id)
+        while self.cached_tokens > self.spec.kv_tokens:
+            self.cached_tokens -= self.cached_parts.popitem(last=False)[1]
+        return self.free_at + FIRST_EVENT_S, uncached
 
     def decode_s(self, tokens: int) -> float:
         """Return what so many tokens take beside what runs now."""
-        return tokens * (STEP_S + STEP_S_A_RUN * self.running)
+        return tokens * (DECODE_STEP_S + DECODE_STEP_S_PER_RUN * self.running)
--- a/testkit/replay/fleet.py
+++ b/testkit/replay/fleet.py
@@ -9,7 +9,7 @@
 from calicopath_core.scheduling.messages import PhaseWork
 
 ENGINE = 'engine'
-FIRST, SECOND, THIRD = 'retrieve', 'rank', 'check'
+RETRIEVE, RANK, CHECK = 'retrieve', 'rank', 'check'
 LARGE_RESULT, MIDDLE_RESULT, SMALL_RESULT = 1_500_000, 60_000, 6_000
 
 
@@ -24,7 +24,7 @@
 
     name: str
     priority: int
-    rate: float
+    rate_per_s: float
     objective_s: float
     deadline_s: float
     worth: float
@@ -63,8 +63,8 @@
     failure_domains: int
     engines: int
     stages: dict[str, int]
-    specs: dict[str, StageSpec]
-    engine: EngineSpec
+    stage_specs: dict[str, StageSpec]
+    engine_spec: EngineSpec
     scale: float
     kinds: tuple[JobKind, ...] = KINDS
     warmup: WarmupSpec | None = None
@@ -88,9 +88,9 @@
 
 
 SPECS = {
-    FIRST: StageSpec(1, 8, 0.2, 0.021, 18_000_000, 4.0),
-    SECOND: StageSpec(1, 16, 0.2, 0.011, 2_100_000, 4.0),
-    THIRD: StageSpec(1, 22, 0.2, 0.0078, 290_000, 4.0),
+    RETRIEVE: StageSpec(1, 8, 0.2, 0.021, 18_000_000, 4.0),
+    RANK: StageSpec(1, 16, 0.2, 0.011, 2_100_000, 4.0),
+    CHECK: StageSpec(1, 22, 0.2, 0.0078, 290_000, 4.0),
 }
 USUAL_BOXES = 195
 
@@ -102,27 +102,27 @@
     def share(count: int) -> int:
         return max(2, round(count * scale))
 
-    stages = {FIRST: share(11), SECOND: share(18), THIRD: share(21)}
+    stages = {RETRIEVE: share(11), RANK: share(18), CHECK: share(21)}
     return Fleet(boxes, failure_domains, share(39), stages, SPECS, EngineSpec(48, 266_342), scale)
 
 
 SHIFTED_SPECS = {
-    FIRST: StageSpec(1, 11, 0.2, 0.01527, 24_750_000, 4.0),
-    SECOND: StageSpec(1, 47, 0.2, 0.00362, 6_110_000, 4.0),
-    THIRD: StageSpec(1, 68, 0.2, 0.0025, 910_000, 4.0),
+    RETRIEVE: StageSpec(1, 11, 0.2, 0.01527, 24_750_000, 4.0),
+    RANK: StageSpec(1, 47, 0.2, 0.00362, 6_110_000, 4.0),
+    CHECK: StageSpec(1, 68, 0.2, 0.0025, 910_000, 4.0),
 }
 
 
 def shifted_fleet() -> Fleet:
     """Return a fleet of 86 boxes and many small engines that may turn cold."""
-    stages = {FIRST: 10, SECOND: 8, THIRD: 9}
+    stages = {RETRIEVE: 10, RANK: 8, CHECK: 9}
     return Fleet(
         boxes=86,
         failure_domains=4,
         engines=70,
         stages=stages,
-        specs=SHIFTED_SPECS,
-        engine=EngineSpec(24, 207_683),
+        stage_specs=SHIFTED_SPECS,
+        engine_spec=EngineSpec(24, 207_683),
         scale=1.0,
         kinds=SHIFTED_KINDS,
         warmup=WarmupSpec(6.7),
@@ -135,9 +135,9 @@
     JobKind('patient', 2, 6.53, 2.5, 10.0, 0.42, 0.063, 0.4, 6, True, 103, 39, 69, 160, 543, 280),
 )
 HURRIED_SPECS = {
-    FIRST: StageSpec(1, 5, 0.2, 0.0336, 11_250_000, 4.0),
-    SECOND: StageSpec(1, 20, 0.2, 0.00852, 2_583_000, 4.0),
-    THIRD: StageSpec(1, 33, 0.2, 0.00521, 429_000, 4.0),
+    RETRIEVE: StageSpec(1, 5, 0.2, 0.0336, 11_250_000, 4.0),
+    RANK: StageSpec(1, 20, 0.2, 0.00852, 2_583_000, 4.0),
+    CHECK: StageSpec(1, 33, 0.2, 0.00521, 429_000, 4.0),
 }
 
 
@@ -147,9 +147,9 @@
         boxes=6,
         failure_domains=3,
         engines=6,
-        stages={FIRST: 3, SECOND: 3, THIRD: 3},
-        specs=HURRIED_SPECS,
-        engine=EngineSpec(64, 343_821),
+        stages={RETRIEVE: 3, RANK: 3, CHECK: 3},
+        stage_specs=HURRIED_SPECS,
+        engine_spec=EngineSpec(64, 343_821),
         scale=1.0,
         kinds=HURRIED_KINDS,
     )
@@ -159,10 +159,10 @@
     """Return the phases of one request with so many large results and last pieces."""
     found = []
     if kind.large_pieces:
-        found.append(PhaseWork(FIRST, (), LARGE_RESULT, large))
+        found.append(PhaseWork(RETRIEVE, (), LARGE_RESULT, large))
     if kind.chained:
         begin = len(found)
-        found.append(PhaseWork(FIRST, (), 8_000, 1))
-        found.append(PhaseWork(SECOND, (begin,), MIDDLE_RESULT, 6))
-        found.append(PhaseWork(THIRD, (begin + 1,), SMALL_RESULT, checks))
+        found.append(PhaseWork(RETRIEVE, (), 8_000, 1))
+        found.append(PhaseWork(RANK, (begin,), MIDDLE_RESULT, 6))
+        found.append(PhaseWork(CHECK, (begin + 1,), SMALL_RESULT, checks))
     return tuple(found)
--- a/testkit/replay/outcomes.py
+++ b/testkit/replay/outcomes.py
@@ -34,7 +34,7 @@
 class Figures(NamedTuple):
     """Hold the figures of one replay; shares are of worth owed, bytes and tokens are totals.
 
-    `others` are the shares by kind of the workspaces that do not flood, `most_cold_starts` the most
+    `others` are the shares by kind of the workspaces that do not flood, `max_cold_starts` the most
     runs that reached one cold engine within a second.
     """
 
@@ -45,39 +45,39 @@
     others: dict[str, float]
     refused: int
     reread_tokens: int
-    crossed_bytes: int
+    cross_domain_bytes: int
     stage_work_s: float
     calls: int
-    without_room: int
-    most_cold_starts: int
+    rejected_for_space: int
+    max_cold_starts: int
     cost_ms: float
 
 
-def share(outcomes: list[Outcome]) -> float:
+def worth_share(outcomes: list[Outcome]) -> float:
     """Return the worth earned of that owed."""
     owed = sum(item.arrival.kind.worth for item in outcomes)
     return sum(item.worth for item in outcomes) / owed if owed else 1.0
 
 
-def by_kind(outcomes: list[Outcome]) -> dict[str, float]:
+def worth_by_kind(outcomes: list[Outcome]) -> dict[str, float]:
     """Return the share earned of each kind."""
     names = {item.arrival.kind.name for item in outcomes}
     return {
-        name: share([item for item in outcomes if item.arrival.kind.name == name])
+        name: worth_share([item for item in outcomes if item.arrival.kind.name == name])
         for name in sorted(names)
     }
 
 
-def by_workspace(outcomes: list[Outcome]) -> dict[str, float]:
+def worth_by_workspace(outcomes: list[Outcome]) -> dict[str, float]:
     """Return the share earned of each workspace."""
     names = {item.arrival.workspace for item in outcomes}
     return {
-        name: share([item for item in outcomes if item.arrival.workspace == name])
+        name: worth_share([item for item in outcomes if item.arrival.workspace == name])
         for name in sorted(names)
     }
 
 
-def worst_window(outcomes: list[Outcome]) -> float:
+def min_window_share(outcomes: list[Outcome]) -> float:
     """Return the least share earned of the requests sent within a window."""
     last = max((item.arrival.at for item in outcomes), default=0.0)
     starts = [number * WINDOW_S / 2 for number in range(int(last / WINDOW_S) * 2)]
@@ -85,4 +85,4 @@
         [item for item in outcomes if start <= item.arrival.at < start + WINDOW_S]
         for start in starts
     ]
-    return min((share(window) for window in windows if window), default=1.0)
+    return min((worth_share(window) for window in windows if window), default=1.0)
--- a/testkit/replay/plain.py
+++ b/testkit/replay/plain.py
@@ -34,11 +34,11 @@
         return set()
 
 
-SAME_AHEAD_S = 0.8
+FIXED_BACKLOG_S = 0.8
 
 
-class SameAhead(Pacing):
-    """Let as many seconds of work be begun ahead of every stage, whatever comes before it."""
+class FixedBacklog(Pacing):
+    """Let as many seconds of work be started ahead of every stage, whatever comes before it."""
 
     def find_held(self, jobs: Iterable[Job], queues: Mapping[str, StageQueue]) -> set[str]:
         """Hold jobs back by that."""
@@ -47,7 +47,7 @@
             for number, phase in enumerate(job.place.phases):
                 queue = queues[phase.service]
                 job.allowed_backlog_s[number] = (
-                    SAME_AHEAD_S * queue.pieces_per_s() / full_batch_rate(queue)
+                    FIXED_BACKLOG_S * queue.pieces_per_s() / full_batch_rate(queue)
                 )
         return super().find_held(listed, queues)
 
@@ -77,9 +77,9 @@
     scheduler.stages.pacing = NoPacing()
 
 
-def with_same_ahead(scheduler: Scheduler) -> None:
+def with_fixed_backlog(scheduler: Scheduler) -> None:
     """Hold jobs back by the same seconds of work for every stage."""
-    scheduler.stages.pacing = SameAhead()
+    scheduler.stages.pacing = FixedBacklog()
 
 
 def without_admission(scheduler: Scheduler) -> None:
@@ -87,7 +87,7 @@
     scheduler.admission = NoAdmission()
 
 
-class RanksAlone(Evenness):
+class StrictRanks(Evenness):
     """Let every rank give way to those before it, however it fares."""
 
     def effective_rank(self, rank: int) -> int:
@@ -95,15 +95,15 @@
         return rank
 
 
-def with_ranks_alone(scheduler: Scheduler) -> None:
+def with_strict_ranks(scheduler: Scheduler) -> None:
     """Let ranks alone decide which kinds give way."""
-    scheduler.evenness = RanksAlone()
+    scheduler.evenness = StrictRanks()
 
 
-def without_start_bound(scheduler: Scheduler) -> None:
+def without_start_limit(scheduler: Scheduler) -> None:
     """Let any number of runs begin at an engine within a second."""
-    for board in scheduler.engine_pools.values():
-        board.start_limit = None
+    for pool in scheduler.engine_pools.values():
+        pool.start_limit = None
 
 
 OURS = Variant('ours')
@@ -111,8 +111,8 @@
     OURS,
     Variant('no allowances', without_allowances),
     Variant('no pacing', without_pacing),
-    Variant('same ahead', with_same_ahead),
+    Variant('same ahead', with_fixed_backlog),
     Variant('no door', without_admission),
-    Variant('ranks alone', with_ranks_alone),
-    Variant('no start bound', without_start_bound),
+    Variant('ranks alone', with_strict_ranks),
+    Variant('no start bound', without_start_limit),
 )
--- a/testkit/replay/watching.py
+++ b/testkit/replay/watching.py
@@ -47,7 +47,7 @@
 
     def __init__(self) -> None:
         self.depth = 0
-        self.spent_s = 0.0
+        self.cpu_s = 0.0
 
     def wrap(self, target: Any, names: tuple[str, ...]) -> None:
         """Time some methods of an object."""
@@ -59,12 +59,12 @@
 
         def run(*args: Any, **named: Any) -> Any:
             self.depth += 1
-            begun = time.process_time()
+            started = time.process_time()
             try:
                 return work(*args, **named)
             finally:
                 self.depth -= 1
                 if self.depth == 0:
-                    self.spent_s += time.process_time() - begun
+                    self.cpu_s += time.process_time() - started
 
         return run
--- a/testkit/replay/world.py
+++ b/testkit/replay/world.py
@@ -23,10 +23,10 @@
 from calicopath_core.scheduling.starts import WarmupTerms
 from testkit.ledgers import new_guard
 from testkit.replay import outcomes as counting
-from testkit.replay.blows import strike_replicas, take_failure_domain_out
-from testkit.replay.engines import AGAIN_WITHIN_S, ReplayEngine
+from testkit.replay.faults import disturb_replicas, evacuate_failure_domain
+from testkit.replay.engines import REREAD_WINDOW_S, ReplayEngine
 from testkit.replay.fleet import ENGINE, Fleet, fleet_of
-from testkit.replay.load import FLOODER, PATTERNS, Arrival, Blow, Generator, Pattern
+from testkit.replay.load import FLOODING_WORKSPACE, PATTERNS, Arrival, Fault, LoadGenerator, Pattern
 from testkit.replay.outcomes import Figures, Outcome
 from testkit.replay.stages import ReplayStages
 from testkit.replay.watching import CountingObserver, Stopwatch
@@ -47,29 +47,29 @@
 """How far a cold engine's rate may be passed."""
 
 
-NOTICED_S = 0.75
+DETECTION_DELAY_S = 0.75
 """After what time boxes give a silent scheduler up."""
 
 DOWN_S = 1.4
 """How long everything is away after it was killed."""
 
-RETURN_S = 0.5
+RETURN_SPREAD_S = 0.5
 """Within what time callers come back whose boxes were killed."""
 
-TRIES = 2
+MAX_ATTEMPTS = 2
 RETRY_SHARE = 1 / 3
 """Callers wait as long as they are told, but at most this share of the time they have left."""
 
-TIMED = ('on_place', 'on_started', 'on_ended', 'tick', 'advance')
-TIMED_STAGES = ('dispatch', 'on_freed', 'on_result')
-TIMED_RELEASE = ('report_results', 'free_read', 'on_fetched')
+TIMED_METHODS = ('on_place', 'on_started', 'on_ended', 'tick', 'advance')
+TIMED_STAGE_METHODS = ('dispatch', 'on_freed', 'on_result')
+TIMED_RELEASE_METHODS = ('report_results', 'free_read', 'on_fetched')
 
 
 class Variant(NamedTuple):
     """Name a scheduler to replay against; `change` swaps mechanisms of a new one."""
 
     name: str
-    change: Callable[[Scheduler], None] = lambda scheduler: None
+    apply: Callable[[Scheduler], None] = lambda scheduler: None
 
 
 class World:
@@ -80,29 +80,29 @@
         self.pattern = pattern
         self.rng = random.Random(seed + 1)
         self.variant = variant
-        self.arrivals = Generator(fleet=fleet, pattern=pattern, seed=seed).arrivals()
+        self.arrivals = LoadGenerator(fleet=fleet, pattern=pattern, seed=seed).arrivals()
         self.clock = VirtualClock()
         self.table = ReplicaTable()
         self.sizes: dict[tuple[str, int], int] = {}
-        self.stages = ReplayStages(specs=fleet.specs, size_of=self.size_of)
+        self.stages = ReplayStages(specs=fleet.stage_specs, size_of=self.size_of)
         self.engines = {
-            item.id: ReplayEngine(spec=fleet.engine)
+            item.id: ReplayEngine(spec=fleet.engine_spec)
             for item in fleet.replicas()
             if item.service == ENGINE
         }
         self.failure_domains = {item.id: item.failure_domain for item in fleet.replicas()}
         self.observer = CountingObserver()
         self.stopwatch = Stopwatch()
-        self.asked: dict[str, PendingJob] = {}
+        self.pending_jobs: dict[str, PendingJob] = {}
         self.scheduler: Scheduler | None = None
-        self.running: asyncio.Task[None] | None = None
+        self.scheduler_task: asyncio.Task[None] | None = None
         self.down_until = 0.0
-        self.deaths = 0
-        self.cold: set[str] = set()
+        self.scheduler_restarts = 0
+        self.cold_engines: set[str] = set()
         self.cold_starts: dict[str, list[float]] = {}
-        self.read_at: dict[str, float] = {}
+        self.last_read_at: dict[str, float] = {}
         self.reread_tokens = 0
-        self.used_s = 0.0
+        self.used_work_s = 0.0
         self.outcomes: list[Outcome] = []
 
     def size_of(self, call: PieceCall) -> int:
@@ -112,7 +112,7 @@
     def new_scheduler(self) -> Scheduler:
         """Start a scheduler that knows nothing yet."""
         for replica in self.fleet.replicas():
-            if replica.id not in self.table.replicas and not self.stages.maker(replica.id).dead:
+            if replica.id not in self.table.replicas and not self.stages.state_of(replica.id).is_dead:
                 self.table.put(replica)
         found = Scheduler(
             clock=self.clock,
@@ -120,23 +120,23 @@
             caller=self.stages,
             send=self.send,
             observer=self.observer,
-            own_address=f'scheduler-{self.deaths}',
+            own_address=f'scheduler-{self.scheduler_restarts}',
             share_of=lambda replicas: replicas,
             crashes=new_guard(),
             warmup=WARMUP_TERMS,
         )
         found.on_deployment(self.deployment())
-        self.variant.change(found)
-        self.stopwatch.wrap(found, TIMED)
-        self.stopwatch.wrap(found.stages, TIMED_STAGES)
-        self.stopwatch.wrap(found.stages.release, TIMED_RELEASE)
-        self.running = asyncio.create_task(found.run())
+        self.variant.apply(found)
+        self.stopwatch.wrap(found, TIMED_METHODS)
+        self.stopwatch.wrap(found.stages, TIMED_STAGE_METHODS)
+        self.stopwatch.wrap(found.stages.release, TIMED_RELEASE_METHODS)
+        self.scheduler_task = asyncio.create_task(found.run())
         return found
 
     def deployment(self) -> Deployment:
         """Return the services that there are."""
-        stages = [ServiceSpec(name, '', 100, spec, None) for name, spec in self.fleet.specs.items()]
-        engine = ServiceSpec(ENGINE, '', 100, None, self.fleet.engine, self.fleet.warmup)
+        stages = [ServiceSpec(name, '', 100, spec, None) for name, spec in self.fleet.stage_specs.items()]
+        engine = ServiceSpec(ENGINE, '', 100, None, self.fleet.engine_spec, self.fleet.warmup)
         return Deployment(
             version=1,
             routes=(),
@@ -151,15 +151,15 @@
 
     def on_message(self, message: msgspec.Struct) -> None:
         """Take a scheduler's answer in."""
-        asked = self.asked.get(getattr(message, 'job', ''))
-        if asked is None:
+        pending = self.pending_jobs.get(getattr(message, 'job', ''))
+        if pending is None:
             return
         if isinstance(message, Progress):
-            asked.on_progress(message)
-        elif isinstance(message, Placed | Rejected) and not asked.answer.done():
-            asked.answer.set_result(message)  # type: ignore[arg-type]
+            pending.on_progress(message)
+        elif isinstance(message, Placed | Rejected) and not pending.answer.done():
+            pending.answer.set_result(message)  # type: ignore[arg-type]
 
-    def tell(self, message: msgspec.Struct) -> None:
+    def send_to_scheduler(self, message: msgspec.Struct) -> None:
         """Bring a box's message to the scheduler of the moment."""
 
         def arrive() -> None:
@@ -177,63 +177,63 @@
 
         asyncio.get_running_loop().call_later(NETWORK_S, arrive)
 
-    async def play(self) -> Figures:
+    async def run(self) -> Figures:
         """Replay the pattern and return its figures."""
         self.scheduler = self.new_scheduler()
-        blows = [asyncio.create_task(self.strike(blow)) for blow in self.pattern.blows]
-        callers = [asyncio.create_task(self.call(item)) for item in self.arrivals]
+        faults = [asyncio.create_task(self.apply_fault(fault)) for fault in self.pattern.faults]
+        callers = [asyncio.create_task(self.run_caller(item)) for item in self.arrivals]
         await asyncio.gather(*callers)
-        await asyncio.gather(*blows)
+        await asyncio.gather(*faults)
         await self.stop_scheduler()
         return self.figures()
 
-    async def strike(self, blow: Blow) -> None:
+    async def apply_fault(self, fault: Fault) -> None:
         """Let something happen to replicas or the scheduler."""
-        await asyncio.sleep(blow.at)
-        if blow.what == 'killed':
+        await asyncio.sleep(fault.at)
+        if fault.kind == 'killed':
             self.down_until = self.clock.monotonic() + DOWN_S
-            self.deaths += 1
+            self.scheduler_restarts += 1
             await self.stop_scheduler()
             await asyncio.sleep(DOWN_S)
-            await self.start_next(with_jobs=False)
-        elif blow.what == 'silent':
-            self.deaths += 1
+            await self.start_successor(with_jobs=False)
+        elif fault.kind == 'silent':
+            self.scheduler_restarts += 1
             await self.stop_scheduler()
-            await asyncio.sleep(NOTICED_S)
-            await self.start_next(with_jobs=True)
-        elif blow.what == 'out':
-            await take_failure_domain_out(self, blow)
+            await asyncio.sleep(DETECTION_DELAY_S)
+            await self.start_successor(with_jobs=True)
+        elif fault.kind == 'out':
+            await evacuate_failure_domain(self, fault)
         else:
-            await strike_replicas(self, blow)
+            await disturb_replicas(self, fault)
 
     async def stop_scheduler(self) -> None:
-        """End the scheduler and its calls; what replicas have begun they finish."""
+        """End the scheduler and its calls; what replicas have started they finish."""
         scheduler, self.scheduler = self.scheduler, None
-        if scheduler is None or self.running is None:
+        if scheduler is None or self.scheduler_task is None:
             return
         self.table.listeners.remove(scheduler.on_replicas)
-        tasks = [self.running, *scheduler.stages.tasks]
+        tasks = [self.scheduler_task, *scheduler.stages.tasks]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def start_next(self, *, with_jobs: bool) -> None:
+    async def start_successor(self, *, with_jobs: bool) -> None:
         """Start the next scheduler; boxes that live ask it for what the last one left."""
         self.scheduler = self.new_scheduler()
-        waiting = [item for item in self.asked.values() if not item.answer.done()]
+        waiting = [item for item in self.pending_jobs.values() if not item.answer.done()]
         self.scheduler.stages.on_take_over(has_work=with_jobs and bool(waiting))
         if with_jobs:
             now = self.clock.monotonic()
-            for asked in waiting:
-                asked.schedulers.append(self.scheduler.own_address)
-                self.tell(asked.request(now, silent_scheduler='gone'))
+            for pending in waiting:
+                pending.schedulers.append(self.scheduler.own_address)
+                self.send_to_scheduler(pending.request(now, silent_scheduler='gone'))
 
-    async def call(self, arrival: Arrival) -> None:
+    async def run_caller(self, arrival: Arrival) -> None:
         """Send one request and, if it may, once more."""
         await asyncio.sleep(arrival.at)
         refusals = 0
         answered: float | None = None
-        for number in range(TRIES):
+        for number in range(MAX_ATTEMPTS):
             if self.clock.monotonic() < self.down_until:
                 await self.wait_for_boxes()
             left_s = arrival.at + arrival.kind.deadline_s - self.clock.monotonic()
@@ -250,38 +250,38 @@
     async def wait_for_boxes(self) -> None:
         """Wait until boxes are back, each caller a little differently."""
         back_s = self.down_until - self.clock.monotonic()
-        await asyncio.sleep(back_s + RETURN_S * self.rng.random())
+        await asyncio.sleep(back_s + RETURN_SPREAD_S * self.rng.random())
 
     async def attempt(self, arrival: Arrival, number: int, left_s: float) -> float:
         """Make one try; return 0 if its answer began, else when the caller may come back."""
         name = f'{arrival.name}-{number}'
         for index, phase in enumerate(arrival.phases):
             self.sizes[name, index] = phase.result_bytes
-        place = self.question(arrival, name, left_s)
-        asked = self.asked[name] = PendingJob(place=place, now=self.clock.monotonic())
-        deaths = self.deaths
-        self.tell(place)
+        place = self.place_request(arrival, name, left_s)
+        pending = self.pending_jobs[name] = PendingJob(place=place, now=self.clock.monotonic())
+        scheduler_restarts = self.scheduler_restarts
+        self.send_to_scheduler(place)
         try:
             async with asyncio.timeout(left_s):
-                answer: Any = await self.answer_of(asked, deaths)
+                answer: Any = await self.wait_answer(pending, scheduler_restarts)
         except TimeoutError:
-            self.forget(name)
+            self.end_job(name)
             return left_s
         if answer is None or isinstance(answer, Rejected):
-            self.forget(name)
+            self.end_job(name)
             return 1.0 if answer is None else max(0.001, answer.retry_after_s)
         return await self.run_engine(arrival, name, answer)
 
-    async def answer_of(self, asked: PendingJob, deaths: int) -> Any:
+    async def wait_answer(self, pending: PendingJob, scheduler_restarts: int) -> Any:
         """Return a scheduler's answer, or nothing if the box that asked died first."""
-        while not asked.answer.done():
-            await asyncio.wait({asked.answer}, timeout=0.05)
+        while not pending.answer.done():
+            await asyncio.wait({pending.answer}, timeout=0.05)
             if self.clock.monotonic() < self.down_until:
                 return None
-        return asked.answer.result()
+        return pending.answer.result()
 
-    def question(self, arrival: Arrival, name: str, left_s: float) -> PlaceJob:
-        """Return what the scheduler is asked."""
+    def place_request(self, arrival: Arrival, name: str, left_s: float) -> PlaceJob:
+        """Return the request that asks the scheduler to place the job."""
         kind = arrival.kind
         return PlaceJob(
             job=name,
@@ -303,22 +303,22 @@
         engine, failure_domain = self.engines[placed.replica], self.failure_domains[placed.replica]
         await asyncio.sleep(NETWORK_S)
         for handle in placed.inputs:
-            item = self.stages.kept.get(handle)
+            item = self.stages.results.get(handle)
             if item is None:
-                self.stages.gone += 1
-                self.forget(name)
+                self.stages.missing_inputs += 1
+                self.end_job(name)
                 return 0.01
-            self.used_s += item.work_s
+            self.used_work_s += item.work_s
             if item.failure_domain != failure_domain:
-                self.stages.crossed_bytes += item.size
+                self.stages.cross_domain_bytes += item.size
         now = self.clock.monotonic()
-        if placed.replica in self.cold:
+        if placed.replica in self.cold_engines:
             self.cold_starts.setdefault(placed.replica, []).append(now)
         self.count_reread(arrival, engine, now)
-        first_at, _ = engine.read(arrival.prompt, now)
+        first_at, _ = engine.prefill(arrival.prompt, now)
         engine.running += 1
         await asyncio.sleep(first_at - now)
-        self.tell(Started(job=name, sender='box'))
+        self.send_to_scheduler(Started(job=name, sender='box'))
         decode_s = engine.decode_s(arrival.prompt.tokens_out)
         asyncio.get_running_loop().call_later(decode_s, self.end_run, engine, name)
         return 0.0
@@ -327,45 +327,45 @@
         """Count the shared parts that are read though an engine has read them lately."""
         kept = True
         for part in arrival.prompt.parts[:-1]:
-            kept = kept and part.id in engine.parts
-            read_at = self.read_at.get(part.id)
-            if not kept and read_at is not None and now - read_at < AGAIN_WITHIN_S:
+            kept = kept and part.id in engine.cached_parts
+            read_at = self.last_read_at.get(part.id)
+            if not kept and read_at is not None and now - read_at < REREAD_WINDOW_S:
                 self.reread_tokens += part.tokens
-            self.read_at[part.id] = now
+            self.last_read_at[part.id] = now
 
     def end_run(self, engine: ReplayEngine, name: str) -> None:
         """End a run."""
         engine.running -= 1
-        self.forget(name)
+        self.end_job(name)
 
-    def forget(self, name: str) -> None:
+    def end_job(self, name: str) -> None:
         """Tell that a job is over."""
-        self.asked.pop(name, None)
-        self.tell(RunEnded(job=name, sender='box', failed=False))
+        self.pending_jobs.pop(name, None)
+        self.send_to_scheduler(RunEnded(job=name, sender='box', failed=False))
 
     def figures(self) -> Figures:
         """Return what was measured."""
-        jobs = max(1, len(self.asked) + len(self.outcomes))
+        jobs = max(1, len(self.pending_jobs) + len(self.outcomes))
         return Figures(
-            worth=counting.share(self.outcomes),
-            worst_window=counting.worst_window(self.outcomes),
-            by_kind=counting.by_kind(self.outcomes),
-            by_workspace=counting.by_workspace(self.outcomes),
-            others=counting.by_kind(
-                [item for item in self.outcomes if item.arrival.workspace != FLOODER]
+            worth=counting.worth_share(self.outcomes),
+            worst_window=counting.min_window_share(self.outcomes),
+            by_kind=counting.worth_by_kind(self.outcomes),
+            by_workspace=counting.worth_by_workspace(self.outcomes),
+            others=counting.worth_by_kind(
+                [item for item in self.outcomes if item.arrival.workspace != FLOODING_WORKSPACE]
             ),
             refused=sum(item.refusals for item in self.outcomes),
             reread_tokens=self.reread_tokens,
-            crossed_bytes=self.stages.crossed_bytes,
+            cross_domain_bytes=self.stages.cross_domain_bytes,
             stage_work_s=self.stages.work_s,
             calls=self.stages.calls,
-            without_room=self.stages.without_room,
-            most_cold_starts=max(map(most_in_a_second, self.cold_starts.values()), default=0),
-            cost_ms=1000 * self.stopwatch.spent_s / jobs,
+            rejected_for_space=self.stages.rejected_for_space,
+            max_cold_starts=max(map(max_within_a_second, self.cold_starts.values()), default=0),
+            cost_ms=1000 * self.stopwatch.cpu_s / jobs,
         )
 
 
-def most_in_a_second(times: list[float]) -> int:
+def max_within_a_second(times: list[float]) -> int:
     """Return the most of some moments, in order, that lie within one second."""
     return max(bisect.bisect_left(times, at + 1.0) - n for n, at in enumerate(times))
 
@@ -380,4 +380,4 @@
         seed=seed,
         variant=variant or Variant('ours'),
     )
-    return run_virtual(world.play())
+    return run_virtual(world.run())
