--- a/standins/common.py
+++ b/standins/common.py
@@ -1,4 +1,4 @@
-"""Share what all stand-ins need to run as processes."""
+"""Provide what all stand-ins need to run as processes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def json_response(data: Any, status: int = 200, **headers: str) -> web.Response:
-    """Answer with JSON."""
+    """Return a JSON response."""
     return web.Response(
         body=msgspec.json.encode(data),
         status=status,
@@ -32,12 +32,12 @@
 
 
 def new_app() -> web.Application:
-    """Return an application that takes bodies of a few megabytes."""
+    """Return an application that accepts bodies up to `MAX_BODY_BYTES`."""
     return web.Application(client_max_size=MAX_BODY_BYTES)
 
 
 def parser(doc: str) -> argparse.ArgumentParser:
-    """Return a parser with the flags that every stand-in takes."""
+    """Return a parser with the flags common to all stand-ins."""
     arguments = argparse.ArgumentParser(description=doc)
     arguments.add_argument('--host', default='127.0.0.1')
     arguments.add_argument('--port', type=int, default=0, help='0 takes a free one')
@@ -60,6 +60,8 @@
     await runner.cleanup()
 
 
-def run(args: argparse.Namespace, new_application: Callable[[argparse.Namespace], web.Application]) -> None:
+def run(
+    args: argparse.Namespace, new_application: Callable[[argparse.Namespace], web.Application]
+) -> None:
     """Run a stand-in as a process."""
     asyncio.run(serve(new_application(args), args.host, args.port))
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -25,11 +25,11 @@
 
 DEFAULT_MAX_TOKENS = 64
 TOKEN_SIZES = (3, 4, 2, 5)
-"""Bytes a token, in turn; characters outside ASCII take two or three."""
+"""Bytes per token, in rotation; tokens split the characters outside ASCII."""
 
 
 class EngineSettings(NamedTuple):
-    """Hold the engine's figures; times are in seconds."""
+    """Hold the engine's parameters; times are in seconds."""
 
     concurrency: int
     queue_limit: int
@@ -55,7 +55,7 @@
 
 
 def trim_to_whole_characters(tokens: list[bytes]) -> list[bytes]:
-    """Cut the last token so that the answer ends with a whole character."""
+    """Trim the last tokens so that the answer ends with a whole character."""
     joined = b''.join(tokens)
     whole = joined.decode(errors='ignore').encode()
     excess = len(joined) - len(whole)
@@ -69,7 +69,7 @@
 
 
 class EngineStandIn:
-    """Generate for a few calls at once; the others wait, by priority."""
+    """Generate for a limited number of calls at once; the others wait by priority."""
 
     def __init__(self, *, settings: EngineSettings) -> None:
         self.settings = settings
@@ -93,7 +93,7 @@
         return app
 
     async def run_load_reports(self, app: web.Application) -> Any:
-        """Measure the load from time to time, which makes reports lag."""
+        """Refresh the load report in the background."""
         task = asyncio.create_task(self.refresh_load_report())
         yield
         task.cancel()
@@ -101,7 +101,7 @@
             await task
 
     async def refresh_load_report(self) -> None:
-        """Refresh the report."""
+        """Refresh the report every `report_lag_s` seconds, so that reports lag."""
         while True:
             self.load_report = {
                 'running': len(self.running),
@@ -111,7 +111,7 @@
             await asyncio.sleep(self.settings.report_lag_s)
 
     async def generate(self, request: web.Request) -> web.StreamResponse:
-        """Stream one answer as lines of JSON."""
+        """Stream one response as lines of JSON."""
         body = await read_json(request)
         call = body['call']
         if len(self.waiting) >= self.settings.queue_limit:
@@ -128,7 +128,7 @@
             self.release_slot(call)
 
     async def acquire_slot(self, call: str, priority: int) -> None:
-        """Wait for a place in the batch."""
+        """Wait for a slot in the batch."""
         if len(self.running) >= self.settings.concurrency:
             future = asyncio.get_running_loop().create_future()
             entry = (-priority, next(self.numbers), call, future)
@@ -146,7 +146,7 @@
         self.running.add(call)
 
     def release_slot(self, call: str) -> None:
-        """Give the place to the next call."""
+        """Give the slot to the next waiting call."""
         self.running.discard(call)
         self.cancelled.discard(call)
         while self.waiting:
@@ -188,15 +188,15 @@
         return json_response({})
 
     async def load(self, request: web.Request) -> web.StreamResponse:
-        """Answer the lagging report."""
+        """Return the latest load report."""
         return json_response(self.load_report)
 
     async def get_asked(self, request: web.Request) -> web.StreamResponse:
-        """Answer which calls came, with the digest of each one's whole answer."""
+        """Return the received calls with the digest of each one's whole answer."""
         return json_response(self.answer_digests)
 
     async def set_faults(self, request: web.Request) -> web.StreamResponse:
-        """Cut the next stream after so many tokens."""
+        """Set the number of tokens after which the next stream breaks."""
         self.cut_after = (await read_json(request)).get('cut_after')
         return json_response({'cut_after': self.cut_after})
 
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -25,7 +25,7 @@
 
 
 class Faults:
-    """Hold the faults that are switched on."""
+    """Hold the active faults."""
 
     def __init__(self) -> None:
         self.down = False
@@ -35,7 +35,7 @@
 
 
 class PlatformStandIn:
-    """Keep objects in memory, with one version sequence for all keys in each era."""
+    """Store objects in memory, with one version sequence for all keys in each era."""
 
     def __init__(self) -> None:
         self.objects: dict[str, dict[str, Any]] = {}
@@ -72,19 +72,19 @@
             self.close_connection(request)
 
     def close_connection(self, request: web.Request) -> None:
-        """Close the caller's connection without an answer."""
+        """Close the caller's connection without a response."""
         if request.transport is not None:
             request.transport.close()
         raise web.HTTPServiceUnavailable
 
     async def get(self, request: web.Request) -> web.StreamResponse:
-        """Answer one object."""
+        """Return one object."""
         await self.apply_faults(request, 'read')
         found = self.objects.get(request.match_info['key'])
         return json_response(found) if found else json_response({'error': 'absent'}, 404)
 
     async def list(self, request: web.Request) -> web.StreamResponse:
-        """Answer all objects below a prefix."""
+        """Return all objects below a prefix."""
         await self.apply_faults(request, 'read')
         prefix = request.query['prefix']
         found = [item for key, item in self.objects.items() if key.startswith(prefix)]
@@ -109,7 +109,7 @@
         return json_response(stored)
 
     def publish(self, stored: dict[str, Any]) -> None:
-        """Tell the watchers."""
+        """Send a change to the watches of its prefix."""
         if self.faults.silent_watches:
             return
         for queue, prefix in self.watchers.items():
@@ -137,18 +137,18 @@
         return response
 
     async def list_boxes(self, request: web.Request) -> web.StreamResponse:
-        """Answer the box list."""
+        """Return the box list."""
         await self.apply_faults(request, 'read')
         return json_response({'boxes': list(self.boxes.values())})
 
     async def put_box(self, request: web.Request) -> web.StreamResponse:
-        """Enter a box, as the platform does when it makes one."""
+        """Add a box to the list, as the platform does when it creates one."""
         name = request.match_info['name']
         self.boxes[name] = {'name': name, 'leaving': False, **await read_json(request)}
         return json_response(self.boxes[name])
 
     async def delete_box(self, request: web.Request) -> web.StreamResponse:
-        """Take a box out."""
+        """Remove a box from the list."""
         self.boxes.pop(request.match_info['name'], None)
         return json_response({})
 
@@ -163,12 +163,12 @@
         return json_response(vars(self.faults))
 
     async def take_snapshot(self, request: web.Request) -> web.StreamResponse:
-        """Take a copy to come back from."""
+        """Take a snapshot for `restore`."""
         self.snapshot = (self.version, dict(self.objects))
         return json_response({'version': self.version})
 
     async def restore(self, request: web.Request) -> web.StreamResponse:
-        """Come back from the copy taken last."""
+        """Restore the latest snapshot."""
         version, objects = self.snapshot
         self.version, self.objects = version, dict(objects)
         self.era += 1
@@ -181,7 +181,7 @@
             queue.put_nowait({})
 
     async def get_counts(self, request: web.Request) -> web.StreamResponse:
-        """Answer the calls counted, a waiting watch as one."""
+        """Return the counts of calls and the number of waiting watches."""
         return json_response({**self.counts, 'waiting_watches': len(self.watchers)})
 
 
--- a/standins/service.py
+++ b/standins/service.py
@@ -42,7 +42,7 @@
         return app
 
     async def call(self, request: web.Request) -> web.StreamResponse:
-        """Run one call, with the faults asked for."""
+        """Run one call with the faults that are set."""
         body = await read_json(request)
         if self.reset_first > 0:
             self.reset_first -= 1
@@ -65,25 +65,25 @@
         return json_response({'call': body['call'], 'output': {'result': result}})
 
     def close_connection(self, request: web.Request) -> None:
-        """Close the caller's connection without an answer."""
+        """Close the caller's connection without a response."""
         assert request.transport is not None
         request.transport.abort()
         raise web.HTTPServiceUnavailable
 
     async def load(self, request: web.Request) -> web.StreamResponse:
-        """Answer the load."""
+        """Return the load."""
         return json_response({'running': self.running, 'waiting': 0, 'measured_at': time.time()})
 
     async def get_ran(self, request: web.Request) -> web.StreamResponse:
-        """Answer how often each key ran."""
+        """Return the number of runs per key."""
         return json_response(self.run_counts)
 
     async def get_asked(self, request: web.Request) -> web.StreamResponse:
-        """Answer every call run, with its result."""
+        """Return every call with its result."""
         return json_response(self.results)
 
     async def set_faults(self, request: web.Request) -> web.StreamResponse:
-        """Set how many of the next calls are cut, after or before they run."""
+        """Set how many of the next calls lose their connection after or before they run."""
         body = await read_json(request)
         self.run_first = body.get('run_first', 0)
         self.reset_first = body.get('reset_first', 0)
--- a/standins/stagepool.py
+++ b/standins/stagepool.py
@@ -22,7 +22,7 @@
 
 
 def encode(data: dict[str, Any], params: dict[str, Any]) -> dict[str, Any]:
-    """Return a small vector of a text."""
+    """Return a small vector for a text."""
     digest = hashlib.sha256(data['text'].encode()).digest()
     return {'vector': [round(byte / 255, 4) for byte in digest[:VECTOR_SIZE]]}
 
@@ -49,7 +49,7 @@
 
 
 class StagePoolStandIn:
-    """Answer calls one batch at a time, reporting the load with a lag."""
+    """Run calls with limited concurrency."""
 
     def __init__(self, *, kind: str, concurrency: int, service_s: float) -> None:
         self.kind = kind
@@ -68,7 +68,7 @@
         return app
 
     async def call(self, request: web.Request) -> web.StreamResponse:
-        """Answer one call."""
+        """Run one call."""
         body = await read_json(request)
         self.waiting += 1
         async with self.slots:
@@ -83,13 +83,13 @@
         return json_response({'call': body['call'], 'output': output})
 
     async def load(self, request: web.Request) -> web.StreamResponse:
-        """Answer the load."""
+        """Return the load."""
         return json_response(
             {'running': self.running, 'waiting': self.waiting, 'measured_at': time.time()}
         )
 
     async def get_asked(self, request: web.Request) -> web.StreamResponse:
-        """Answer every call answered, with its output."""
+        """Return every call with its output."""
         return json_response(self.outputs)
 
 
--- a/testkit/__init__.py
+++ b/testkit/__init__.py
@@ -1,1 +1,1 @@
-"""Help tests, the bench and the demo; never shipped."""
+"""Provide shared helpers for tests, the bench and the demo; not part of any release."""
--- a/testkit/callers.py
+++ b/testkit/callers.py
@@ -1,4 +1,4 @@
-"""Send requests to daemons as callers do, and read their answers."""
+"""Send requests to daemons over HTTP and read the responses."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SampleRequest(NamedTuple):
-    """Hold a request of an example's file; `twice` sends it again with the same key."""
+    """Describe one sample request; `twice` sends it again with the same idempotency key."""
 
     workspace: str
     pipeline: str
@@ -25,7 +25,7 @@
 
 
 class Reply(NamedTuple):
-    """Hold what a caller got: status, final body, and the text that was streamed."""
+    """Hold a response: status, final body, and the streamed text (`None` without a stream)."""
 
     status: int
     body: dict[str, Any]
@@ -41,7 +41,7 @@
 
 
 def new_idempotency_key() -> str:
-    """Return an idempotency key: a UUID of version 7, which holds the time it was made."""
+    """Return an idempotency key: a UUID of version 7, which contains its creation time."""
     time_ms = time.time_ns() // 1_000_000
     random_bits = uuid.uuid4().int & ((1 << 76) - 1)
     number = (time_ms << 80) | (0x7 << 76) | random_bits
@@ -52,7 +52,7 @@
 async def send(
     session: aiohttp.ClientSession, box: Process, sample: SampleRequest, key: str | None
 ) -> Reply:
-    """Send one request and read its whole answer."""
+    """Send one request and read the whole response."""
     url = f'{box.url}/v1/workspaces/{sample.workspace}/pipelines/{sample.pipeline}/requests'
     body = {'input': sample.input, 'repeatable': sample.repeatable, 'stream': sample.stream}
     headers = {'Idempotency-Key': key} if key else {}
@@ -64,7 +64,7 @@
 
 
 def read_events(stream: str) -> tuple[str, dict[str, Any]]:
-    """Return the text and the last event of a stream."""
+    """Return the concatenated text and the final event of an event stream."""
     text: list[str] = []
     final: dict[str, Any] = {}
     for block in stream.strip().split('\n\n'):
--- a/testkit/cases.py
+++ b/testkit/cases.py
@@ -1,4 +1,4 @@
-"""Give tests what they share."""
+"""Provide base classes for tests."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 
 class VirtualCase(testtools.TestCase):
-    """Run coroutines on virtual time."""
+    """Run coroutines on an event loop with virtual time."""
 
     def run_virtual(self, coroutine: Coroutine[Any, Any, T]) -> T:
-        """Return what a coroutine returns."""
+        """Run a coroutine to its end and return its result."""
         return run_virtual(coroutine)
--- a/testkit/crashing.py
+++ b/testkit/crashing.py
@@ -1,4 +1,4 @@
-"""Stand for engines and plain services that a request ends as they begin to run it."""
+"""Fake engines, plain services and stage replicas that crash while they run certain requests."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
     from testkit.gateway_store import FakeStore
 
 CRASH_AFTER_S = 0.1
-"""How long a run lasts that ends its replica."""
+"""Time from the start of a crashing run to the crash."""
 
 REPLACED_AFTER_S = 3.5
-"""When another replica stands at the address of one that has ended."""
+"""Time from a crash until a new replica serves the same address."""
 
 ENTRY_EXPIRY_S = 3.6
-"""When the entry of a replica that has ended lapses in the store: three heartbeats of 1.2 s."""
+"""Time from a crash until the replica's entry in the store expires: three heartbeats of 1.2 s."""
 
 RESPONSE_HEAD_S = 0.01
 PROBE_TIMEOUT_S = 0.3
 
 
 class Arrival:
-    """Note a request that reached a replica; times are the loop's."""
+    """Record a request that reached a replica, at a time of the event loop in seconds."""
 
     def __init__(self, *, target: str, call_id: str, replica: str, at: float) -> None:
         self.target = target
@@ -45,31 +45,36 @@
 
 
 class CrashableBody(FakeBody):
-    """Break as soon as its replica ends."""
+    """Return a body, unless its replica has crashed."""
 
     def __init__(self, *, head: AnswerHead, body: bytes, crashed: asyncio.Event) -> None:
         super().__init__(head=head, body=body)
         self.crashed = crashed
 
     async def read(self) -> bytes | None:
-        """Return the body; raise `ConnectionBroken` if the replica has ended."""
+        """Return the body; raise `ConnectionBroken` if the replica has crashed."""
         if self.crashed.is_set():
             raise ConnectionBroken('the connection was lost: None')
         return await super().read()
 
 
 class CrashableStream(FakeStream):
-    """Give events until the replica ends."""
+    """Stream events until the replica crashes."""
 
     def __init__(
-        self, *, engine: FakeReplicas, outbound: OutboundRequest, crashed: asyncio.Event, event_gap_s: float
+        self,
+        *,
+        engine: FakeReplicas,
+        outbound: OutboundRequest,
+        crashed: asyncio.Event,
+        event_gap_s: float,
     ) -> None:
         super().__init__(engine=engine, outbound=outbound, status=200, break_after=None)
         self.crashed = crashed
         self.event_gap_s = event_gap_s
 
     async def read(self) -> bytes | None:
-        """Return the next event; raise `ConnectionBroken` as soon as the replica has ended."""
+        """Return the next event; raise `ConnectionBroken` as soon as the replica crashes."""
         try:
             async with asyncio.timeout(self.event_gap_s):
                 await self.crashed.wait()
@@ -79,13 +84,12 @@
 
 
 class CrashingReplicas(FakeReplicas):
-    """Stand for replicas that end under certain requests, and come back under new identifiers.
+    """Fake replicas that crash during certain requests and are replaced under new identifiers.
 
-    The port of one that ends closes `port_closes_s` after its connections; one that `ends_dark`
-    says nothing any more.
-
-    `crashing` holds the targets under which they end; `resetting` those whose connection is reset
-    while their replica lives on. Whatever else runs at a replica that ends breaks with it.
+    Requests for `crashing_targets` crash their replica, and with it every other run there. For
+    `resetting_targets` only the connection is reset and the replica keeps running. The port of a
+    crashed replica closes `port_close_delay_s` after its connections; with `silent_after_crash`
+    it does not respond at all.
     """
 
     def __init__(self, *, store: FakeStore, event_gap_s: float = 0.1) -> None:
@@ -106,11 +110,11 @@
         self.replacement_numbers = itertools.count(1)
 
     def crash_event(self, replica: Replica) -> asyncio.Event:
-        """Return what tells that a replica has ended."""
+        """Return the event that is set when a replica crashes."""
         return self.crash_events.setdefault(replica.id, asyncio.Event())
 
     async def send(self, outbound: OutboundRequest) -> ReplicaAnswer:
-        """Run a request; it may end its replica a moment later."""
+        """Run a request, which may crash its replica after `CRASH_AFTER_S`."""
         replica, exchange = outbound.replica, outbound.exchange
         ended = self.crash_event(replica)
         await asyncio.sleep(RESPONSE_HEAD_S)
@@ -129,13 +133,15 @@
             self.start_crash(replica, arrival)
         if replica.service == 'engine':
             self.running.add(exchange.call_id)
-            return CrashableStream(engine=self, outbound=outbound, crashed=ended, event_gap_s=self.event_gap_s)
+            return CrashableStream(
+                engine=self, outbound=outbound, crashed=ended, event_gap_s=self.event_gap_s
+            )
         answer = await super().send(outbound)
         await asyncio.sleep(2 * CRASH_AFTER_S if exchange.target in self.crashing_targets else 0)
         return CrashableBody(head=answer.head, body=exchange.call_id.encode(), crashed=ended)
 
     async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
-        """Return what an attempt to connect shows, at the end of the watch."""
+        """Return the result of connection attempts over `watch_s` seconds."""
         await asyncio.sleep(RESPONSE_HEAD_S)
         if replica.id in self.silent:
             await asyncio.sleep(PROBE_TIMEOUT_S)
@@ -147,22 +153,22 @@
         return ProbeResult.REFUSED if self.is_port_closed(replica) else ProbeResult.OPEN
 
     def is_port_closed(self, replica: Replica) -> bool:
-        """Tell whether a replica's port is closed: it closes after the connections have."""
+        """Tell whether a replica's port is closed, `port_close_delay_s` after the crash."""
         at = self.crashed_at.get(replica.id)
         return at is not None and asyncio.get_running_loop().time() >= at + self.port_close_delay_s
 
     def is_crashing_request(self, exchange: Exchange) -> bool:
-        """Tell whether a request ends the replicas that run it."""
+        """Tell whether a request crashes the replicas that run it."""
         return exchange.target in self.crashing_targets or exchange.body in self.crashing_bodies
 
     def start_crash(self, replica: Replica, arrival: Arrival) -> None:
-        """End a replica in a moment."""
+        """Crash a replica in the background."""
         task = asyncio.get_running_loop().create_task(self.crash(replica, arrival))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def crash(self, replica: Replica, arrival: Arrival) -> None:
-        """End a replica; another comes back at its address, and its entry lapses."""
+        """Crash a replica, register a replacement at its address, and expire the old entry."""
         await asyncio.sleep(CRASH_AFTER_S)
         ended = self.crash_event(replica)
         if ended.is_set():
@@ -179,16 +185,16 @@
         self.store.write(RecordKind.REPLICA, replica.id, None)
 
     def crash_times(self, target: str) -> list[float]:
-        """Return when replicas have ended under a request, in order."""
+        """Return the times of the crashes during requests for a target, in order."""
         return sorted(item.at + CRASH_AFTER_S for item in self.crashes if item.target == target)
 
     def count_arrivals_after(self, target: str, at: float) -> int:
-        """Return how often a request has reached replicas later than some time."""
+        """Count the requests for a target that reached replicas after a time."""
         return sum(item.target == target and item.at > at for item in self.arrivals)
 
 
 class CrashingStages(FakeStages):
-    """Stand for stages' replicas that end under the pieces of certain requests."""
+    """Fake stage replicas that crash while they run certain pieces."""
 
     def __init__(self, *, replicas: CrashingReplicas) -> None:
         super().__init__()
@@ -196,11 +202,11 @@
         self.crashing_targets: set[str] = set()
 
     async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
-        """Return what an attempt to connect shows."""
+        """Return the result of a connection attempt."""
         return await self.replicas.probe(replica, watch_s)
 
     async def run(self, replica: Replica, calls: list[PieceCall]) -> list[PieceResult]:
-        """Make one call; break with the replica."""
+        """Run a call; raise `ConnectionBroken` if the replica crashes meanwhile."""
         ended = self.replicas.crash_event(replica)
         if ended.is_set():
             raise NotStarted(f'{replica.address} cannot be reached: connection refused')
--- a/testkit/crashing_fleet.py
+++ b/testkit/crashing_fleet.py
@@ -1,4 +1,4 @@
-"""Run gateway boxes before replicas that a request can end."""
+"""Run gateway boxes against replicas that requests can crash."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 
 ENGINES = 9
 POISON_TARGET = '/chat/poison'
-"""What a request asks that ends engines, in most tests."""
+"""Target of the request that crashes engines in most tests."""
 
 BLOCKED_WITHIN_S = 3.0
-"""How long after the third end a request must not be sent on any more, but for what follows."""
+"""A request must be blocked this long after the third crash, apart from `MAX_LATE_SENDS`."""
 
 MAX_LATE_SENDS = 3
-"""Sends later than that which the users' rules allow."""
+"""Number of sends that the rules allow after `BLOCKED_WITHIN_S`."""
 
 WORKSPACES = (Workspace('hire', (KEY,), None), Workspace('other', ('key-2',), None))
 
 
 class CrashingFleet(GatewayFleet):
-    """Hold boxes before nine engines that a request can end, and four desks."""
+    """Run boxes with nine engines that requests can crash, and four plain replicas (desks)."""
 
     replicas: CrashingReplicas
     stages: CrashingStages
@@ -53,28 +53,28 @@
             self.add_replica('desk', number)
 
     def new_replicas(self) -> CrashingReplicas:
-        """Return replicas that can end."""
+        """Return engines and plain services that can crash."""
         return CrashingReplicas(store=self.store)
 
     def new_stages(self) -> CrashingStages:
-        """Return replicas of stages that can end."""
+        """Return stage replicas that can crash."""
         return CrashingStages(replicas=self.replicas)
 
     def add_replica(self, service: str, number: int) -> None:
-        """Add a replica."""
+        """Register a replica in the store."""
         name, failure_domain = f'{service}-{number}', FAILURE_DOMAINS[number % len(FAILURE_DOMAINS)]
         replica = Replica(name, service, f'{name}:1', failure_domain, 6, False)
         self.store.write(RecordKind.REPLICA, name, replica)
 
     def send_request(self, box: str, target: str, **changes: object) -> FakeSink:
-        """Have a box serve a request for a target, as a try of its own."""
+        """Send a box a new request for a target and return its reply sink."""
         name = target.split('/')[1]
         now = asyncio.get_running_loop().time()
         fields = {'target': target, 'path': target} | changes
         return self.serve(box, exchange(next(self.numbers), name, now, **fields))
 
     async def load(self, target: str, gap_s: float, for_s: float) -> list[FakeSink]:
-        """Ask for new things on a route, at all boxes in turn."""
+        """Send requests for distinct targets to all boxes in turn."""
         sinks = []
         boxes = itertools.cycle(sorted(self.boxes))
         for number in range(int(for_s / gap_s)):
@@ -85,7 +85,7 @@
     async def send_repeatedly(
         self, target: str, gap_s: float, for_s: float, **changes: object
     ) -> list[FakeSink]:
-        """Ask for the same again and again, at all boxes in turn."""
+        """Send requests for the same target to all boxes in turn."""
         sinks = []
         boxes = itertools.cycle(sorted(self.boxes))
         for _ in range(int(for_s / gap_s)):
@@ -95,10 +95,10 @@
 
 
 class CrashingCase(VirtualCase):
-    """Run boxes before replicas that a request can end."""
+    """Run scenarios on a `CrashingFleet`."""
 
     def run_scenario(self, steps: Callable[[CrashingFleet], Awaitable[None]]) -> None:
-        """Start a fleet, do some work with it, and stop it."""
+        """Start a fleet, run the steps against it, and stop it."""
 
         async def scenario() -> None:
             fleet = CrashingFleet()
--- a/testkit/daemon.py
+++ b/testkit/daemon.py
@@ -1,4 +1,4 @@
-"""Run a box with stand-ins inside a test's own event loop, on ports that the system gives."""
+"""Run a box and its stand-ins in the test's event loop, on ports chosen by the system."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class BoxStandIns:
-    """Hold the stand-ins around a box."""
+    """Hold the stand-ins that a box talks to."""
 
     def __init__(self, *, url: str, session: aiohttp.ClientSession) -> None:
         self.url = url
@@ -76,7 +76,7 @@
 
 
 async def configure(stand_ins: BoxStandIns, stack: contextlib.AsyncExitStack) -> None:
-    """Start an endpoint of each kind and enter the configuration in the platform."""
+    """Start an endpoint of each kind and write the configuration to the platform's stand-in."""
     apps = {'drafting': stand_ins.engine.app(), 'desk': stand_ins.service.app()}
     documents: dict[str, dict[str, Any]] = {}
     for service, kind in SERVICES.items():
--- a/testkit/fake_endpoints.py
+++ b/testkit/fake_endpoints.py
@@ -1,4 +1,4 @@
-"""Fake endpoints in memory, on whatever time the event loop has, with faults by call."""
+"""Fake endpoints in memory, on the event loop's time, with faults per call."""
 
 from __future__ import annotations
 
@@ -44,11 +44,11 @@
 
 CRASH_AFTER_S = 0.03
 RESTART_AFTER_S = 1.0
-"""How long a call runs that ends its endpoint, and when that is back."""
+"""Time until a crashing call crashes its endpoint, and from the crash until the restart."""
 
 
 class Fault(enum.Enum):
-    """Name what may go wrong with one call."""
+    """Name a fault of one call."""
 
     REFUSED = 'connection refused'
     DECLINED = 'endpoint says that it is full'
@@ -63,10 +63,10 @@
 
 
 class Timing(NamedTuple):
-    """Hold an endpoint's figures in seconds.
+    """Hold an endpoint's service times in seconds.
 
-    An engine spends `prefill_s` more on a prompt prefix that is not among the `prefixes` that it
-    has cached last.
+    An engine spends `prefill_s` more on a prompt prefix that is not among its `cached_prefixes`
+    most recently used ones.
     """
 
     service_s: float = 0.01
@@ -78,7 +78,7 @@
 
 
 class FakeEndpoint:
-    """Serve a few calls at once, queue the rest by priority, and count what ran."""
+    """Serve a limited number of calls at once, queue the rest by priority, and count runs."""
 
     def __init__(
         self,
@@ -108,7 +108,7 @@
         self.prefixes: OrderedDict[str, None] = OrderedDict()
 
     async def acquire_slot(self, call: str, priority: int) -> None:
-        """Take a place, or wait for one."""
+        """Take a slot, or wait for one; raise `NotStarted` or `Declined` if the call is refused."""
         if self.down:
             raise NotStarted('connection refused')
         if len(self.waiting) >= self.queue_limit:
@@ -128,10 +128,11 @@
         self.started.append(call)
 
     async def run(self, text: str, seconds: float) -> None:
-        """Spend a call's time; raise `ConnectionBroken` if the endpoint ends meanwhile.
+        """Spend a call's time; raise `ConnectionBroken` if the endpoint crashes meanwhile.
 
-        It ends under the texts that are `ending`, and takes all calls with it. The streams of an
-        engine that `ends_quietly` just stop, as where the end of the connection ends the answer.
+        A call with one of the `crashing_texts` crashes the endpoint and breaks all its calls. With
+        `crash_ends_streams` an engine's streams just stop, as in a response that is delimited by
+        the end of its connection.
         """
         loop = asyncio.get_running_loop()
         if text in self.crashing_texts and not self.down:
@@ -144,7 +145,7 @@
             raise ConnectionBroken('connection lost')
 
     def crash(self) -> None:
-        """End the endpoint; it comes back."""
+        """Crash the endpoint; it restarts after `RESTART_AFTER_S`."""
         if self.down:
             return
         loop = asyncio.get_running_loop()
@@ -154,12 +155,12 @@
         loop.call_later(RESTART_AFTER_S, self.restart)
 
     def restart(self) -> None:
-        """Take calls again."""
+        """Accept calls again."""
         self.down = False
         self.crashed = asyncio.Event()
 
     def release_slot(self) -> None:
-        """Pass the place on."""
+        """Give the slot to the next waiting call."""
         while self.waiting:
             future = heapq.heappop(self.waiting)[2]
             if not future.done():
@@ -169,7 +170,7 @@
 
     @contextlib.asynccontextmanager
     async def hold_slot(self, call: str, priority: int) -> AsyncIterator[None]:
-        """Hold a place while a call runs, and count the time."""
+        """Hold a slot while a call runs, and add up the busy time."""
         await self.acquire_slot(call, priority)
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -182,7 +183,7 @@
             self.release_slot()
 
     def prefill(self, params: dict[str, Any]) -> float:
-        """Return the time for a prompt's prefix, and cache it in place of the oldest."""
+        """Return the prefill time of a prompt's prefix and cache it, evicting the oldest one."""
         prefix = str(params.get('instruction', ''))
         cached = prefix in self.prefixes
         self.prefixes[prefix] = None
@@ -192,12 +193,12 @@
         return 0.0 if cached else self.timing.prefill_s
 
     def slowdown(self) -> float:
-        """Return how much slower the present batch is than a single call."""
+        """Return the factor by which the current batch is slower than a single call."""
         return (1.0 + self.timing.batch_slowdown * (self.running - 1)) / self.speed
 
 
 class FakeFleet:
-    """Hold all fake endpoints by name and reach them as the adapters do."""
+    """Hold all fake endpoints by name and provide adapters to them."""
 
     def __init__(self, endpoints: list[FakeEndpoint]) -> None:
         self.endpoints = {item.endpoint.name: item for item in endpoints}
@@ -207,13 +208,13 @@
         return self.endpoints[name]
 
     def backends(self, gate: Gate | None = None) -> Backends:
-        """Return one box's adapters to this fleet."""
+        """Return the adapters of one box, held back by its gate."""
         calls = FakeCalls(fleet=self, gate=gate or Gate())
         reach = FakeProber(fleet=self)
         return Backends(engine=FakeEngine(fleet=self), pool=calls, service=calls, prober=reach)
 
     def run_counts(self) -> Counter[str]:
-        """Count what ran over all endpoints, by idempotency key or call."""
+        """Count runs on all endpoints, by idempotency key or call identity."""
         total: Counter[str] = Counter()
         for item in self.endpoints.values():
             total.update(item.run_counts)
@@ -221,13 +222,13 @@
 
 
 class FakeProber(EndpointProber):
-    """Look whether fake endpoints are there."""
+    """Probe fake endpoints."""
 
     def __init__(self, *, fleet: FakeFleet) -> None:
         self.fleet = fleet
 
     async def probe(self, endpoint: Endpoint, watch_s: float) -> ProbeResult:
-        """Return whether an endpoint is down."""
+        """Return `REFUSED` if the endpoint is down."""
         return ProbeResult.REFUSED if self.fleet[endpoint.name].down else ProbeResult.OPEN
 
 
@@ -239,13 +240,13 @@
         self.gate = gate
 
     async def call(self, endpoint: Endpoint, call: StageCall) -> StageOutput:
-        """Run a stage, with the fault that the endpoint has for it."""
+        """Run a stage with the fault set for the call."""
         await self.gate.wait_open()
         target = self.fleet[endpoint.name]
         fault = target.fault(str(call.id))
         raise_fault_before_run(fault)
         if endpoint.kind is StageKind.SERVICE:
-            # What a plain service has begun goes on when its caller dies or hangs up.
+            # A plain service finishes a started call even if its caller crashes or disconnects.
             await asyncio.shield(asyncio.ensure_future(self.serve(target, call)))
         else:
             await self.serve(target, call)
@@ -263,7 +264,7 @@
         return output
 
     async def serve(self, target: FakeEndpoint, call: StageCall) -> None:
-        """Spend the service time and count the effect."""
+        """Spend the service time and count the run."""
         identity = str(call.id)
         async with target.hold_slot(identity, call.priority):
             await target.run(call.input['text'], target.timing.service_s * target.slowdown())
@@ -271,7 +272,7 @@
 
 
 class FakeEngine(Engine):
-    """Generate tokens as the engine's stand-in does."""
+    """Generate the same tokens as the engine's stand-in."""
 
     def __init__(self, *, fleet: FakeFleet) -> None:
         self.fleet = fleet
@@ -279,14 +280,14 @@
     async def generate(
         self, endpoint: Endpoint, call: GenerationCall
     ) -> AsyncIterator[Token | GenerationEnd]:
-        """Yield tokens, with the fault that the endpoint has for the call."""
+        """Yield tokens with the fault set for the call."""
         target = self.fleet[endpoint.name]
         identity = str(call.id)
         fault = target.fault(identity)
         raise_fault_before_run(fault)
         tokens = answer_tokens(call.params, dict(call.input))
         if fault is Fault.WRONG_IDENTITY:
-            # What crosses is another caller's answer, not only its name.
+            # The whole answer belongs to another caller, not only the identity.
             tokens = answer_tokens(call.params, {'text': "another caller's question"})
         target.offsets.append(call.offset)
         middle = call.offset + (len(tokens) - call.offset) // 2
@@ -318,12 +319,12 @@
         yield GenerationEnd(identity, len(tokens))
 
     async def cancel(self, endpoint: Endpoint, call: GenerationCall) -> None:
-        """Note the cancellation; closing the stream has freed the place already."""
+        """Record the cancellation; closing the stream has already released the slot."""
         self.fleet.cancelled.append(str(call.id))
 
 
 def raise_fault_before_run(fault: Fault | None) -> None:
-    """Raise the faults that come before a call runs."""
+    """Raise the error of a fault that occurs before the call runs."""
     if fault is Fault.REFUSED:
         raise NotStarted('connection refused')
     if fault is Fault.DECLINED:
--- a/testkit/fake_network.py
+++ b/testkit/fake_network.py
@@ -1,4 +1,4 @@
-"""Carry messages between boxes in memory, with latency, loss and cuts."""
+"""Deliver messages between boxes in memory, with latency, loss and partitions."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FakeNetwork:
-    """Hold all boxes' addresses; `blocked` pairs do not hear each other."""
+    """Deliver messages to registered handlers; `blocked` tells which pairs are partitioned."""
 
     def __init__(self, *, seed: int = 1, latency_s: float = 0.001, loss: float = 0.0) -> None:
         self.rng = random.Random(seed)
@@ -33,14 +33,14 @@
         loop.call_later(self.latency_s, self.arrive, source, target, data)
 
     def arrive(self, source: str, target: str, data: bytes) -> None:
-        """Hand a message over if the target still lives."""
+        """Call the handler of the target if it is still registered and reachable."""
         handler = self.handlers.get(target)
         if handler is not None and not self.blocked(source, target):
             handler(data)
 
 
 class FakeTransport(PeerTransport):
-    """Give one box the network."""
+    """Connect one box to the network."""
 
     def __init__(self, *, network: FakeNetwork, address: str) -> None:
         self.network = network
@@ -52,9 +52,9 @@
         self.network.deliver(self.address, address, data)
 
     def listen(self, handler: Callable[[bytes], None]) -> None:
-        """Receive at this box's address."""
+        """Register the handler of this box's address."""
         self.network.handlers[self.address] = handler
 
     def drop_connection(self, address: str) -> None:
-        """Note that a connection was given up."""
+        """Record a dropped connection."""
         self.dropped_connections.append(address)
--- a/testkit/fake_store.py
+++ b/testkit/fake_store.py
@@ -24,7 +24,7 @@
 
 
 class Gate:
-    """Hold back all that one box sends and gets while the box is paused."""
+    """Block everything that one box sends and receives while the box is paused."""
 
     def __init__(self) -> None:
         self.open = asyncio.Event()
@@ -39,12 +39,12 @@
         self.open.clear()
 
     def resume(self) -> None:
-        """Wake the box."""
+        """Resume the box."""
         self.open.set()
 
 
 class WriteOutcome(enum.Enum):
-    """Say what becomes of a write and its answer."""
+    """Name what happens to a write and its response."""
 
     DONE = 'done'
     LOST_BEFORE = 'lost before it took effect'
@@ -53,9 +53,9 @@
 
 
 class StoreState:
-    """Hold the objects, as one platform does for all boxes.
+    """Hold the objects that all boxes share.
 
-    `era` counts how often it came back from a copy; `sequence` goes back with it.
+    `era` counts the restores from a snapshot; each restore resets `sequence` to the snapshot's.
     """
 
     def __init__(self) -> None:
@@ -67,7 +67,7 @@
         self.down = False
 
     def write(self, key: str, value: dict[str, Any], expected: int) -> StoredObject:
-        """Carry out a conditional update."""
+        """Write an object; raise `VersionConflict` unless its version is `expected`."""
         held = self.objects.get(key)
         if (held.version if held else ABSENT) != expected:
             raise VersionConflict(f'{key} is not at version {expected}')
@@ -81,11 +81,11 @@
         return stored
 
     def snapshot(self) -> tuple[int, dict[str, StoredObject]]:
-        """Return a copy to come back from."""
+        """Return a snapshot for `restore`."""
         return self.sequence, dict(self.objects)
 
     def restore(self, snapshot: tuple[int, dict[str, StoredObject]]) -> None:
-        """Come back from a copy: what was written since is gone, numbers are given out again."""
+        """Restore a snapshot: later writes are lost and their sequence numbers are reused."""
         self.sequence, self.objects = snapshot[0], dict(snapshot[1])
         self.era += 1
         self.end_watches()
@@ -97,7 +97,7 @@
 
 
 class FakeStore(ObjectStore):
-    """Reach a `StoreState` from one box, over a link that may be cut, slow or lossy."""
+    """Access a `StoreState` from one box, over a link that can be cut, slow or lossy."""
 
     def __init__(
         self, *, state: StoreState, latency_s: float = 0.002, gate: Gate | None = None
@@ -110,7 +110,7 @@
         self.deliver: Callable[[StoredObject], list[StoredObject]] = lambda stored: [stored]
 
     async def begin_call(self, kind: str) -> None:
-        """Spend the latency and fail if the store cannot be reached."""
+        """Wait for the latency; raise `StoreUnavailable` if the store is unreachable."""
         await self.gate.wait_open()
         self.state.counts[kind] += 1
         await asyncio.sleep(self.latency_s)
@@ -118,7 +118,7 @@
             raise StoreUnavailable('the store cannot be reached')
 
     async def get(self, key: str) -> StoredObject | None:
-        """Return an object, or nothing."""
+        """Return an object, or `None` if it does not exist."""
         await self.begin_call('read')
         return self.state.objects.get(key)
 
@@ -128,7 +128,7 @@
         return [item for key, item in self.state.objects.items() if key.startswith(prefix)]
 
     async def put(self, key: str, value: dict[str, Any], expected_version: int) -> StoredObject:
-        """Write if the version is the expected one, unless a fault says otherwise."""
+        """Write if the version is the expected one, with the fault that `write_outcome` returns."""
         await self.begin_call('write')
         fate = self.write_outcome(key)
         if fate is WriteOutcome.LOST_BEFORE:
@@ -144,14 +144,14 @@
         return stored
 
     def write_late(self, key: str, value: dict[str, Any], expected: int) -> None:
-        """Carry out a delayed write, which may meet a newer version."""
+        """Perform a delayed write, which may conflict with a newer version."""
         try:
             self.state.write(key, value, expected)
         except VersionConflict:
             self.state.counts['late conflict'] += 1
 
     async def watch(self, prefix: str) -> AsyncIterator[StoredObject]:
-        """Yield what changes below `prefix`, in the way that `deliver` says."""
+        """Yield changes below `prefix`, as transformed by `deliver`."""
         await self.begin_call('watch')
         queue: asyncio.Queue[StoredObject | None] = asyncio.Queue()
         entry = (prefix, queue)
--- a/testkit/fleet.py
+++ b/testkit/fleet.py
@@ -1,4 +1,4 @@
-"""Run the membership of many boxes in one process, on virtual time."""
+"""Run gossip and relay roles of many boxes in one process, on virtual time."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class FakeBoxList(BoxList):
-    """List boxes as the platform does, over one box's link."""
+    """Return the platform's box list over one box's link."""
 
     def __init__(self, *, records: list[BoxRecord], store: FakeStore) -> None:
         self.records = records
@@ -37,7 +37,7 @@
 
 
 class PeerBox:
-    """Hold one box's view and its exchange with platform and peers."""
+    """Run one box's view, store feed and gossip."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
 
     @property
     def is_synced(self) -> bool:
-        """Tell whether the view was once whole."""
+        """Tell whether the view has been complete at least once."""
         return self.feed.synced or self.gossip.agreed_with_ready_peer
 
     def start(self) -> None:
@@ -84,7 +84,7 @@
         self.task = asyncio.get_running_loop().create_task(self.roles.run())
 
     async def kill(self) -> None:
-        """End the box without a word."""
+        """Stop the box without notifying its peers."""
         self.network.handlers.pop(self.name, None)
         assert self.task is not None
         self.task.cancel()
@@ -94,7 +94,9 @@
 class PeerFleet:
     """Hold boxes spread evenly over failure domains."""
 
-    def __init__(self, *, count: int, failure_domains: int, seed: int = 1, loss: float = 0.0) -> None:
+    def __init__(
+        self, *, count: int, failure_domains: int, seed: int = 1, loss: float = 0.0
+    ) -> None:
         self.state = StoreState()
         self.network = FakeNetwork(seed=seed, loss=loss)
         self.records = [
@@ -115,13 +117,13 @@
         )
 
     async def start(self, settle_s: float = 10.0) -> None:
-        """Start every box and let roles settle."""
+        """Start every box and wait `settle_s` seconds for roles to settle."""
         for box in self.boxes.values():
             box.start()
         await asyncio.sleep(settle_s)
 
     async def stop(self) -> None:
-        """End every box."""
+        """Kill every box."""
         await asyncio.gather(*(box.kill() for box in self.boxes.values()))
 
     def relays(self) -> list[str]:
--- a/testkit/gates.py
+++ b/testkit/gates.py
@@ -1,4 +1,4 @@
-"""Make what a box knows of replicas by their answers."""
+"""Create call gates and leaving-replica tables for tests."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 def new_leaving() -> LeavingReplicas:
-    """Return what knows of no replica that leaves, on virtual time."""
+    """Return an empty table of leaving replicas, on virtual time."""
     return LeavingReplicas(clock=VirtualClock(), observer=mock.Mock(spec=NoticeObserver))
 
 
 def new_gate(replicas: ReplicaTable | None = None) -> CallGate:
-    """Return a gate that bars nothing yet, on virtual time."""
+    """Return a gate without any exclusions, on virtual time."""
     leaving = new_leaving()
     observer = mock.Mock(spec=NoticeObserver)
     return CallGate(
--- a/testkit/gateway.py
+++ b/testkit/gateway.py
@@ -1,4 +1,4 @@
-"""Run gateway boxes in one virtual loop, before replicas and a store that are fakes."""
+"""Run gateway boxes on one virtual-time loop, against fake replicas and a fake store."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 from testkit.gateway_world import FAILURE_DOMAINS, RETRY_BUDGET_TERMS, deployment, replicas
 
 EVACUATE_S = 5.0
-"""How soon nothing more may reach a failure domain that is taken out, as the users' sheet says."""
+"""Time after which no call may reach an evacuated failure domain."""
 
 
 class FleetBox:
-    """Hold one box and its tasks."""
+    """Run one box and hold its tasks."""
 
     def __init__(self, *, box: GatewayBox, store: FakeStoreClient) -> None:
         self.box = box
@@ -40,7 +40,7 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     async def start(self, *, register: bool = True) -> None:
-        """Start what the runner starts, but for servers."""
+        """Start the tasks that the runner starts, except the servers."""
         box = self.box
         if register:
             await box.store.register(box.own)
@@ -57,13 +57,13 @@
         self.tasks = [asyncio.create_task(item()) for item in work]
 
     def kill(self) -> None:
-        """End everything at once, as a kill does."""
+        """Cancel all tasks at once, as a killed process would."""
         for task in [*self.tasks, *self.box.scheduler.stages.tasks]:
             task.cancel()
 
 
 class GatewayFleet:
-    """Hold boxes, store, network and replicas."""
+    """Run boxes with a shared store, network and replicas."""
 
     def __init__(self, *, count: int = 4, seed: int = 1) -> None:
         self.store = FakeStore()
@@ -103,38 +103,38 @@
         return self.boxes[name]
 
     async def start(self) -> None:
-        """Start every box and let them hear each other."""
+        """Start every box and wait until they know each other."""
         for box in self.boxes.values():
             await box.start()
         await asyncio.sleep(2.0)
 
     def kill(self, name: str) -> None:
-        """Kill a box; nobody hears it any more."""
+        """Kill a box and disconnect it from the network."""
         self.boxes.pop(name).kill()
         self.network.handlers.pop(f'{name}:7', None)
 
     def evacuate(self, failure_domain: str) -> None:
-        """Take a failure domain out, as an operator does."""
+        """Evacuate a failure domain, as an operator does."""
         record = Evacuation(failure_domain, self.store.revision + 1)
         self.store.write(RecordKind.EVACUATION, failure_domain, record)
 
     def end_evacuation(self, failure_domain: str) -> None:
-        """Take a failure domain's evacuation back."""
+        """End a failure domain's evacuation."""
         self.store.write(RecordKind.EVACUATION, failure_domain, None)
 
     def schedulers(self) -> set[str]:
-        """Return the addresses that boxes take for the scheduler."""
+        """Return the scheduler addresses that the boxes use."""
         return {box.box.client.scheduler_address for box in self.boxes.values()}
 
     def serve(self, name: str, request: Exchange) -> FakeSink:
-        """Have a box serve a request; return where its answer goes."""
+        """Have a box serve a request; return its reply sink."""
         sink = FakeSink()
         task = asyncio.create_task(self.boxes[name].box.executor.serve(request, sink))
         self.request_tasks.append(task)
         return sink
 
     async def settle(self, timeout_s: float = 20.0) -> None:
-        """Wait until every request has its answer."""
+        """Wait until every request has finished."""
         async with asyncio.timeout(timeout_s):
             await asyncio.gather(*self.request_tasks, return_exceptions=True)
 
--- a/testkit/gateway_callers.py
+++ b/testkit/gateway_callers.py
@@ -1,4 +1,4 @@
-"""Give each box its own way to the replicas, which note from which box a call has come."""
+"""Give each box its own clients of the shared replicas, and record which box made each call."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class Arrival(NamedTuple):
-    """Note a call that reached a replica, from which box, and what its answer told.
+    """Record a call that reached a replica, the calling box, and the notice in the response.
 
-    Times are the loop's; `asked_at` is when the caller sent the request, for a stage's call when
-    it was sent.
+    Times are the loop's, in seconds; `requested_at` is when the caller sent its request, or for a
+    stage's call when the box sent it.
     """
 
     box: str
@@ -38,21 +38,21 @@
 
 
 class ReplicaNotices:
-    """Hold what replicas say in their answers, and what reached them; shared by all boxes."""
+    """Hold the replicas' current notices and the calls that reached them, for all boxes."""
 
     def __init__(self) -> None:
         self.current: dict[str, Notice] = {}
         self.arrivals: list[Arrival] = []
 
     def record_arrival(self, box: str, replica: Replica, requested_at: float) -> Notice:
-        """Note a call and return what its answer tells."""
+        """Record a call and return the notice for its response."""
         notice = self.current.get(replica.id, EMPTY_NOTICE)
         now = asyncio.get_running_loop().time()
         self.arrivals.append(Arrival(box, replica.id, requested_at, now, notice))
         return notice
 
     def arrivals_between(self, box: str, replica: str, begin: float, end: float) -> list[Arrival]:
-        """Return what reached a replica from a box in a span."""
+        """Return the calls from a box to a replica between two times."""
         return [
             item
             for item in self.arrivals
@@ -60,7 +60,7 @@
         ]
 
     def late_sends(self, drain_s: float) -> list[Arrival]:
-        """Return what was asked longer than `drain_s` after a replica had told a box it leaves."""
+        """Return calls requested over `drain_s` after the replica told their box that it leaves."""
         told: dict[tuple[str, str], float] = {}
         found = []
         for item in self.arrivals:
@@ -72,7 +72,7 @@
         return found
 
     def sends_in_backoffs(self, slack_s: float) -> dict[tuple[str, str, float], int]:
-        """Return for each backoff how many calls came from that box in it, after some slack."""
+        """Count the calls from a box during each of its backoffs, from `slack_s` on."""
         found = {}
         for item in self.arrivals:
             if item.notice.backoff_s > slack_s:
@@ -81,11 +81,13 @@
                 found[item.box, item.replica, item.at] = len(came)
         return found
 
-    def max_calls_after_limits(self, *, span_s: float, limit_grace_s: float, notice_grace_s: float) -> dict[str, int]:
-        """Return the most calls in a span that replicas which named a limit got from told boxes.
+    def max_calls_after_limits(
+        self, *, span_s: float, limit_grace_s: float, notice_grace_s: float
+    ) -> dict[str, int]:
+        """Return per limited replica the most calls within `span_s` from boxes that know the limit.
 
-        Counted from `after_s` after the first answer that names it; a box counts from `heard_s`
-        after the first such answer that it got itself.
+        Counts calls from `limit_grace_s` after the first response that advertised the limit; a box
+        counts from `notice_grace_s` after the first such response that it received itself.
         """
         named: dict[str, float] = {}
         told: dict[tuple[str, str], float] = {}
@@ -108,7 +110,7 @@
 
 
 class BoxReplicas(ReplicaClient):
-    """Give one box the engines and plain services; one that wants a pause declines."""
+    """Call engines and plain services for one box; a replica in backoff declines."""
 
     def __init__(self, *, replicas: FakeReplicas, notices: ReplicaNotices, box: str) -> None:
         self.replicas = replicas
@@ -116,7 +118,7 @@
         self.box = box
 
     async def send(self, outbound: OutboundRequest) -> ReplicaAnswer:
-        """Send a request, and tell the listener what the answer's head tells."""
+        """Send a request, and pass the notice in the response head to the interceptor."""
         replica = outbound.replica
         self.interceptor.check_call(replica, new_work=True)
         notice = self.notices.record_arrival(self.box, replica, outbound.exchange.received_at)
@@ -135,12 +137,12 @@
         return answer
 
     async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
-        """Return what an attempt to connect shows."""
+        """Return the result of a connection attempt."""
         return await self.replicas.probe(replica, watch_s)
 
 
 class BoxStages(StageCaller):
-    """Give one box the replicas of stages."""
+    """Call the replicas of stages for one box."""
 
     def __init__(self, *, stages: FakeStages, notices: ReplicaNotices, box: str) -> None:
         self.stages = stages
@@ -148,7 +150,7 @@
         self.box = box
 
     async def run(self, replica: Replica, calls: list[PieceCall]) -> list[PieceResult]:
-        """Make one call; its head comes when it is done."""
+        """Make one call; the notice arrives with the results."""
         self.interceptor.check_call(replica, new_work=True)
         now = asyncio.get_running_loop().time()
         notice = self.notices.record_arrival(self.box, replica, now)
@@ -165,18 +167,18 @@
         return results
 
     async def report(self, replica: Replica) -> StageReport:
-        """Return what a replica tells of itself."""
+        """Return a replica's report."""
         self.interceptor.check_call(replica, new_work=False)
         report = await self.stages.report(replica)
         self.interceptor.on_notice(replica, self.notices.current.get(replica.id, EMPTY_NOTICE))
         return report
 
     async def free(self, replica: Replica, handles: list[str]) -> None:
-        """Give results up."""
+        """Free results."""
         self.interceptor.check_call(replica, new_work=False)
         await self.stages.free(replica, handles)
         self.interceptor.on_notice(replica, self.notices.current.get(replica.id, EMPTY_NOTICE))
 
     async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
-        """Return what an attempt to connect shows."""
+        """Return the result of a connection attempt."""
         return await self.stages.probe(replica, watch_s)
--- a/testkit/gateway_replicas.py
+++ b/testkit/gateway_replicas.py
@@ -1,4 +1,4 @@
-"""Stand for the replicas that gateway boxes call, and for the caller that gets the answer."""
+"""Fake the replicas that gateway boxes call, and the sink of the reply to the caller."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class FakeStages(StageCaller):
-    """Stand for every replica of stages; `broken` maps a replica to what it does instead."""
+    """Fake every stage replica; `faults` maps a replica's identifier to its fault."""
 
     def __init__(self) -> None:
         self.result_numbers = itertools.count(1)
@@ -64,11 +64,11 @@
         ]
 
     async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
-        """Tell that replicas live: what breaks here is the connection."""
+        """Return `OPEN`: the faults here break connections, the replicas keep running."""
         return ProbeResult.OPEN
 
     def has_missing_input(self, call: PieceCall) -> bool:
-        """Tell whether an input is gone; none at all where some are due is a fault."""
+        """Tell whether an input is missing; count calls that lack all of their inputs."""
         if call.inputs is not None and not call.inputs:
             self.wrong_inputs += 1
         return any(handle not in self.live_results for handle in call.inputs or ())
@@ -80,25 +80,27 @@
         return handle
 
     def lose_results(self, replica: str) -> None:
-        """Lose every result of a replica that died."""
-        self.live_results = {handle: maker for handle, maker in self.live_results.items() if maker != replica}
+        """Drop every result of a crashed replica."""
+        self.live_results = {
+            handle: maker for handle, maker in self.live_results.items() if maker != replica
+        }
 
     async def report(self, replica: Replica) -> StageReport:
-        """Return the room that is left, and whether a call is at work."""
+        """Return the free result space and whether the replica is idle."""
         self.reports += 1
         held = sum(maker == replica.id for maker in self.live_results.values())
         free_bytes = max(0.0, STAGE.result_capacity_bytes - held * RESULT_BYTES)
         return StageReport(free_bytes, idle=not self.running_calls.get(replica.id, 0))
 
     async def free(self, replica: Replica, handles: list[str]) -> None:
-        """Give results up."""
+        """Free results."""
         self.freed_addresses.append(replica.address)
         for handle in handles:
             self.live_results.pop(handle, None)
 
 
 class FakeStream(ReplicaAnswer):
-    """Give events, and break after `break_after` of them."""
+    """Stream events, and break after `break_after` of them (`None`: never)."""
 
     def __init__(
         self,
@@ -132,30 +134,30 @@
         return data
 
     def close(self) -> None:
-        """Stop the run."""
+        """Close the stream and stop its run."""
         self.closed = True
         self.engine.running.discard(self.outbound.exchange.call_id)
 
 
 BUSY_S = 1.0
-"""How long an engine with the fault `busy` reads before its first event."""
+"""Additional time to the first event of an engine with the fault `busy`."""
 
 ANY_REPLICA = '*'
-"""Names the faults of whichever replica is called next."""
+"""Key of the faults that apply to whichever replica is called next."""
 
 HANGS_BEFORE_EVENTS = 0
-"""A stream that breaks after no event hangs instead."""
+"""Value of `break_after` with which a stream hangs before its first event."""
 
 
 class FakeBody(ReplicaAnswer):
-    """Give a whole body."""
+    """Return a whole body at once."""
 
     def __init__(self, *, head: AnswerHead, body: bytes | None) -> None:
         self.head = head
         self.body = body
 
     async def read(self) -> bytes | None:
-        """Return the body, then nothing."""
+        """Return the body, then `None`."""
         body, self.body = self.body, None
         return body
 
@@ -164,7 +166,7 @@
 
 
 class FakeReplicas(ReplicaClient):
-    """Stand for engines and plain services; `faults` holds what a replica does, call by call."""
+    """Fake engines and plain services; `faults` lists the faults of a replica, call by call."""
 
     def __init__(self) -> None:
         self.sent: list[OutboundRequest] = []
@@ -173,7 +175,7 @@
         self.running: set[str] = set()
 
     async def send(self, outbound: OutboundRequest) -> ReplicaAnswer:
-        """Answer as the replica's next fault says."""
+        """Respond with the replica's next fault, if any."""
         self.sent.append(outbound)
         await asyncio.sleep(0.01)
         waiting = self.faults.get(ANY_REPLICA) or self.faults.get(outbound.replica.id, [])
@@ -199,13 +201,13 @@
         return FakeBody(head=AnswerHead(200, (), False, None), body=call_id.encode())
 
     async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
-        """Tell that replicas live: what breaks here is the connection."""
+        """Return `OPEN`: the faults here break connections, the replicas keep running."""
         await asyncio.sleep(0.001)
         return ProbeResult.OPEN
 
 
 class FakeSink(ReplySink):
-    """Keep what a caller gets."""
+    """Record the reply to a caller."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -215,33 +217,33 @@
         self.retry_after_s: float | None = None
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Keep a whole answer."""
+        """Record a whole response."""
         self.status, self.body, self.state = status, body, 'whole'
 
     def begin(self, status: int, headers: Headers) -> None:
-        """Keep a head."""
+        """Record the status."""
         self.status = status
 
     async def send(self, data: bytes) -> None:
-        """Keep some of a body."""
+        """Append data to the body."""
         self.body += data
 
     def finish(self) -> None:
-        """Note the end."""
+        """Record that the response is complete."""
         self.state = 'whole'
 
     def abort(self) -> None:
-        """Note a cut."""
+        """Record that an unfinished response was aborted."""
         if self.state == 'open':
             self.state = 'cut'
 
     def refuse(self, status: int, reason: str, retry_after_s: float | None) -> None:
-        """Keep an answer of the box's own."""
+        """Record a refusal by the box itself."""
         self.status, self.reason, self.state = status, reason, 'refused'
         self.retry_after_s = retry_after_s
 
     @property
     def event_ids(self) -> list[int]:
-        """Return the identifiers of the events that came."""
+        """Return the identifiers of the received events."""
         lines = self.body.decode().splitlines()
         return [int(line[3:]) for line in lines if line.startswith('id:')]
--- a/testkit/gateway_store.py
+++ b/testkit/gateway_store.py
@@ -1,4 +1,4 @@
-"""Stand for the store that gateway boxes follow."""
+"""Fake the store that gateway boxes follow."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 REWRITTEN_KINDS = (RecordKind.DEPLOYMENT, RecordKind.REPLICA, RecordKind.EVACUATION)
-"""Kinds whose writers, operators and replicas, write again what the store has lost."""
+"""Kinds whose writers (operators and replicas) rewrite records that the store has lost."""
 
 
 class StoreSnapshot(NamedTuple):
-    """Hold what the store held at some time."""
+    """Hold the contents of the store at some time."""
 
     revision: int
     records: dict[RecordKind, dict[str, Record]]
@@ -37,9 +37,9 @@
 
 
 class FakeStore:
-    """Hold the platform's records; every change raises one revision.
+    """Hold the platform's records; every change increments one revision.
 
-    `era` counts how often the store came back from a copy, `down` says that it answers nobody.
+    `era` counts the restores from a snapshot; while `down` is set, every call fails.
     """
 
     def __init__(self) -> None:
@@ -65,23 +65,25 @@
         self.wake_watches()
 
     def position(self) -> Position:
-        """Return up to where the store has come."""
+        """Return the store's current position."""
         return Position(self.era, self.revision)
 
     def wake_watches(self) -> None:
-        """Have every waiting watch look again."""
+        """Have every waiting watch check for changes."""
         changed, self.changed = self.changed, asyncio.Event()
         changed.set()
 
     def snapshot(self) -> StoreSnapshot:
-        """Return what the store holds now."""
+        """Return a snapshot for `restore`."""
         records = {kind: dict(held) for kind, held in self.records.items()}
         return StoreSnapshot(self.revision, records, list(self.log), self.relays, self.blocked)
 
-    async def restore(self, snapshot: StoreSnapshot, down_s: float, rewrite_delay_s: float = 0.0) -> None:
-        """Be away for a while and come back as a copy says.
+    async def restore(
+        self, snapshot: StoreSnapshot, down_s: float, rewrite_delay_s: float = 0.0
+    ) -> None:
+        """Be down for `down_s`, then restore a snapshot.
 
-        What operators and replicas wrote since is written again `again_s` after that, in order.
+        Writers rewrite the lost `REWRITTEN_KINDS` in order, `rewrite_delay_s` after the restore.
         """
         self.down = True
         self.wake_watches()
@@ -99,7 +101,7 @@
                 self.write(kind, name, record)
 
     def lost_since(self, snapshot: StoreSnapshot) -> list[tuple[RecordKind, str, Record | None]]:
-        """Return the newest state of what operators and replicas wrote since a copy."""
+        """Return the newest state of rewritable records changed after a snapshot."""
         found = {
             (kind, change.name): change.record
             for at, kind, change in self.log
@@ -108,7 +110,7 @@
         return [(kind, name, record) for (kind, name), record in found.items()]
 
     async def compact(self, silent_s: float) -> None:
-        """Tell watches nothing for a while, then cut them and lose what has changed so far."""
+        """Send watches nothing for `silent_s`, then end them and drop the history."""
         self.watches_silent = True
         await asyncio.sleep(silent_s)
         self.watches_silent = False
@@ -116,18 +118,18 @@
         self.wake_watches()
 
     def drop_history(self) -> None:
-        """Lose what has changed so far."""
+        """Drop the history of changes up to the current revision."""
         self.compacted_revision = self.revision
 
 
 CALL_TIMEOUT_S = 0.8
-"""How long a call to a silent store hangs beyond what it was asked to wait, as the adapter's do."""
+"""Timeout of a call to a silent store, added to the call's own wait, as in the real adapter."""
 
 
 class FakeStoreClient(FleetStore):
-    """Give one box the store; `cut` keeps it away at once, `silent` after the time a call takes.
+    """Access the store from one box; with `cut` calls fail at once, with `silent` they time out.
 
-    `silent_watches` are kinds whose next watch hears no change: its connection went silent.
+    The next watch of a kind in `silent_watches` receives nothing and times out.
     """
 
     def __init__(self, *, store: FakeStore) -> None:
@@ -139,19 +141,19 @@
         self.calls = 0
 
     def check_reachable(self) -> None:
-        """Count a call, and fail it if the box is cut off."""
+        """Count a call; raise `FleetStoreError` if the store is unreachable."""
         self.calls += 1
         if self.cut or self.store.down:
             raise FleetStoreError('cut off')
 
     async def time_out(self, wait_s: float) -> None:
-        """Fail a call as a silent store does."""
+        """Time out a call, as with a silent store."""
         self.calls += 1
         await asyncio.sleep(wait_s + CALL_TIMEOUT_S)
         raise FleetStoreError('silent')
 
     async def wait_on_silent_watch(self, wait_s: float) -> None:
-        """Wait as a watch does that is told nothing, until it is cut or overdue."""
+        """Wait without changes until the watch is ended or times out."""
         try:
             async with asyncio.timeout(wait_s + CALL_TIMEOUT_S):
                 while self.store.watches_silent:
@@ -169,7 +171,7 @@
         return Listing(dict(self.store.records[kind]), self.store.position())
 
     async def watch(self, kind: RecordKind, revision: int, wait_s: float) -> Changes:
-        """Return what has changed."""
+        """Return the changes after a revision, waiting up to `wait_s` for one."""
         self.check_reachable()
         began = asyncio.get_running_loop().time()
         ends_at = asyncio.get_running_loop().time() + wait_s
@@ -195,7 +197,7 @@
                 continue
 
     async def read_relays(self) -> tuple[BoxAddress, ...] | None:
-        """Return the relays that are written down."""
+        """Return the relays that are recorded."""
         await asyncio.sleep(0.004)
         if self.silent:
             await self.time_out(0.0)
@@ -203,7 +205,7 @@
         return self.store.relays
 
     async def write_relays(self, relays: tuple[BoxAddress, ...]) -> int:
-        """Write down which boxes are relays."""
+        """Record which boxes are relays."""
         if self.silent:
             await self.time_out(0.0)
         self.check_reachable()
@@ -211,7 +213,7 @@
         return self.store.era
 
     async def read_blocked(self) -> tuple[StoredRequest, ...]:
-        """Return the requests that are kept as blocked."""
+        """Return the stored blocked requests."""
         await asyncio.sleep(0.004)
         if self.silent or self.blocked_unreadable:
             await self.time_out(0.0)
@@ -219,7 +221,7 @@
         return self.store.blocked
 
     async def write_blocked(self, kept: tuple[StoredRequest, ...]) -> int:
-        """Keep requests as blocked."""
+        """Store the blocked requests."""
         if self.silent:
             await self.time_out(0.0)
         self.check_reachable()
--- a/testkit/ledgers.py
+++ b/testkit/ledgers.py
@@ -1,4 +1,4 @@
-"""Make what a box knows of requests under which replicas have ended."""
+"""Create crash ledgers and guards for tests."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def new_ledger(observer: CrashObserver | None = None) -> CrashLedger:
-    """Return a ledger that knows nothing, on virtual time."""
+    """Return an empty ledger, on virtual time."""
     return CrashLedger(clock=VirtualClock(), observer=observer or mock.Mock(spec=CrashObserver))
 
 
 def new_guard() -> CrashGuard:
-    """Return the guard of a box that knows no other."""
+    """Return the guard of a box without peers."""
     ledger = new_ledger()
     sharing = CrashSharing(
         clock=ledger.clock,
--- a/testkit/load.py
+++ b/testkit/load.py
@@ -1,4 +1,4 @@
-"""Send requests to running daemons and judge each answer."""
+"""Send requests to running daemons and check each response."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Result(NamedTuple):
-    """Hold a request and what became of it; no reply means that the connection broke."""
+    """Hold a request and its reply; `None` means that the connection broke."""
 
     box: str
     sample: SampleRequest
@@ -32,7 +32,7 @@
 
     @property
     def is_correct(self) -> bool:
-        """Tell whether an answer is the one to this very request."""
+        """Tell whether an answer belongs to this request; other outcomes are always correct."""
         if self.reply is None or self.reply.outcome != 'answered':
             return True
         output = self.reply.body['output']
@@ -41,7 +41,7 @@
 
 
 class LoadGenerator:
-    """Keep a few clients busy, each with one request after another, in turn over the boxes."""
+    """Run clients that each send one request after another, in turn to all boxes."""
 
     def __init__(self, *, boxes: Sequence[Process], samples: Sequence[SampleRequest]) -> None:
         self.boxes = list(boxes)
@@ -51,12 +51,12 @@
         self.is_stopping = False
 
     async def run_client(self, session: aiohttp.ClientSession) -> None:
-        """Send until told to stop."""
+        """Send requests until `is_stopping` is set."""
         while not self.is_stopping:
             self.sent_count += 1
             sample = self.samples[self.sent_count % len(self.samples)]
             sample = sample._replace(input=f'{sample.input} #{self.sent_count}#')
-            # Divided first, so that every box gets every kind of request.
+            # The quotient selects the box, so that every box gets every kind of sample.
             box = self.boxes[self.sent_count // len(self.samples) % len(self.boxes)]
             self.results.append(await self.send_request(session, box, sample))
 
@@ -74,7 +74,7 @@
 
     @contextlib.asynccontextmanager
     async def running(self, clients: int) -> AsyncIterator[LoadGenerator]:
-        """Run clients in the background and let their last requests end."""
+        """Run clients in the background and wait for their last requests on exit."""
         timeout = aiohttp.ClientTimeout(total=20)
         async with aiohttp.ClientSession(timeout=timeout) as session, asyncio.TaskGroup() as group:
             for _ in range(clients):
@@ -85,5 +85,5 @@
                 self.is_stopping = True
 
     def outcomes(self, box: str | None = None) -> Counter[str]:
-        """Count the outcomes, of one box or of all."""
+        """Count the outcomes of one box, or of all boxes."""
         return Counter(item.outcome for item in self.results if box in (None, item.box))
--- a/testkit/naive.py
+++ b/testkit/naive.py
@@ -1,7 +1,7 @@
-"""Serve requests the naive way, for comparison: any endpoint, blind retries, no claims.
+"""Serve requests naively, for comparison: any endpoint, unconditional retries, no claims.
 
-Without faults it gives the same answers. It keeps no promise on purpose, and is used only by
-tests and the bench.
+Without faults it gives the same answers. It deliberately gives no guarantees, and only tests and
+the bench use it.
 """
 
 from __future__ import annotations
@@ -35,13 +35,13 @@
 
 
 class NaiveView:
-    """Believe whatever came last."""
+    """Keep the last update of each object, whatever its version."""
 
     def __init__(self) -> None:
         self.specs: dict[str, Any] = {}
 
     def apply(self, update: ViewUpdate) -> None:
-        """Take an object in, older or not."""
+        """Apply an update, even an older one."""
         self.specs[update.key] = update.spec
         if update.spec is None:
             del self.specs[update.key]
@@ -58,7 +58,7 @@
         self.rng = rng
 
     async def run(self, request: PipelineRequest, plan: Plan, sink: TokenSink) -> Outcome:
-        """Return the answer, or call every failure a refusal."""
+        """Return the answer, or report every failure as a refusal."""
         data = StageInput(text=request.text)
         results: dict[str, Any] = {}
         timings = []
@@ -83,7 +83,7 @@
     async def run_stage(
         self, request: PipelineRequest, stage: StagePlan, data: StageInput, sink: TokenSink
     ) -> StageOutput:
-        """Try a stage a few times, each from the start."""
+        """Run a stage with up to `MAX_ATTEMPTS` attempts, each from the start."""
         for attempt in range(MAX_ATTEMPTS):
             endpoint = self.pick(stage)
             try:
@@ -120,7 +120,7 @@
     async def generate(
         self, endpoint: Endpoint, call: GenerationCall, sink: TokenSink
     ) -> StageOutput:
-        """Join whatever tokens come until the stream ends."""
+        """Join all received tokens until the stream ends, without checks."""
         pieces: list[bytes] = []
         async for item in self.backends.engine.generate(endpoint, call):
             if isinstance(item, GenerationEnd):
--- a/testkit/notice_fleet.py
+++ b/testkit/notice_fleet.py
@@ -1,4 +1,4 @@
-"""Run gateway boxes before replicas that say in their answers how they are."""
+"""Run gateway boxes against replicas that put notices into their responses."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class NoticeFleet(GatewayFleet):
-    """Hold four boxes before nine engines, four desks and three replicas of a stage."""
+    """Run four boxes with nine engines, four plain replicas (desks) and three stage replicas."""
 
     def __init__(self, *, count: int = 4) -> None:
         super().__init__(count=count)
@@ -37,63 +37,63 @@
                 self.register(Replica(name, service, f'{name}:1', failure_domain, 6, False))
 
     def register(self, replica: Replica) -> None:
-        """Write a replica's entry."""
+        """Write a replica's entry to the store."""
         self.store.write(RecordKind.REPLICA, replica.id, replica)
 
     def withdraw(self, name: str) -> Replica:
-        """Take a replica's entry away and return it."""
+        """Remove a replica's entry from the store and return it."""
         entry = self.store.records[RecordKind.REPLICA][name]
         assert isinstance(entry, Replica)
         self.store.write(RecordKind.REPLICA, name, None)
         return entry
 
     def rewrite_entry(self, name: str) -> None:
-        """Have a replica write its entry once more as it stands."""
+        """Rewrite a replica's entry unchanged."""
         entry = self.store.records[RecordKind.REPLICA][name]
         self.store.write(RecordKind.REPLICA, name, entry)
 
     def announce_leaving(self, *names: str) -> None:
-        """Have replicas say from now on that they leave; the store learns nothing of it."""
+        """Have replicas report that they are leaving; their store entries stay unchanged."""
         for name in names:
             self.notices.current[name] = Notice(leaving=True)
 
     def replace(self, *names: str) -> None:
-        """Have other replicas answer at the addresses of some; the store learns nothing of it."""
+        """Have other replicas respond at these addresses; the store entries stay unchanged."""
         for name in names:
             self.notices.current[name] = Notice(executed=False, from_other_replica=True)
 
     def request_backoff(self, backoff_s: float, *names: str) -> None:
-        """Have replicas turn all away from now on, and ask for a pause."""
+        """Have replicas decline every call and request a backoff."""
         for name in names:
             self.notices.current[name] = Notice(backoff_s=backoff_s)
 
     def advertise_limit(self, per_s: float, *names: str) -> None:
-        """Have replicas name from now on how many requests a second they take."""
+        """Have replicas advertise a limit in requests per second."""
         for name in names:
             self.notices.current[name] = Notice(limit_per_s=per_s)
 
     def clear_limit(self, *names: str) -> None:
-        """Have replicas name no limit any more."""
+        """Have replicas stop advertising a limit."""
         for name in names:
             self.notices.current.pop(name, None)
 
     def silence_store(self) -> None:
-        """Have the store answer no box."""
+        """Have the store time out for every box."""
         for box in self.boxes.values():
             box.store.silent = True
 
     def restore_store(self) -> None:
-        """Have the store answer all boxes again."""
+        """Have the store respond to all boxes again."""
         for box in self.boxes.values():
             box.store.silent = False
 
     def send_request(self, box: str, route: str) -> FakeSink:
-        """Have a box serve a new request on a route."""
+        """Send a box a new request on a route and return its reply sink."""
         now = asyncio.get_running_loop().time()
         return self.serve(box, exchange(next(self.numbers), route, now))
 
     async def load(self, route: str, gap_s: float, for_s: float) -> list[FakeSink]:
-        """Ask on a route at any of the boxes; return where the answers go."""
+        """Send requests on a route to random boxes; return their reply sinks."""
         sinks = []
         for _ in range(max(1, round(for_s / gap_s))):
             sinks.append(self.send_request(self.rng.choice(sorted(self.boxes)), route))
--- a/testkit/ports.py
+++ b/testkit/ports.py
@@ -1,4 +1,4 @@
-"""Find ports that nobody listens on."""
+"""Find free ports."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that the system has just had free."""
+    """Return ports that were free at the time of the call."""
     sockets = [socket.socket() for _ in range(count)]
     for item in sockets:
         item.bind(('127.0.0.1', 0))
--- a/testkit/processes.py
+++ b/testkit/processes.py
@@ -1,4 +1,4 @@
-"""Start and end stand-ins and daemons as processes, on ports that the system gives."""
+"""Start and stop stand-ins and daemons as processes, on ports chosen by the system."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Process(NamedTuple):
-    """Hold a running process, where it listens and where its log goes."""
+    """Hold a running process, its URL and its log file."""
 
     name: str
     handle: asyncio.subprocess.Process
@@ -48,14 +48,14 @@
 
 
 class EndpointProcess(NamedTuple):
-    """Hold a stand-in that is an endpoint, and its configuration document."""
+    """Hold an endpoint's stand-in and its configuration document."""
 
     process: Process
     spec: dict[str, Any]
 
 
 class ProcessGroup:
-    """Own a set of processes; leaving it ends every one that still runs."""
+    """Own a set of processes; leaving the context kills those that still run."""
 
     def __init__(self) -> None:
         self.processes: list[Process] = []
@@ -74,7 +74,7 @@
             await process.wait()
 
     async def start(self, name: str, arguments: Sequence[str], **environment: str) -> Process:
-        """Start a Python module and wait until it says where it listens."""
+        """Start a Python module and wait until it prints its address."""
         log = self.folder / f'{name}.log'
         with log.open('ab') as errors:
             handle = await asyncio.create_subprocess_exec(
@@ -101,7 +101,7 @@
         return await self.start('platform', ['standins.platform'])
 
     async def start_endpoint(self, spec: dict[str, Any], *flags: str) -> EndpointProcess:
-        """Start the stand-in of an endpoint and return its document with the real address."""
+        """Start an endpoint's stand-in and return its document with the actual address."""
         name, kind = spec['name'], spec['stage']
         concurrency = ['--concurrency', str(spec['concurrency'])]
         arguments = {
@@ -114,7 +114,7 @@
     async def start_daemon(
         self, platform: Process, box: str, failure_domain: str, *flags: str
     ) -> Process:
-        """Start a daemon and enter it in the platform's box list."""
+        """Start a daemon and register it in the platform's box list."""
         process = await self.start(
             box,
             [
@@ -137,7 +137,7 @@
 
 
 async def register_box(platform: Process, daemon: Process, failure_domain: str) -> None:
-    """Enter a daemon in the box list, as the platform does when it makes a box."""
+    """Register a daemon in the box list, as the platform does when it creates a box."""
     record = {
         'failure_domain': failure_domain,
         'address': daemon.address,
@@ -162,7 +162,7 @@
 
 
 class CommandResult(NamedTuple):
-    """Hold what a command printed and its exit code."""
+    """Hold a command's exit code and output."""
 
     code: int
     output: str
@@ -170,7 +170,7 @@
 
 
 async def run_cli(platform: Process | None, *arguments: str, who: str = 'tester') -> CommandResult:
-    """Run the operators' command line."""
+    """Run a command of the operators' command line."""
     environment = {**os.environ, 'CALICOPATH_WHO': who}
     if platform is not None:
         environment['CALICOPATH_PLATFORM'] = platform.url
--- a/testkit/replay/engines.py
+++ b/testkit/replay/engines.py
@@ -1,4 +1,4 @@
-"""Stand for model engines: prompts are read one after the other, tokens come beside each other."""
+"""Simulate model engines: prefill is sequential, decoding runs concurrently."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ReplayEngine:
-    """Hold one engine on virtual time, in monotonic seconds."""
+    """Simulate one engine; times are monotonic seconds of virtual time."""
 
     def __init__(self, *, spec: EngineSpec) -> None:
         self.spec = spec
@@ -27,7 +27,7 @@
         self.cached_tokens = 0
 
     def prefill(self, prompt: Prompt, now: float) -> tuple[float, int]:
-        """Return when the first event comes and how many tokens had to be read."""
+        """Return the time of the first event and the number of uncached tokens."""
         kept = 0
         for part in prompt.parts:
             if part.id not in self.cached_parts:
@@ -45,5 +45,5 @@
         return self.free_at + FIRST_EVENT_S, uncached
 
     def decode_s(self, tokens: int) -> float:
-        """Return what so many tokens take beside what runs now."""
+        """Return the decoding time of some tokens with the current number of runs."""
         return tokens * (DECODE_STEP_S + DECODE_STEP_S_PER_RUN * self.running)
--- a/testkit/replay/faults.py
+++ b/testkit/replay/faults.py
@@ -1,4 +1,4 @@
-"""Let things happen to the replicas of a replay: slow, lost, or in an evacuated failure domain."""
+"""Apply faults to the replicas of a replay: slow, lost, or in an evacuated failure domain."""
 
 from __future__ import annotations
 
@@ -11,16 +11,18 @@
 
 COLD_S = 3.0
 COLD_REPORT_DELAY_S = 1.8
-"""How long an engine is cold, and how late that is heard: by the next beat, 1.2 s apart, and what
-the store and the relays take."""
+"""Duration of an engine's cold state, and the delay until the scheduler knows of it: up to one
+heartbeat interval of 1.2 s plus the time through the store and the relays."""
 
 
 async def evacuate_failure_domain(world: World, fault: Fault) -> None:
-    """Take the first failure domain out for a while; that its engines are cold is told late."""
+    """Evacuate the first failure domain; its engines return cold, reported with a delay."""
     failure_domain = world.fleet.failure_domain_names[0]
     world.table.set_evacuated(frozenset({failure_domain}))
     await asyncio.sleep(fault.for_s)
-    world.cold_engines = {name for name in world.engines if world.failure_domains[name] == failure_domain}
+    world.cold_engines = {
+        name for name in world.engines if world.failure_domains[name] == failure_domain
+    }
     world.table.set_evacuated(frozenset())
     await asyncio.sleep(COLD_REPORT_DELAY_S)
     report_cold(world, True)
@@ -30,14 +32,14 @@
 
 
 def report_cold(world: World, cold: bool) -> None:
-    """Have the engines that are cold say so, or that they are no more."""
+    """Set the cold flag in the entries of the cold engines."""
     with world.table.batch():
         for name in world.cold_engines:
             world.table.put(world.table.replicas[name]._replace(cold=cold))
 
 
 async def disturb_replicas(world: World, fault: Fault) -> None:
-    """Slow or lose a share of a service's replicas for a while."""
+    """Slow down or kill a share of a service's replicas for `for_s` seconds."""
     listed = [item for item in world.fleet.replicas() if item.service == fault.service]
     affected = world.rng.sample(listed, round(len(listed) * fault.share))
     for replica in affected:
--- a/testkit/replay/fleet.py
+++ b/testkit/replay/fleet.py
@@ -1,4 +1,4 @@
-"""Describe the fleet and the kinds of requests that load patterns are replayed on."""
+"""Describe the fleet and the kinds of requests of a replay."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class JobKind(NamedTuple):
-    """Describe one kind of request: its stages, prompt, times in seconds, worth and rate.
+    """Describe one kind of request: stages, prompt, times in seconds, worth, requests per second.
 
-    A request has `shared` and `session` prompt parts that others have too, and `own` tokens of its
-    own. `late_worth` is what an answer after the objective is worth. `large_share` is the share of
-    requests whose first phase, of large results, is not left out; `chained` says whether a chain
-    of three more phases follows.
+    A prompt has a `shared` part, a `session` part, which other requests have too, and an `own`
+    part. `late_worth` is the worth of an answer after the objective. `large_share` is the share
+    of requests that have a first phase with large results; with `chained` three phases follow,
+    each on the results of the one before.
     """
 
     name: str
@@ -53,11 +53,11 @@
     JobKind('middle', 1, 71.3, 3.619, 6.0, 1.0, 0.15, 0.0, 0, True, 341, 39, 227, 888, 1800, 24),
     JobKind('patient', 2, 20.8, 3.615, 20.0, 0.64, 0.096, 0.4, 6, True, 103, 39, 69, 673, 543, 280),
 )
-"""The same kinds as one deployment had them some months on: other rates, times and worth."""
+"""The same kinds with the rates, times and worth of one deployment some months later."""
 
 
 class Fleet(NamedTuple):
-    """Hold how many boxes, failure domains and replicas there are, and what replicas can do."""
+    """Describe the numbers of boxes, failure domains and replicas, and the specs of replicas."""
 
     boxes: int
     failure_domains: int
@@ -71,11 +71,11 @@
 
     @property
     def failure_domain_names(self) -> list[str]:
-        """Return the failure domains."""
+        """Return the names of the failure domains."""
         return [f'zone-{number}' for number in range(self.failure_domains)]
 
     def replicas(self) -> list[Replica]:
-        """Return every replica, those of a service spread over the failure domains."""
+        """Return every replica, each service spread evenly over the failure domains."""
         counts = {ENGINE: self.engines, **self.stages}
         names = self.failure_domain_names
         found = []
@@ -96,7 +96,7 @@
 
 
 def fleet_of(boxes: int = USUAL_BOXES, failure_domains: int = 6) -> Fleet:
-    """Return a fleet of so many boxes, with replicas and requests in proportion."""
+    """Return a fleet of `boxes` boxes, with replicas and request rates in proportion."""
     scale = boxes / USUAL_BOXES
 
     def share(count: int) -> int:
@@ -114,7 +114,7 @@
 
 
 def shifted_fleet() -> Fleet:
-    """Return a fleet of 86 boxes and many small engines that may turn cold."""
+    """Return a fleet of 86 boxes and many small engines with a warm-up limit."""
     stages = {RETRIEVE: 10, RANK: 8, CHECK: 9}
     return Fleet(
         boxes=86,
@@ -142,7 +142,7 @@
 
 
 def hurried_fleet() -> Fleet:
-    """Return a fleet of six boxes with three replicas a stage and little time for each request."""
+    """Return a fleet of six boxes, three replicas per stage and short deadlines."""
     return Fleet(
         boxes=6,
         failure_domains=3,
@@ -156,7 +156,7 @@
 
 
 def phases_of(kind: JobKind, large: int, checks: int) -> tuple[PhaseWork, ...]:
-    """Return the phases of one request with so many large results and last pieces."""
+    """Return the phases of one request with `large` large results and `checks` final pieces."""
     found = []
     if kind.large_pieces:
         found.append(PhaseWork(RETRIEVE, (), LARGE_RESULT, large))
--- a/testkit/replay/load.py
+++ b/testkit/replay/load.py
@@ -1,4 +1,4 @@
-"""Generate patterns of load, each with a name: who asks when, and what happens meanwhile."""
+"""Generate named patterns of load: request arrivals, and faults during the replay."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Arrival(NamedTuple):
-    """Hold one request as its caller sends it first, `at` seconds from the start."""
+    """Describe the first attempt of one request, `at` seconds from the start."""
 
     at: float
     name: str
@@ -31,10 +31,10 @@
 
 
 class Fault(NamedTuple):
-    """Say what happens to replicas or schedulers at some time.
+    """Describe a fault of replicas or schedulers, `at` seconds from the start.
 
-    `what` is `slow`, `lost`, `killed` (everything), `silent` (the scheduler alone) or `out`: the
-    first failure domain is taken out, and its engines are cold when it is given back.
+    `kind` is `slow`, `lost`, `killed` (all boxes), `silent` (the scheduler alone) or `out`: the
+    first failure domain is evacuated, and its engines are cold when it returns.
     """
 
     at: float
@@ -47,9 +47,9 @@
 class Pattern(NamedTuple):
     """Describe a pattern of load.
 
-    `burst_factor` multiplies the rate of `burst_kinds` for `FAULT_S`; `flood_factor` that of one workspace for
-    `FLOOD_S`; `hot_session_share` of a kind's requests are of one session; `moved_caller_share` of callers come
-    from the first failure domain while it lasts.
+    `burst_factor` multiplies the rate of `burst_kinds` for `FAULT_S`, `flood_factor` that of one
+    workspace for `FLOOD_S`. For `FAULT_S`, `hot_session_share` of each kind's requests belong to
+    one session and `moved_caller_share` of all requests come from the first failure domain.
     """
 
     name: str
@@ -71,7 +71,9 @@
         Pattern('burst-all', burst_factor=2.4, burst_kinds=tuple(kind.name for kind in KINDS)),
         Pattern('flood', load_factor=1.2, flood_factor=7.5),
         Pattern('stage-lost', faults=(Fault(FAULT_AT_S, 'lost', 'rank', 0.33, FAULT_S),)),
-        Pattern('short-of-stages', load_factor=1.3, faults=(Fault(4.0, 'lost', 'rank', 0.5, 14.0),)),
+        Pattern(
+            'short-of-stages', load_factor=1.3, faults=(Fault(4.0, 'lost', 'rank', 0.5, 14.0),)
+        ),
         Pattern('stage-slow', faults=(Fault(FAULT_AT_S, 'slow', 'retrieve', 0.33, FAULT_S),)),
         Pattern('zone-out', faults=(Fault(FAULT_AT_S, 'out', for_s=FAULT_S),)),
         Pattern(
@@ -90,12 +92,12 @@
 
 
 def workspace_weight(number: int) -> float:
-    """Return how much of the load a workspace brings: a few are large."""
+    """Return the relative load of a workspace; a few workspaces have most of it."""
     return 1 / (number + 1)
 
 
 class LoadGenerator:
-    """Draw the requests of a pattern from a seed."""
+    """Draw the requests of a pattern with a seeded generator."""
 
     def __init__(self, *, fleet: Fleet, pattern: Pattern, seed: int) -> None:
         self.fleet = fleet
@@ -106,7 +108,7 @@
         self.count = 0
 
     def arrivals(self) -> list[Arrival]:
-        """Return every first try in order of time."""
+        """Return every first attempt in order of time."""
         found = [item for kind in self.fleet.kinds for item in self.arrivals_of_kind(kind)]
         if self.pattern.flood_factor > 1:
             found.extend(self.flood_arrivals())
@@ -125,16 +127,20 @@
         return found
 
     def max_rate_factor(self) -> float:
-        """Return the largest factor of any rate."""
+        """Return the largest factor by which a rate is multiplied."""
         return max(1.0, self.pattern.burst_factor)
 
     def rate_factor(self, kind: JobKind, at: float) -> float:
         """Return the factor of a kind's rate at some time."""
         is_in_window = FAULT_AT_S <= at < FAULT_AT_S + FAULT_S
-        return self.pattern.burst_factor if is_in_window and kind.name in self.pattern.burst_kinds else 1.0
+        return (
+            self.pattern.burst_factor
+            if is_in_window and kind.name in self.pattern.burst_kinds
+            else 1.0
+        )
 
     def flood_arrivals(self) -> list[Arrival]:
-        """Return what the flooding workspace sends beyond its usual."""
+        """Return the requests of the flooding workspace beyond its usual load."""
         share = self.weights[self.names.index(FLOODING_WORKSPACE)] / sum(self.weights)
         found = []
         for kind in self.fleet.kinds:
@@ -158,7 +164,9 @@
             session = 0
         names = self.fleet.failure_domain_names
         failure_domain = (
-            names[0] if is_in_window and rng.random() < self.pattern.moved_caller_share else rng.choice(names)
+            names[0]
+            if is_in_window and rng.random() < self.pattern.moved_caller_share
+            else rng.choice(names)
         )
         return Arrival(
             at,
@@ -171,7 +179,7 @@
         )
 
     def prompt(self, kind: JobKind, session: int) -> Prompt:
-        """Return a prompt: a part that many share, a session's and its own."""
+        """Return a prompt of a widely shared part, the session's part and the request's own."""
         own = max(50, round(self.rng.lognormvariate(0, 0.7) * kind.own_tokens * 0.78))
         parts = (
             PromptPart(f'{kind.name}-shared-{session % kind.shared_parts}', kind.shared_tokens),
--- a/testkit/replay/outcomes.py
+++ b/testkit/replay/outcomes.py
@@ -1,4 +1,4 @@
-"""Count what callers got in a replay."""
+"""Evaluate the outcomes of the requests of a replay."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Outcome(NamedTuple):
-    """Hold how one request ended: `answered_s` after its first try, or nothing; refusals."""
+    """Hold the outcome of a request; `answered_s` counts from its first attempt (`None`: failed)."""
 
     arrival: Arrival
     answered_s: float | None
@@ -24,7 +24,7 @@
 
     @property
     def worth(self) -> float:
-        """Return what the answer was worth, from the caller's first try on."""
+        """Return the worth of the answer, timed from the caller's first attempt."""
         kind = self.arrival.kind
         if self.in_time:
             return kind.worth
@@ -32,10 +32,10 @@
 
 
 class Figures(NamedTuple):
-    """Hold the figures of one replay; shares are of worth owed, bytes and tokens are totals.
+    """Hold the figures of one replay; shares are earned worth divided by possible worth.
 
-    `others` are the shares by kind of the workspaces that do not flood, `max_cold_starts` the most
-    runs that reached one cold engine within a second.
+    Bytes and tokens are totals. `others` are the shares by kind of the workspaces that do not
+    flood, `max_cold_starts` is the most runs that one cold engine got within a second.
     """
 
     worth: float
@@ -54,13 +54,13 @@
 
 
 def worth_share(outcomes: list[Outcome]) -> float:
-    """Return the worth earned of that owed."""
+    """Return the earned worth divided by the possible worth."""
     owed = sum(item.arrival.kind.worth for item in outcomes)
     return sum(item.worth for item in outcomes) / owed if owed else 1.0
 
 
 def worth_by_kind(outcomes: list[Outcome]) -> dict[str, float]:
-    """Return the share earned of each kind."""
+    """Return the share of worth earned for each kind."""
     names = {item.arrival.kind.name for item in outcomes}
     return {
         name: worth_share([item for item in outcomes if item.arrival.kind.name == name])
@@ -69,7 +69,7 @@
 
 
 def worth_by_workspace(outcomes: list[Outcome]) -> dict[str, float]:
-    """Return the share earned of each workspace."""
+    """Return the share of worth earned for each workspace."""
     names = {item.arrival.workspace for item in outcomes}
     return {
         name: worth_share([item for item in outcomes if item.arrival.workspace == name])
@@ -78,7 +78,7 @@
 
 
 def min_window_share(outcomes: list[Outcome]) -> float:
-    """Return the least share earned of the requests sent within a window."""
+    """Return the smallest share of worth earned over windows of `WINDOW_S`."""
     last = max((item.arrival.at for item in outcomes), default=0.0)
     starts = [number * WINDOW_S / 2 for number in range(int(last / WINDOW_S) * 2)]
     windows = [
--- a/testkit/replay/plain.py
+++ b/testkit/replay/plain.py
@@ -1,4 +1,4 @@
-"""Swap one mechanism of a scheduler for its plain form, to see what it is worth."""
+"""Replace one mechanism of a scheduler by its plain form, to measure its effect."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class NoAllowances(Allowances):
-    """Take no workspace for a flood."""
+    """Never treat a workspace as over its allowance."""
 
     def charge(self, workspace: str, cost_s: float, now: float) -> bool:
-        """Allow everything."""
+        """Return that the workspace is within its allowance."""
         return False
 
 
@@ -30,7 +30,7 @@
     """Hold no job back before its first stage."""
 
     def find_held(self, jobs: Iterable[Job], queues: Mapping[str, StageQueue]) -> set[str]:
-        """Hold nobody."""
+        """Return no held jobs."""
         return set()
 
 
@@ -38,10 +38,10 @@
 
 
 class FixedBacklog(Pacing):
-    """Let as many seconds of work be started ahead of every stage, whatever comes before it."""
+    """Allow the same backlog, in seconds of work, before every stage."""
 
     def find_held(self, jobs: Iterable[Job], queues: Mapping[str, StageQueue]) -> set[str]:
-        """Hold jobs back by that."""
+        """Set the allowed backlog of every phase to `FIXED_BACKLOG_S`, then find held jobs."""
         listed = list(jobs)
         for job in listed:
             for number, phase in enumerate(job.place.phases):
@@ -53,7 +53,7 @@
 
 
 class NoAdmission(Admission):
-    """Let everybody in."""
+    """Admit every job."""
 
     def decide(
         self,
@@ -63,45 +63,45 @@
         engine_s: float,
         now: float,
     ) -> AdmissionDecision:
-        """Let a job in."""
+        """Admit the job."""
         return AdmissionDecision(True, engine_s)
 
 
 def without_allowances(scheduler: Scheduler) -> None:
-    """Take no workspace for a flood."""
+    """Never treat a workspace as over its allowance."""
     scheduler.allowances = NoAllowances()
 
 
 def without_pacing(scheduler: Scheduler) -> None:
-    """Hold no job back."""
+    """Disable pacing."""
     scheduler.stages.pacing = NoPacing()
 
 
 def with_fixed_backlog(scheduler: Scheduler) -> None:
-    """Hold jobs back by the same seconds of work for every stage."""
+    """Use the same allowed backlog for every stage."""
     scheduler.stages.pacing = FixedBacklog()
 
 
 def without_admission(scheduler: Scheduler) -> None:
-    """Turn nobody away at the door."""
+    """Disable admission control."""
     scheduler.admission = NoAdmission()
 
 
 class StrictRanks(Evenness):
-    """Let every rank give way to those before it, however it fares."""
+    """Order jobs strictly by rank, whatever their attainment."""
 
     def effective_rank(self, rank: int) -> int:
-        """Return the rank itself."""
+        """Return the rank unchanged."""
         return rank
 
 
 def with_strict_ranks(scheduler: Scheduler) -> None:
-    """Let ranks alone decide which kinds give way."""
+    """Order jobs strictly by rank."""
     scheduler.evenness = StrictRanks()
 
 
 def without_start_limit(scheduler: Scheduler) -> None:
-    """Let any number of runs begin at an engine within a second."""
+    """Remove the limit on the rate of run starts at engines."""
     for pool in scheduler.engine_pools.values():
         pool.start_limit = None
 
--- a/testkit/replay/stages.py
+++ b/testkit/replay/stages.py
@@ -1,4 +1,4 @@
-"""Stand for the replicas of stages: calls one at a time, a short queue, room for results."""
+"""Simulate stage replicas: one call at a time, a short queue, limited space for results."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 QUEUE_LIMIT = 2
 ROUND_TRIP_S = 0.004
-"""What a call and its answer take on the way."""
+"""Network time of a call and its response."""
 
 LINK_BYTES_PER_S = 1_250_000_000.0
 FAILED_CONNECT_S = 0.01
 
 
 class StoredResult(NamedTuple):
-    """Hold a result: its producer, failure domain, size, end of life and what it took to make."""
+    """Hold a result; `work_s` is the time that its computation took."""
 
     producer: str
     failure_domain: str
@@ -34,7 +34,7 @@
 
 
 class ReplicaState:
-    """Hold one replica's state; `slow` multiplies what calls take."""
+    """Hold one replica's state; `slowdown` multiplies the duration of its calls."""
 
     def __init__(self) -> None:
         self.lock = asyncio.Lock()
@@ -44,7 +44,7 @@
 
 
 class ReplayStages(StageCaller):
-    """Stand for every replica of stages on the loop's time."""
+    """Simulate every stage replica on the loop's time."""
 
     def __init__(self, *, specs: dict[str, StageSpec], size_of: Callable[[PieceCall], int]) -> None:
         self.specs = specs
@@ -64,7 +64,7 @@
         return self.replica_states.setdefault(name, ReplicaState())
 
     async def run(self, replica: Replica, calls: list[PieceCall]) -> list[PieceResult]:
-        """Make one call when its turn comes."""
+        """Make one call after those that wait at the replica."""
         state = self.state_of(replica.id)
         await asyncio.sleep(ROUND_TRIP_S / 2)
         if state.is_dead:
@@ -86,7 +86,7 @@
     async def execute(
         self, replica: Replica, state: ReplicaState, calls: list[PieceCall]
     ) -> list[PieceResult]:
-        """Fetch the inputs, work, and keep the results there is room for."""
+        """Fetch the inputs, spend the time of the work, and store the results that fit."""
         spec = self.specs[replica.service]
         self.calls += 1
         now = asyncio.get_running_loop().time()
@@ -116,7 +116,7 @@
         ]
 
     def fetch(self, replica: Replica, call: PieceCall) -> str:
-        """Return why a piece's inputs can't be had, nothing if they are."""
+        """Return `gone` if an input of a piece is missing, else an empty string."""
         for handle in call.inputs or ():
             item = self.results.get(handle)
             if item is None:
@@ -126,8 +126,10 @@
                 self.cross_domain_bytes += item.size
         return ''
 
-    def store_result(self, replica: Replica, call: PieceCall, expires_at: float, work_s: float) -> str:
-        """Keep a new result and return its handle."""
+    def store_result(
+        self, replica: Replica, call: PieceCall, expires_at: float, work_s: float
+    ) -> str:
+        """Store a new result and return its handle."""
         handle = f'{replica.address}/{next(self.result_numbers)}'
         self.results[handle] = StoredResult(
             replica.id, replica.failure_domain, self.size_of(call), expires_at, work_s
@@ -135,12 +137,12 @@
         return handle
 
     def expire(self, now: float) -> None:
-        """Drop results that have run out."""
+        """Drop expired results."""
         for handle in [name for name, item in self.results.items() if item.expires_at <= now]:
             del self.results[handle]
 
     def free_bytes(self, replica: Replica, spec: StageSpec) -> float:
-        """Return a replica's room."""
+        """Return a replica's free result space in bytes."""
         return spec.result_capacity_bytes - sum(
             item.size for item in self.results.values() if item.producer == replica.id
         )
@@ -150,13 +152,13 @@
         return ProbeResult.REFUSED if self.state_of(replica.id).is_dead else ProbeResult.OPEN
 
     async def free(self, replica: Replica, handles: list[str]) -> None:
-        """Give results up."""
+        """Free results."""
         await asyncio.sleep(ROUND_TRIP_S)
         for handle in handles:
             self.results.pop(handle, None)
 
     async def report(self, replica: Replica) -> StageReport:
-        """Tell a replica's room."""
+        """Return a replica's free result space and whether it is idle."""
         await asyncio.sleep(ROUND_TRIP_S)
         state = self.state_of(replica.id)
         if state.is_dead:
@@ -166,6 +168,8 @@
         return StageReport(free, state.waiting == 0)
 
     def kill(self, name: str) -> None:
-        """End a replica and lose its results."""
+        """Kill a replica and drop its results."""
         self.state_of(name).is_dead = True
-        self.results = {handle: item for handle, item in self.results.items() if item.producer != name}
+        self.results = {
+            handle: item for handle, item in self.results.items() if item.producer != name
+        }
--- a/testkit/replay/watching.py
+++ b/testkit/replay/watching.py
@@ -1,4 +1,4 @@
-"""Watch a scheduler in a replay: what it decides, and what its work costs."""
+"""Observe a scheduler in a replay: its rejections and its processor time."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class CountingObserver(SchedulerObserver):
-    """Count decisions."""
+    """Count rejections by reason."""
 
     def __init__(self) -> None:
         self.rejected: dict[str, int] = {}
@@ -29,7 +29,7 @@
         """Do nothing."""
 
     def on_rejected(self, job: Job, reason: str, retry_after_s: float) -> None:
-        """Count a refusal by its reason."""
+        """Count a rejection."""
         self.rejected[reason] = self.rejected.get(reason, 0) + 1
 
     def on_handed_over(self, job: Job, successor: str, results: int) -> None:
@@ -43,19 +43,19 @@
 
 
 class Stopwatch:
-    """Add up the processor time that a scheduler's own work takes, calls within calls once."""
+    """Add up the processor time of a scheduler's methods, counting nested calls once."""
 
     def __init__(self) -> None:
         self.depth = 0
         self.cpu_s = 0.0
 
     def wrap(self, target: Any, names: tuple[str, ...]) -> None:
-        """Time some methods of an object."""
+        """Measure some methods of an object."""
         for name in names:
             setattr(target, name, self.timed(getattr(target, name)))
 
     def timed(self, work: Callable[..., Any]) -> Callable[..., Any]:
-        """Return a function that times another."""
+        """Return a function that measures another."""
 
         def run(*args: Any, **named: Any) -> Any:
             self.depth += 1
--- a/testkit/replay/world.py
+++ b/testkit/replay/world.py
@@ -1,4 +1,4 @@
-"""Replay a pattern of load: callers, one scheduler at a time, fake stages and engines."""
+"""Replay a pattern of load with callers, one active scheduler, and simulated replicas."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from calicopath_core.scheduling.starts import WarmupTerms
 from testkit.ledgers import new_guard
 from testkit.replay import outcomes as counting
-from testkit.replay.faults import disturb_replicas, evacuate_failure_domain
 from testkit.replay.engines import REREAD_WINDOW_S, ReplayEngine
+from testkit.replay.faults import disturb_replicas, evacuate_failure_domain
 from testkit.replay.fleet import ENGINE, Fleet, fleet_of
 from testkit.replay.load import FLOODING_WORKSPACE, PATTERNS, Arrival, Fault, LoadGenerator, Pattern
 from testkit.replay.outcomes import Figures, Outcome
@@ -41,24 +41,24 @@
 
 
 NETWORK_S = 0.002
-"""What a message between boxes takes."""
+"""Latency of a message between boxes."""
 
 WARMUP_TERMS = WarmupTerms(overage=1.5, slack=5.0)
-"""How far a cold engine's rate may be passed."""
+"""Terms of the allowed excess over a cold engine's rate of starts."""
 
 
 DETECTION_DELAY_S = 0.75
-"""After what time boxes give a silent scheduler up."""
+"""Time until boxes replace a silent scheduler."""
 
 DOWN_S = 1.4
-"""How long everything is away after it was killed."""
+"""Downtime of all boxes after they were killed."""
 
 RETURN_SPREAD_S = 0.5
-"""Within what time callers come back whose boxes were killed."""
+"""Period over which callers return after their boxes were killed."""
 
 MAX_ATTEMPTS = 2
 RETRY_SHARE = 1 / 3
-"""Callers wait as long as they are told, but at most this share of the time they have left."""
+"""Callers wait for the requested delay, but at most this share of their remaining time."""
 
 TIMED_METHODS = ('on_place', 'on_started', 'on_ended', 'tick', 'advance')
 TIMED_STAGE_METHODS = ('dispatch', 'on_freed', 'on_result')
@@ -66,14 +66,14 @@
 
 
 class Variant(NamedTuple):
-    """Name a scheduler to replay against; `change` swaps mechanisms of a new one."""
+    """Name a variant of the scheduler; `apply` replaces mechanisms of a new scheduler."""
 
     name: str
     apply: Callable[[Scheduler], None] = lambda scheduler: None
 
 
 class World:
-    """Hold one replay."""
+    """Run one replay."""
 
     def __init__(self, *, fleet: Fleet, pattern: Pattern, seed: int, variant: Variant) -> None:
         self.fleet = fleet
@@ -106,13 +106,16 @@
         self.outcomes: list[Outcome] = []
 
     def size_of(self, call: PieceCall) -> int:
-        """Return how large a piece's result is."""
+        """Return the size of a piece's result in bytes."""
         return self.sizes[call.call_id, call.phase]
 
     def new_scheduler(self) -> Scheduler:
-        """Start a scheduler that knows nothing yet."""
+        """Start a scheduler without any jobs."""
         for replica in self.fleet.replicas():
-            if replica.id not in self.table.replicas and not self.stages.state_of(replica.id).is_dead:
+            if (
+                replica.id not in self.table.replicas
+                and not self.stages.state_of(replica.id).is_dead
+            ):
                 self.table.put(replica)
         found = Scheduler(
             clock=self.clock,
@@ -134,8 +137,10 @@
         return found
 
     def deployment(self) -> Deployment:
-        """Return the services that there are."""
-        stages = [ServiceSpec(name, '', 100, spec, None) for name, spec in self.fleet.stage_specs.items()]
+        """Return a deployment with the services of the fleet."""
+        stages = [
+            ServiceSpec(name, '', 100, spec, None) for name, spec in self.fleet.stage_specs.items()
+        ]
         engine = ServiceSpec(ENGINE, '', 100, None, self.fleet.engine_spec, self.fleet.warmup)
         return Deployment(
             version=1,
@@ -146,11 +151,11 @@
         )
 
     def send(self, address: str, message: msgspec.Struct) -> None:
-        """Bring a scheduler's message to the box that asked."""
+        """Deliver a scheduler's message to the box after the network latency."""
         asyncio.get_running_loop().call_later(NETWORK_S, self.on_message, message)
 
     def on_message(self, message: msgspec.Struct) -> None:
-        """Take a scheduler's answer in."""
+        """Process a scheduler's message."""
         pending = self.pending_jobs.get(getattr(message, 'job', ''))
         if pending is None:
             return
@@ -160,7 +165,7 @@
             pending.answer.set_result(message)  # type: ignore[arg-type]
 
     def send_to_scheduler(self, message: msgspec.Struct) -> None:
-        """Bring a box's message to the scheduler of the moment."""
+        """Deliver a box's message to the current scheduler after the network latency."""
 
         def arrive() -> None:
             scheduler = self.scheduler
@@ -188,7 +193,7 @@
         return self.figures()
 
     async def apply_fault(self, fault: Fault) -> None:
-        """Let something happen to replicas or the scheduler."""
+        """Apply a fault to replicas or the scheduler at its time."""
         await asyncio.sleep(fault.at)
         if fault.kind == 'killed':
             self.down_until = self.clock.monotonic() + DOWN_S
@@ -207,7 +212,7 @@
             await disturb_replicas(self, fault)
 
     async def stop_scheduler(self) -> None:
-        """End the scheduler and its calls; what replicas have started they finish."""
+        """Stop the scheduler and cancel its calls; replicas finish the work they have started."""
         scheduler, self.scheduler = self.scheduler, None
         if scheduler is None or self.scheduler_task is None:
             return
@@ -218,7 +223,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def start_successor(self, *, with_jobs: bool) -> None:
-        """Start the next scheduler; boxes that live ask it for what the last one left."""
+        """Start the next scheduler; with `with_jobs`, boxes send it their pending jobs again."""
         self.scheduler = self.new_scheduler()
         waiting = [item for item in self.pending_jobs.values() if not item.answer.done()]
         self.scheduler.stages.on_take_over(has_work=with_jobs and bool(waiting))
@@ -229,7 +234,7 @@
                 self.send_to_scheduler(pending.request(now, silent_scheduler='gone'))
 
     async def run_caller(self, arrival: Arrival) -> None:
-        """Send one request and, if it may, once more."""
+        """Send one request, with up to `MAX_ATTEMPTS` attempts within its deadline."""
         await asyncio.sleep(arrival.at)
         refusals = 0
         answered: float | None = None
@@ -248,12 +253,12 @@
         self.outcomes.append(Outcome(arrival, answered, refusals))
 
     async def wait_for_boxes(self) -> None:
-        """Wait until boxes are back, each caller a little differently."""
+        """Wait until boxes are back, plus a random delay per caller."""
         back_s = self.down_until - self.clock.monotonic()
         await asyncio.sleep(back_s + RETURN_SPREAD_S * self.rng.random())
 
     async def attempt(self, arrival: Arrival, number: int, left_s: float) -> float:
-        """Make one try; return 0 if its answer began, else when the caller may come back."""
+        """Make one attempt; return 0 if its response began, else the retry delay in seconds."""
         name = f'{arrival.name}-{number}'
         for index, phase in enumerate(arrival.phases):
             self.sizes[name, index] = phase.result_bytes
@@ -273,7 +278,7 @@
         return await self.run_engine(arrival, name, answer)
 
     async def wait_answer(self, pending: PendingJob, scheduler_restarts: int) -> Any:
-        """Return a scheduler's answer, or nothing if the box that asked died first."""
+        """Return the scheduler's answer, or `None` if the boxes were killed first."""
         while not pending.answer.done():
             await asyncio.wait({pending.answer}, timeout=0.05)
             if self.clock.monotonic() < self.down_until:
@@ -299,7 +304,7 @@
         )
 
     async def run_engine(self, arrival: Arrival, name: str, placed: Placed) -> float:
-        """Run a placed request; return 0 once its first event came."""
+        """Run a placed request; return 0 after its first event, else the retry delay in seconds."""
         engine, failure_domain = self.engines[placed.replica], self.failure_domains[placed.replica]
         await asyncio.sleep(NETWORK_S)
         for handle in placed.inputs:
@@ -324,7 +329,7 @@
         return 0.0
 
     def count_reread(self, arrival: Arrival, engine: ReplayEngine, now: float) -> None:
-        """Count the shared parts that are read though an engine has read them lately."""
+        """Count the tokens of shared parts that an engine read within `REREAD_WINDOW_S`."""
         kept = True
         for part in arrival.prompt.parts[:-1]:
             kept = kept and part.id in engine.cached_parts
@@ -334,17 +339,17 @@
             self.last_read_at[part.id] = now
 
     def end_run(self, engine: ReplayEngine, name: str) -> None:
-        """End a run."""
+        """Finish a run at its engine."""
         engine.running -= 1
         self.end_job(name)
 
     def end_job(self, name: str) -> None:
-        """Tell that a job is over."""
+        """Remove a job and report its end to the scheduler."""
         self.pending_jobs.pop(name, None)
         self.send_to_scheduler(RunEnded(job=name, sender='box', failed=False))
 
     def figures(self) -> Figures:
-        """Return what was measured."""
+        """Return the figures of the replay."""
         jobs = max(1, len(self.pending_jobs) + len(self.outcomes))
         return Figures(
             worth=counting.worth_share(self.outcomes),
@@ -366,7 +371,7 @@
 
 
 def max_within_a_second(times: list[float]) -> int:
-    """Return the most of some moments, in order, that lie within one second."""
+    """Return the largest number of sorted times that lie within one second."""
     return max(bisect.bisect_left(times, at + 1.0) - n for n, at in enumerate(times))
 
 
--- a/testkit/servers.py
+++ b/testkit/servers.py
@@ -1,4 +1,4 @@
-"""Serve applications on ports that the system gives, inside a test."""
+"""Serve applications inside a test, on ports chosen by the system."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 async def serve_script(
     script: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]],
 ) -> AsyncIterator[str]:
-    """Yield the URL of a server that does to each connection exactly what a script says."""
+    """Yield the URL of a server that runs a script on each connection."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
--- a/testkit/virtual.py
+++ b/testkit/virtual.py
@@ -1,4 +1,4 @@
-"""Run asyncio code on virtual time: waiting costs nothing and nothing depends on the machine."""
+"""Run asyncio code on virtual time, independent of the speed of the machine."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 T = TypeVar('T')
 
 WALL_START_S = 1_800_000_000.0
-"""The wall clock when virtual time starts, in seconds since 1970."""
+"""Wall clock at the start of virtual time, in seconds since 1970."""
 
 
 class DeadlockError(RuntimeError):
-    """Report that a test waits for something that can never happen."""
+    """Raised when every task waits and no timer can wake one."""
 
 
 class VirtualSelector(selectors.DefaultSelector):
-    """Advance the loop's time instead of waiting."""
+    """Advance the virtual time instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
 
     def select(self, timeout: float | None = None) -> Any:
-        """Skip the waiting time."""
+        """Advance the time by the timeout and return the ready events."""
         if timeout is None:
             raise DeadlockError('every task waits and no timer is set')
         self.now += max(0.0, timeout)
@@ -37,19 +37,19 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Tell the selector's time."""
+    """Use the selector's virtual time."""
 
     def __init__(self) -> None:
         self.virtual_selector = VirtualSelector()
         super().__init__(self.virtual_selector)
 
     def time(self) -> float:
-        """Return virtual seconds since the loop was made."""
+        """Return virtual seconds since the loop was created."""
         return self.virtual_selector.now
 
 
 class VirtualClock(Clock):
-    """Tell virtual time; `wall_error_s` sets the wall clock wrong."""
+    """Return virtual time; `wall_error_s` is the error of the wall clock."""
 
     def __init__(self, *, wall_error_s: float = 0.0) -> None:
         self.wall_error_s = wall_error_s
--- a/testkit/world.py
+++ b/testkit/world.py
@@ -1,4 +1,4 @@
-"""Assemble boxes around one fake store and one fake fleet."""
+"""Assemble boxes with one fake store and one fake fleet."""
 
 from __future__ import annotations
 
@@ -123,7 +123,7 @@
 
 
 def config_updates(fleet: FakeFleet, version: int = 1) -> list[ViewUpdate]:
-    """Return the whole configuration as a box would get it."""
+    """Return the whole configuration as the updates that a box receives."""
     updates = [
         ViewUpdate(endpoint_key(name), version, endpoint_spec(item.endpoint))
         for name, item in fleet.endpoints.items()
@@ -135,7 +135,7 @@
 
 
 class FakeBox:
-    """Hold one box's decisions over the fakes."""
+    """Run the execution logic of one box against the fakes."""
 
     def __init__(
         self,
@@ -186,7 +186,7 @@
         )
 
     def new_id(self) -> str:
-        """Return a fresh identifier that names the box."""
+        """Return a new identifier that contains the name of the box."""
         return f'{self.name}-{next(self.numbers)}'
 
     def configure(self, fleet: FakeFleet, version: int = 1) -> FakeBox:
@@ -222,7 +222,7 @@
         return await self.executor.run(request, plan, sink or DiscardSink())
 
     def kill(self) -> None:
-        """End everything that the box does, as a crash would."""
+        """Cancel all work of the box, as a crash would."""
         self.gate.pause()
         writers = self.local_claims.writers.values()
         tasks = [*self.executor.late, *(writer.task for writer in writers)]
@@ -231,7 +231,7 @@
                 task.cancel()
 
     async def wait_background_tasks(self) -> None:
-        """Wait until nothing goes on in the background."""
+        """Wait until all background tasks have finished."""
         while self.executor.late:
             await asyncio.wait(set(self.executor.late))
 
@@ -245,18 +245,18 @@
 
 
 class TextSink(TokenSink):
-    """Keep the text that was streamed."""
+    """Record the streamed text."""
 
     def __init__(self) -> None:
         self.pieces: list[str] = []
 
     @property
     def text(self) -> str:
-        """Return all of it."""
+        """Return the whole text."""
         return ''.join(self.pieces)
 
     async def write(self, text: str) -> None:
-        """Keep a piece."""
+        """Record a piece."""
         self.pieces.append(text)
 
 
