--- a/testkit/replay/outcomes.py
+++ b/testkit/replay/outcomes.py
@@ -11,7 +11,7 @@
 
 
 class Outcome(NamedTuple):
-    """Hold the outcome of a request; `answered_s` counts from its first attempt (`None`: failed)."""
+    """Hold one request's outcome; `answered_s` counts from its first attempt (`None`: failed)."""
 
     arrival: Arrival
     answered_s: float | None
