--- a/bench/restored.py
+++ b/bench/restored.py
@@ -160,12 +160,12 @@
             return
         if kind == 'announce':
             name = f'desk-{100 + len(self.acknowledged)}'
-            self.fleet.announce(Replica(name, DESK, f'{name}:1', 'north', 6, False))
+            self.fleet.register(Replica(name, DESK, f'{name}:1', 'north', 6, False))
         elif kind == 'drain':
             name = self.replica_names.pop(self.replica_names.index(self.rng.choice(known_names)))
             entry = records[name]
             assert isinstance(entry, Replica)
-            self.fleet.announce(entry._replace(draining=True))
+            self.fleet.register(entry._replace(draining=True))
         else:
             name = self.replica_names.pop(self.replica_names.index(self.rng.choice(known_names)))
             self.fleet.withdraw(name)
@@ -221,16 +221,16 @@
         """Run the schedule and return its figures."""
         fleet, rng = self.fleet, self.rng
         for name in self.replica_names:
-            fleet.announce(Replica(name, DESK, f'{name}:1', 'north', 6, False))
+            fleet.register(Replica(name, DESK, f'{name}:1', 'north', 6, False))
         await fleet.start()
         await asyncio.sleep(2.0)
         sampling = asyncio.create_task(self.run_sampling())
         await self.make_changes(2.0)
-        snapshot = fleet.store.copy()
+        snapshot = fleet.store.snapshot()
         await self.make_changes(rng.uniform(0.5, 10.0))
         calls_before = sum(box.store.calls for box in fleet.boxes.values())
         down_s, rewrite_delay_s = rng.uniform(0.0, 5.0), rng.uniform(0.0, 2.0)
-        restoring = asyncio.create_task(fleet.store.go_back(snapshot, down_s, rewrite_delay_s))
+        restoring = asyncio.create_task(fleet.store.restore(snapshot, down_s, rewrite_delay_s))
         await asyncio.sleep(down_s + TOLERATED_DELAY_S)
         self.returned_at = self.now() - TOLERATED_DELAY_S
         await self.make_changes(3.0)
--- a/bench/spreading.py
+++ b/bench/spreading.py
@@ -56,7 +56,7 @@
 async def simulate_fleet(count: int) -> SpreadFigures:
     """Measure a fleet when idle, under changes, and with relays or failure domains lost."""
     domains = max(2, count // BOXES_PER_DOMAIN)
-    fleet = PeerFleet(count=count, domains=domains)
+    fleet = PeerFleet(count=count, failure_domains=domains)
     await fleet.start(15.0)
     before, calls_before = sent_bytes(fleet), platform_calls(fleet)
     await asyncio.sleep(IDLE_S)
--- a/packages/daemon/calicopathd/gateway/tests/server_tests.py
+++ b/packages/daemon/calicopathd/gateway/tests/server_tests.py
@@ -61,7 +61,7 @@
 
 
 class ServerCase(testtools.TestCase):
-    def play(self, work: Callable[[HttpServer, int], Awaitable[Any]]) -> tuple[Any, Echo]:
+    def run_scenario(self, steps: Callable[[HttpServer, int], Awaitable[Any]]) -> tuple[Any, Echo]:
         """Run some work against a started server."""
 
         async def scenario() -> tuple[Any, Echo]:
@@ -69,7 +69,7 @@
             server = HttpServer(handler=handler, clock=LoopClock())
             port = await server.start('127.0.0.1', 0)
             try:
-                return await work(server, port), handler
+                return await steps(server, port), handler
             finally:
                 server.close_idle()
                 for connection in list(server.connections):
@@ -87,7 +87,7 @@
             writer.close()
             return found
 
-        return self.play(work)
+        return self.run_scenario(work)
 
 
 class Connections(ServerCase):
@@ -104,7 +104,7 @@
             connections[1][1].close()
             return [*found, str(server.rejected_connections).encode()]
 
-        (rejected, served, count), handler = self.play(work)
+        (rejected, served, count), handler = self.run_scenario(work)
         self.assertEqual(b'', rejected)
         self.assertThat(served, StartsWith(OK))
         self.assertEqual(b'1', count)
@@ -185,7 +185,7 @@
             writer.close()
             await asyncio.sleep(0.05)
 
-        self.assertEqual(1, self.play(work)[1].cancelled)
+        self.assertEqual(1, self.run_scenario(work)[1].cancelled)
 
 
 class Answers(ServerCase):
@@ -206,7 +206,7 @@
             writer.close()
             return found
 
-        found, _ = self.play(work)
+        found, _ = self.run_scenario(work)
         self.assertNotIn(b'0\r\n\r\n', found)
         self.assertIn(found.partition(b'\r\n\r\n')[2], (b'', b'4\r\npart\r\n'))
 
@@ -225,7 +225,7 @@
             idle[1].close()
             return found
 
-        found, _ = self.play(work)
+        found, _ = self.run_scenario(work)
         self.assertThat(found, StartsWith(OK))
         self.assertIn(b'Connection: close', found)
         self.assertThat(found, EndsWith(b'ab'))
--- a/testkit/gateway_callers.py
+++ b/testkit/gateway_callers.py
@@ -1,4 +1,4 @@
-"""Give each box its own way to the replicas, which note from which box a call has come."""
+"""Give each box its own clients of the shared replicas, and record which box made each call."""
 
 from __future__ import annotations
 
@@ -20,39 +20,39 @@
 
 STATUS_UNAVAILABLE = 503
 STATUS_MISDIRECTED = 421
-DECLINE_S = 0.01
+DECLINE_DELAY_S = 0.01
 
 
 class Arrival(NamedTuple):
-    """Note a call that reached a replica, from which box, and what its answer told.
+    """Record a call that reached a replica, the calling box, and the notice in the response.
 
-    Times are the loop's; `asked_at` is when the caller sent the request, for a stage's call when
-    it was sent.
+    Times are the loop's, in seconds; `requested_at` is when the caller sent its request, or for a
+    stage's call when the box sent it.
     """
 
     box: str
     replica: str
-    asked_at: float
+    requested_at: float
     at: float
     notice: Notice
 
 
-class Notices:
-    """Hold what replicas say in their answers, and what reached them; shared by all boxes."""
+class ReplicaNotices:
+    """Hold the replicas' current notices and the calls that reached them, for all boxes."""
 
     def __init__(self) -> None:
-        self.said: dict[str, Notice] = {}
+        self.current: dict[str, Notice] = {}
         self.arrivals: list[Arrival] = []
 
-    def arrive(self, box: str, replica: Replica, asked_at: float) -> Notice:
-        """Note a call and return what its answer tells."""
-        notice = self.said.get(replica.id, EMPTY_NOTICE)
+    def record_arrival(self, box: str, replica: Replica, requested_at: float) -> Notice:
+        """Record a call and return the notice for its response."""
+        notice = self.current.get(replica.id, EMPTY_NOTICE)
         now = asyncio.get_running_loop().time()
-        self.arrivals.append(Arrival(box, replica.id, asked_at, now, notice))
+        self.arrivals.append(Arrival(box, replica.id, requested_at, now, notice))
         return notice
 
-    def between(self, box: str, replica: str, begin: float, end: float) -> list[Arrival]:
-        """Return what reached a replica from a box in a span."""
+    def arrivals_between(self, box: str, replica: str, begin: float, end: float) -> list[Arrival]:
+        """Return the calls from a box to a replica between two times."""
         return [
             item
             for item in self.arrivals
@@ -60,32 +60,34 @@
         ]
 
     def late_sends(self, drain_s: float) -> list[Arrival]:
-        """Return what was asked longer than `drain_s` after a replica had told a box it leaves."""
+        """Return calls requested over `drain_s` after the replica told their box that it leaves."""
         told: dict[tuple[str, str], float] = {}
         found = []
         for item in self.arrivals:
             key = (item.box, item.replica)
-            if item.asked_at > told.get(key, item.at) + drain_s:
+            if item.requested_at > told.get(key, item.at) + drain_s:
                 found.append(item)
             if item.notice.leaving:
                 told.setdefault(key, item.at)
         return found
 
     def sends_in_backoffs(self, slack_s: float) -> dict[tuple[str, str, float], int]:
-        """Return for each backoff how many calls came from that box in it, after some slack."""
+        """Count the calls from a box during each of its backoffs, from `slack_s` on."""
         found = {}
         for item in self.arrivals:
             if item.notice.backoff_s > slack_s:
                 span = (item.at + slack_s, item.at + item.notice.backoff_s)
-                came = self.between(item.box, item.replica, *span)
+                came = self.arrivals_between(item.box, item.replica, *span)
                 found[item.box, item.replica, item.at] = len(came)
         return found
 
-    def most_after_limits(self, *, span_s: float, after_s: float, heard_s: float) -> dict[str, int]:
-        """Return the most calls in a span that replicas which named a limit got from told boxes.
+    def max_calls_after_limits(
+        self, *, span_s: float, limit_grace_s: float, notice_grace_s: float
+    ) -> dict[str, int]:
+        """Return per limited replica the most calls within `span_s` from boxes that know the limit.
 
-        Counted from `after_s` after the first answer that names it; a box counts from `heard_s`
-        after the first such answer that it got itself.
+        Counts calls from `limit_grace_s` after the first response that advertised the limit; a box
+        counts from `notice_grace_s` after the first such response that it received itself.
         """
         named: dict[str, float] = {}
         told: dict[tuple[str, str], float] = {}
@@ -93,9 +95,9 @@
         for item in self.arrivals:
             key = (item.box, item.replica)
             first, heard = named.get(item.replica), told.get(key)
-            if first is not None and item.at >= first + after_s:
+            if first is not None and item.at >= first + limit_grace_s:
                 times = counted.setdefault(item.replica, [])
-                if heard is not None and item.at >= heard + heard_s:
+                if heard is not None and item.at >= heard + notice_grace_s:
                     times.append(item.at)
             if item.notice.limit_per_s is not None:
                 named.setdefault(item.replica, item.at)
@@ -108,26 +110,26 @@
 
 
 class BoxReplicas(ReplicaClient):
-    """Give one box the engines and plain services; one that wants a pause declines."""
+    """Call engines and plain services for one box; a replica in backoff declines."""
 
-    def __init__(self, *, replicas: FakeReplicas, notices: Notices, box: str) -> None:
+    def __init__(self, *, replicas: FakeReplicas, notices: ReplicaNotices, box: str) -> None:
         self.replicas = replicas
         self.notices = notices
         self.box = box
 
     async def send(self, outbound: OutboundRequest) -> ReplicaAnswer:
-        """Send a request, and tell the listener what the answer's head tells."""
+        """Send a request, and pass the notice in the response head to the interceptor."""
         replica = outbound.replica
         self.interceptor.check_call(replica, new_work=True)
-        notice = self.notices.arrive(self.box, replica, outbound.exchange.received_at)
+        notice = self.notices.record_arrival(self.box, replica, outbound.exchange.received_at)
         if notice.backoff_s:
             self.replicas.sent.append(outbound)
-            await asyncio.sleep(DECLINE_S)
+            await asyncio.sleep(DECLINE_DELAY_S)
             self.interceptor.on_notice(replica, notice)
             head = AnswerHead(STATUS_UNAVAILABLE, (), True, None)
             return FakeBody(head=head, body=b'')
         if notice.from_other_replica:
-            await asyncio.sleep(DECLINE_S)
+            await asyncio.sleep(DECLINE_DELAY_S)
             self.interceptor.on_notice(replica, notice)
             return FakeBody(head=AnswerHead(STATUS_MISDIRECTED, (), True, None), body=b'')
         answer = await self.replicas.send(outbound)
@@ -135,29 +137,29 @@
         return answer
 
     async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
-        """Return what an attempt to connect shows."""
+        """Return the result of a connection attempt."""
         return await self.replicas.probe(replica, watch_s)
 
 
 class BoxStages(StageCaller):
-    """Give one box the replicas of stages."""
+    """Call the replicas of stages for one box."""
 
-    def __init__(self, *, stages: FakeStages, notices: Notices, box: str) -> None:
+    def __init__(self, *, stages: FakeStages, notices: ReplicaNotices, box: str) -> None:
         self.stages = stages
         self.notices = notices
         self.box = box
 
     async def run(self, replica: Replica, calls: list[PieceCall]) -> list[PieceResult]:
-        """Make one call; its head comes when it is done."""
+        """Make one call; the notice arrives with the results."""
         self.interceptor.check_call(replica, new_work=True)
         now = asyncio.get_running_loop().time()
-        notice = self.notices.arrive(self.box, replica, now)
+        notice = self.notices.record_arrival(self.box, replica, now)
         if notice.backoff_s:
-            await asyncio.sleep(DECLINE_S)
+            await asyncio.sleep(DECLINE_DELAY_S)
             self.interceptor.on_notice(replica, notice)
             raise NotStarted(f'{replica.id} declined with {STATUS_UNAVAILABLE}')
         if notice.from_other_replica:
-            await asyncio.sleep(DECLINE_S)
+            await asyncio.sleep(DECLINE_DELAY_S)
             self.interceptor.on_notice(replica, notice)
             raise NotStarted(f'{replica.id} declined with {STATUS_MISDIRECTED}')
         results = await self.stages.run(replica, calls)
@@ -165,18 +167,18 @@
         return results
 
     async def report(self, replica: Replica) -> StageReport:
-        """Return what a replica tells of itself."""
+        """Return a replica's report."""
         self.interceptor.check_call(replica, new_work=False)
         report = await self.stages.report(replica)
-        self.interceptor.on_notice(replica, self.notices.said.get(replica.id, EMPTY_NOTICE))
+        self.interceptor.on_notice(replica, self.notices.current.get(replica.id, EMPTY_NOTICE))
         return report
 
     async def free(self, replica: Replica, handles: list[str]) -> None:
-        """Give results up."""
+        """Free results."""
         self.interceptor.check_call(replica, new_work=False)
         await self.stages.free(replica, handles)
-        self.interceptor.on_notice(replica, self.notices.said.get(replica.id, EMPTY_NOTICE))
+        self.interceptor.on_notice(replica, self.notices.current.get(replica.id, EMPTY_NOTICE))
 
     async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
-        """Return what an attempt to connect shows."""
+        """Return the result of a connection attempt."""
         return await self.stages.probe(replica, watch_s)
