--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -1,4 +1,4 @@
-"""Describe the users' deployments at their sizes of today, for the bench."""
+"""Describe the users' deployments at their current sizes, for the simulated bench."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 if TYPE_CHECKING:
     from testkit.fake_store import StoreState
 
-TOKENS = 12
-"""Tokens an answer; each stands for several real ones, which keeps the bench fast."""
+TOKENS_PER_ANSWER = 12
+"""Each token stands for several real ones, which keeps the bench fast."""
 
 
 class PoolSize(NamedTuple):
-    """Hold a pool's replicas, the calls that each serves at once, and their times."""
+    """Hold a service's number of replicas, the concurrent calls of each, and their timing."""
 
     kind: StageKind
     replicas: int
@@ -26,7 +26,7 @@
 
 
 class Workload(NamedTuple):
-    """Hold one workspace's pipeline and its share of the requests."""
+    """Hold one workspace's pipeline and its weight in the mix of requests."""
 
     workspace: str
     template: str
@@ -35,20 +35,20 @@
 
 
 class Deployment(NamedTuple):
-    """Hold one user's deployment; `capacity` is the requests a second that it can answer."""
+    """Hold one user's boxes, failure domains, pools by service, and workloads."""
 
     name: str
     boxes: int
-    domains: int
+    failure_domains: int
     pools: dict[str, PoolSize]
     workloads: tuple[Workload, ...]
 
     @property
-    def capacity(self) -> float:
-        """Return the requests a second at which generation is full."""
+    def capacity_per_s(self) -> float:
+        """Return the request rate at which all generation slots are busy."""
         pool = self.pools['drafting']
         full = 1.0 + pool.timing.batch_slowdown * (pool.concurrency - 1)
-        service_s = (pool.timing.first_token_s + TOKENS * pool.timing.token_s) * full
+        service_s = (pool.timing.first_token_s + TOKENS_PER_ANSWER * pool.timing.token_s) * full
         return pool.replicas * pool.concurrency / service_s
 
 
@@ -56,19 +56,21 @@
 ENGINE_TIMING = Timing(first_token_s=0.06, token_s=0.04, batch_slowdown=0.03, prefill_s=0.15)
 
 
-def deployment(name: str, boxes: int, drafting: int, workloads: tuple[Workload, ...]) -> Deployment:
-    """Return a deployment with so many drafting replicas."""
+def new_deployment(
+    name: str, boxes: int, drafting_replicas: int, workloads: tuple[Workload, ...]
+) -> Deployment:
+    """Return a deployment whose pools differ from others only in the drafting replicas."""
     pools = {
         'encoders': PoolSize(StageKind.ENCODER, 2, 2, STAGE_TIMING, 12),
         'retrievers': PoolSize(StageKind.RETRIEVER, 2, 4, STAGE_TIMING, 12),
         'rerankers': PoolSize(StageKind.RERANKER, 2, 4, STAGE_TIMING, 12),
-        'drafting': PoolSize(StageKind.ENGINE, drafting, 8, ENGINE_TIMING, 540),
+        'drafting': PoolSize(StageKind.ENGINE, drafting_replicas, 8, ENGINE_TIMING, 540),
         'desk': PoolSize(StageKind.SERVICE, 4, 8, STAGE_TIMING, 12),
     }
     return Deployment(name, boxes, 4, pools, workloads)
 
 
-RAVI = deployment(
+RAVI = new_deployment(
     'ravi-canal-hire',
     6,
     6,
@@ -80,7 +82,7 @@
         Workload('boatyard', 'answer', 3, 0.1),
     ),
 )
-POKANA = deployment(
+POKANA = new_deployment(
     'pokana-coop',
     8,
     9,
@@ -93,13 +95,13 @@
     ),
 )
 MANY_BOXES = POKANA._replace(name='many-boxes', boxes=48)
-"""Pokana Co-op with more boxes than replicas have places, as at the size to design for."""
+"""Pokana Co-op with more boxes than concurrent calls per replica, as at the design size."""
 
 MANY_WORKSPACES = POKANA._replace(
     name='many-workspaces',
     workloads=tuple(Workload(f'workspace-{n}', 'answer', 5, 1.0) for n in range(60)),
 )
-"""Pokana Co-op with more workspaces than an engine caches prompt prefixes."""
+"""Pokana Co-op with more workspaces than prompt prefixes fit into an engine's cache."""
 
 DEPLOYMENTS = {item.name: item for item in (RAVI, POKANA, MANY_BOXES, MANY_WORKSPACES)}
 
@@ -110,8 +112,8 @@
 }
 
 
-def new_fleet(found: Deployment) -> FakeFleet:
-    """Return the endpoints of a deployment, spread over its failure domains."""
+def new_fleet(deployment: Deployment) -> FakeFleet:
+    """Return the fake endpoints of a deployment, spread over its failure domains."""
     return FakeFleet(
         [
             FakeEndpoint(
@@ -120,19 +122,19 @@
                     service,
                     pool.kind,
                     'http://127.0.0.1:1',
-                    f'domain-{number % found.domains}',
+                    f'domain-{number % deployment.failure_domains}',
                     pool.concurrency,
                 ),
                 timing=pool.timing,
             )
-            for service, pool in found.pools.items()
+            for service, pool in deployment.pools.items()
             for number in range(pool.replicas)
         ]
     )
 
 
-def documents(found: Deployment, fleet: FakeFleet) -> dict[str, dict[str, Any]]:
-    """Return the configuration of a deployment by key."""
+def new_documents(deployment: Deployment, fleet: FakeFleet) -> dict[str, dict[str, Any]]:
+    """Return the configuration documents of a deployment by store key."""
     specs: dict[str, dict[str, Any]] = {}
     for name, item in fleet.endpoints.items():
         endpoint = item.endpoint
@@ -150,23 +152,23 @@
             'kind': 'template',
             'name': template,
             'parameters': {'prefix': {'type': 'string', 'default': ''}},
-            'stages': [stage_spec(service, found.pools[service]) for service in services],
+            'stages': [stage_spec(service, deployment.pools[service]) for service in services],
         }
-    for load in (*found.workloads, Workload('lookups', 'lookup', 5, 0.0)):
-        specs[f'config/pipelines/{load.workspace}/main'] = {
+    for workload in (*deployment.workloads, Workload('lookups', 'lookup', 5, 0.0)):
+        specs[f'config/pipelines/{workload.workspace}/main'] = {
             'kind': 'pipeline',
-            'workspace': load.workspace,
+            'workspace': workload.workspace,
             'name': 'main',
-            'template': load.template,
-            'parameters': {'prefix': f'{load.workspace}:'},
+            'template': workload.template,
+            'parameters': {'prefix': f'{workload.workspace}:'},
             'deadline_ms': 2000,
-            'priority': load.priority,
+            'priority': workload.priority,
         }
     return specs
 
 
 def stage_spec(service: str, pool: PoolSize) -> dict[str, Any]:
-    """Return the document of a stage."""
+    """Return the template entry of a service's stage."""
     spec: dict[str, Any] = {
         'name': service,
         'kind': pool.kind.value,
@@ -176,11 +178,11 @@
     if pool.kind is StageKind.SERVICE:
         spec['repeatable'] = False
     if pool.kind is StageKind.ENGINE:
-        spec['params'] = {'max_tokens': TOKENS, 'instruction': '${prefix}'}
+        spec['params'] = {'max_tokens': TOKENS_PER_ANSWER, 'instruction': '${prefix}'}
     return spec
 
 
 def fill_store(state: StoreState, specs: dict[str, dict[str, Any]]) -> None:
-    """Write a configuration into a fake store."""
+    """Write configuration documents into a fake store."""
     for key, spec in specs.items():
         state.write(key, {'spec': spec, 'change': {}}, 0)
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,4 +1,7 @@
-"""Compare policies over all scenarios, deterministic for a seed; `make bench` runs it."""
+"""Compare policies over all scenarios in simulation; `make bench` runs it.
+
+The same seed gives the same figures.
+"""
 
 from __future__ import annotations
 
@@ -13,14 +16,14 @@
 
 from bench.deployments import DEPLOYMENTS, POKANA, RAVI
 from bench.results import Measures, Summary, measure, summarise
-from bench.scenarios import DURATION_S, SCENARIOS, Scenario, play
+from bench.scenarios import DURATION_S, SCENARIOS, Scenario, run_scenario
 from bench.simulation import World
 from bench.variants import VARIANTS
 from calicopathd.logs import set_up_logs
 from testkit.virtual import run_virtual
 
-USERS = (RAVI.name, POKANA.name)
-"""The deployments for which targets are set."""
+TARGET_DEPLOYMENTS = (RAVI.name, POKANA.name)
+"""Names of the deployments whose results are compared with targets."""
 
 SEEDS = 5
 WORKERS = 6
@@ -54,8 +57,8 @@
 )
 
 
-class Job(NamedTuple):
-    """Name one run."""
+class RunSpec(NamedTuple):
+    """Identify one run by its deployment, scenario, variant and seed."""
 
     deployment: str
     scenario: str
@@ -64,7 +67,7 @@
 
 
 class Row(NamedTuple):
-    """Hold the summary of one deployment, scenario and variant over the seeds."""
+    """Hold the summaries by measure of one deployment, scenario and variant over all seeds."""
 
     deployment: str
     scenario: str
@@ -72,52 +75,52 @@
     measures: dict[str, Summary]
 
 
-def scenario_named(name: str) -> Scenario:
-    """Return a scenario."""
+def find_scenario(name: str) -> Scenario:
+    """Return the scenario of a name."""
     return next(item for item in SCENARIOS if item.name == name)
 
 
-def run_job(job: Job) -> Measures:
-    """Run one scenario once."""
+def execute_run(spec: RunSpec) -> Measures:
+    """Simulate one run in this process, with only errors logged."""
     set_up_logs(level='ERROR', json=True, box='bench')
-    return run_virtual(simulate(job))
+    return run_virtual(simulate(spec))
 
 
-async def simulate(job: Job) -> Measures:
-    """Play a scenario and measure it."""
+async def simulate(spec: RunSpec) -> Measures:
+    """Run the scenario in a new world and return its measures."""
     world = World(
-        deployment=DEPLOYMENTS[job.deployment], variant=VARIANTS[job.variant], seed=job.seed
+        deployment=DEPLOYMENTS[spec.deployment], variant=VARIANTS[spec.variant], seed=spec.seed
     )
-    await play(world, scenario_named(job.scenario))
+    await run_scenario(world, find_scenario(spec.scenario))
     return measure(world, DURATION_S)
 
 
-def run_all(jobs: list[Job], workers: int) -> dict[Job, Measures]:
-    """Run jobs on several processes."""
+def run_all(specs: list[RunSpec], workers: int) -> dict[RunSpec, Measures]:
+    """Execute runs on worker processes, or in this process for one worker."""
     if workers == 1:
-        return {job: run_job(job) for job in jobs}
+        return {spec: execute_run(spec) for spec in specs}
     with multiprocessing.get_context('spawn').Pool(workers) as pool:
-        return dict(zip(jobs, pool.map(run_job, jobs, chunksize=1), strict=True))
+        return dict(zip(specs, pool.map(execute_run, specs, chunksize=1), strict=True))
 
 
-def rows_of(results: dict[Job, Measures]) -> list[Row]:
-    """Return one row for each deployment, scenario and variant."""
-    keys = list(dict.fromkeys(job[:3] for job in results))
+def summary_rows(results: dict[RunSpec, Measures]) -> list[Row]:
+    """Return one row for each deployment, scenario and variant, in the order of the runs."""
+    keys = list(dict.fromkeys(spec[:3] for spec in results))
     return [
-        Row(*key, summarise([found for job, found in results.items() if job[:3] == key]))
+        Row(*key, summarise([measures for spec, measures in results.items() if spec[:3] == key]))
         for key in keys
     ]
 
 
 def format_cell(name: str, value: float) -> str:
-    """Return a figure: shares in percent, times in milliseconds."""
+    """Return a figure as text: shares in percent, times in milliseconds."""
     if name.endswith('_ms'):
         return f'{value:.0f}'
     return f'{100 * value:.1f}'
 
 
 def print_rows(rows: list[Row]) -> None:
-    """Print the medians, and minimum and maximum of the attainment."""
+    """Print the medians of all columns, and the range of the attainment."""
     print(f'{"deployment":16}{"scenario":18}{"variant":14}', *(f'{name:>8}' for name in HEADERS))
     for row in rows:
         cells = [format_cell(name, row.measures[name].median) for name in COLUMNS]
@@ -129,48 +132,48 @@
         )
 
 
-def check_targets(rows: list[Row]) -> list[str]:
-    """Return the targets that were missed, with by how much."""
-    found = {(row.deployment, row.scenario, row.variant): row.measures for row in rows}
+def missed_targets(rows: list[Row]) -> list[str]:
+    """Return a line for each target that our policy misses on a target deployment."""
+    by_run = {(row.deployment, row.scenario, row.variant): row.measures for row in rows}
     missed = []
-    for (deployment, scenario, variant), measures in found.items():
-        naive = found.get((deployment, scenario, 'naive'))
-        if variant != 'calicopath' or naive is None or deployment not in USERS:
+    for (deployment, scenario, variant), measures in by_run.items():
+        naive = by_run.get((deployment, scenario, 'naive'))
+        if variant != 'calicopath' or naive is None or deployment not in TARGET_DEPLOYMENTS:
             continue
-        healthy = found[deployment, 'steady', 'calicopath']
-        where = f'{deployment} {scenario}'
-        missed += missed_targets(where, scenario, measures, naive, healthy)
+        healthy = by_run[deployment, 'steady', 'calicopath']
+        label = f'{deployment} {scenario}'
+        missed += scenario_misses(label, scenario, measures, naive, healthy)
     return missed
 
 
-def missed_targets(
-    where: str,
+def scenario_misses(
+    label: str,
     scenario: str,
     ours: dict[str, Summary],
     naive: dict[str, Summary],
     healthy: dict[str, Summary],
 ) -> list[str]:
-    """Return the targets that one scenario misses, by medians."""
+    """Return a line for each target that the medians of one scenario miss."""
     missed = []
 
-    def target(name: str, value: float, bound: float, *, at_least: bool) -> None:
+    def check_target(name: str, value: float, bound: float, *, at_least: bool) -> None:
         if (value < bound) if at_least else (value > bound):
-            missed.append(f'{where}: {name} {value:.3f}, target {bound:.3f}')
+            missed.append(f'{label}: {name} {value:.3f}, target {bound:.3f}')
 
     attained = ours['attainment'].median
-    target('attainment against naive', attained, naive['attainment'].median, at_least=True)
-    target('thrown away', ours['thrown_away'].median, 0.05, at_least=False)
+    check_target('attainment against naive', attained, naive['attainment'].median, at_least=True)
+    check_target('thrown away', ours['thrown_away'].median, 0.05, at_least=False)
     if scenario == 'overload':
-        target('goodput', ours['goodput'].median, 0.9, at_least=True)
+        check_target('goodput', ours['goodput'].median, 0.9, at_least=True)
     if scenario == 'slow-replica':
-        target('attainment', attained, healthy['attainment'].median - 0.02, at_least=True)
+        check_target('attainment', attained, healthy['attainment'].median - 0.02, at_least=True)
     if scenario == 'steady':
-        target('cost', ours['cost_ms'].median, naive['cost_ms'].median, at_least=False)
+        check_target('cost', ours['cost_ms'].median, naive['cost_ms'].median, at_least=False)
     return missed
 
 
 def plot(rows: list[Row], path: Path) -> None:
-    """Draw attainment by scenario for each variant."""
+    """Draw a bar chart per deployment of the median attainment by scenario and variant."""
     import matplotlib
 
     matplotlib.use('Agg')
@@ -192,8 +195,8 @@
                 )
                 for scenario in scenarios
             ]
-            places = [place + index * width for place in range(len(scenarios))]
-            axis.bar(places, values, width, label=variant)
+            positions = [place + index * width for place in range(len(scenarios))]
+            axis.bar(positions, values, width, label=variant)
         axis.set_xticks(range(len(scenarios)), scenarios, rotation=25, ha='right')
         axis.set_ylabel('attainment')
         axis.set_title(deployment)
@@ -203,11 +206,11 @@
 
 
 def parse_flags() -> argparse.Namespace:
-    """Read the command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--variants', default='naive,calicopath')
     parser.add_argument('--scenarios', default=','.join(item.name for item in SCENARIOS))
-    parser.add_argument('--deployments', default=','.join(USERS))
+    parser.add_argument('--deployments', default=','.join(TARGET_DEPLOYMENTS))
     parser.add_argument('--seeds', type=int, default=SEEDS)
     parser.add_argument('--workers', type=int, default=WORKERS)
     parser.add_argument('--json', type=Path, help='file for all summaries')
@@ -216,19 +219,19 @@
 
 
 def main() -> int:
-    """Run, print, and say which targets were missed."""
+    """Execute the selected runs, and print their figures and the missed targets."""
     flags = parse_flags()
     names = itertools.product(
         flags.deployments.split(','), flags.scenarios.split(','), flags.variants.split(',')
     )
-    jobs = [Job(*name, seed) for name in names for seed in range(1, flags.seeds + 1)]
-    rows = rows_of(run_all(jobs, flags.workers))
+    specs = [RunSpec(*name, seed) for name in names for seed in range(1, flags.seeds + 1)]
+    rows = summary_rows(run_all(specs, flags.workers))
     print_rows(rows)
     if flags.json:
         flags.json.write_bytes(msgspec.json.encode([row._asdict() for row in rows]))
     if flags.plot:
         plot(rows, flags.plot)
-    missed = check_targets(rows) if 'steady' in flags.scenarios else []
+    missed = missed_targets(rows) if 'steady' in flags.scenarios else []
     print(f'targets missed: {len(missed)}')
     for line in missed:
         print(f'  {line}')
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -1,7 +1,7 @@
-"""Compare the scheduler with plain forms of its mechanisms on named patterns of load.
+"""Compare the scheduler with variants that simplify its mechanisms, on named load patterns.
 
-`python -m bench.replay` prints a table of medians and spreads over seeds; `--cost` prints what a
-decision costs by the number of boxes; `--picture FILE` draws attainment as an SVG.
+`python -m bench.replay` prints a table of medians and ranges over seeds; `--cost` prints the
+processor time per decision by the number of boxes; `--picture FILE` draws the worth as an SVG.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 COLOURS = ('#20639b', '#3caea3', '#f6d55c', '#ed553b')
 
 
-class Job(NamedTuple):
-    """Name one replay."""
+class RunSpec(NamedTuple):
+    """Identify one replay; `shifted` selects the fleet of the shifted work over `boxes`."""
 
     pattern: str
     variant: str
@@ -39,11 +39,11 @@
 
 
 class Column(NamedTuple):
-    """Name one figure of the table and how it is read."""
+    """Hold a column's heading, its value in a run's figures, and its number format."""
 
     name: str
-    read: Callable[[Figures], float]
-    form: str
+    value_of: Callable[[Figures], float]
+    format_spec: str
 
 
 COLUMNS = (
@@ -53,51 +53,56 @@
     Column('least workspace', lambda item: min(item.by_workspace.values()), '.3f'),
     Column('refused', lambda item: float(item.refused), '.0f'),
     Column('read again, 1,000 tokens', lambda item: item.reread_tokens / 1000, '.0f'),
-    Column('between zones, MB', lambda item: item.crossed_bytes / 1e6, '.0f'),
+    Column('between zones, MB', lambda item: item.cross_domain_bytes / 1e6, '.0f'),
 )
 
 
-def run_job(job: Job) -> Figures:
-    """Run one replay."""
-    variant = next(item for item in VARIANTS if item.name == job.variant)
-    fleet = shifted_fleet() if job.shifted else fleet_of(job.boxes)
-    return replay(job.pattern, job.seed, variant, fleet)
+def execute_run(spec: RunSpec) -> Figures:
+    """Run one replay in this process."""
+    variant = next(item for item in VARIANTS if item.name == spec.variant)
+    fleet = shifted_fleet() if spec.shifted else fleet_of(spec.boxes)
+    return replay(spec.pattern, spec.seed, variant, fleet)
 
 
-def run_all(jobs: list[Job], workers: int) -> dict[Job, Figures]:
-    """Run replays on several processes."""
+def run_all(specs: list[RunSpec], workers: int) -> dict[RunSpec, Figures]:
+    """Run replays on worker processes."""
     with multiprocessing.get_context('spawn').Pool(workers) as pool:
-        return dict(zip(jobs, pool.map(run_job, jobs, chunksize=1), strict=True))
+        return dict(zip(specs, pool.map(execute_run, specs, chunksize=1), strict=True))
 
 
-def cell(column: Column, found: list[Figures]) -> str:
-    """Return a median with its least and greatest value."""
-    values = [column.read(item) for item in found]
-    middle, least, most = statistics.median(values), min(values), max(values)
-    return f'{middle:{column.form}} ({least:{column.form}} to {most:{column.form}})'
+def format_cell(column: Column, runs: list[Figures]) -> str:
+    """Return the median, minimum and maximum of a column over the seeds."""
+    values = [column.value_of(item) for item in runs]
+    median, least, most = statistics.median(values), min(values), max(values)
+    return (
+        f'{median:{column.format_spec}} '
+        f'({least:{column.format_spec}} to {most:{column.format_spec}})'
+    )
 
 
-def table(results: dict[Job, Figures], patterns: list[str], variants: list[str]) -> str:
-    """Return the comparison as text."""
+def comparison_table(
+    results: dict[RunSpec, Figures], patterns: list[str], variants: list[str]
+) -> str:
+    """Return the comparison as a Markdown table."""
     names = ['pattern', 'variant', *(column.name for column in COLUMNS)]
     lines = [f'| {" | ".join(names)} |', f'|{" --- |" * len(names)}']
     for pattern in patterns:
         for variant in variants:
-            found = [
+            runs = [
                 figures
-                for job, figures in results.items()
-                if (job.pattern, job.variant) == (pattern, variant)
+                for spec, figures in results.items()
+                if (spec.pattern, spec.variant) == (pattern, variant)
             ]
-            cells = [cell(column, found) for column in COLUMNS]
+            cells = [format_cell(column, runs) for column in COLUMNS]
             lines.append(f'| {pattern} | {variant} | {" | ".join(cells)} |')
     return '\n'.join(lines)
 
 
-def cost_table(results: dict[Job, Figures]) -> str:
-    """Return what a job costs its scheduler, by boxes."""
+def cost_table(results: dict[RunSpec, Figures]) -> str:
+    """Return a Markdown table of the scheduler's processor time per job by boxes."""
     lines = ['| boxes | ms of processor time a job |', '| --- | --- |']
     for boxes in COST_BOXES:
-        values = [figures.cost_ms for job, figures in results.items() if job.boxes == boxes]
+        values = [figures.cost_ms for spec, figures in results.items() if spec.boxes == boxes]
         lines.append(
             f'| {boxes} | {statistics.median(values):.2f} '
             f'({min(values):.2f} to {max(values):.2f}) |'
@@ -105,16 +110,16 @@
     return '\n'.join(lines)
 
 
-def picture(results: dict[Job, Figures], patterns: list[str], variants: list[str]) -> str:
-    """Return bars of the worth earned, a group a pattern."""
+def draw_bars(results: dict[RunSpec, Figures], patterns: list[str], variants: list[str]) -> str:
+    """Return an SVG bar chart of the median worth, with a group of bars per pattern."""
     parts = []
     row = 0
     for pattern in patterns:
         for number, variant in enumerate(variants):
             values = [
                 figures.worth
-                for job, figures in results.items()
-                if (job.pattern, job.variant) == (pattern, variant)
+                for spec, figures in results.items()
+                if (spec.pattern, spec.variant) == (pattern, variant)
             ]
             worth = statistics.median(values)
             top = row * BAR_HEIGHT
@@ -132,39 +137,41 @@
     return f'<svg xmlns="http://www.w3.org/2000/svg" {size}>{"".join(parts)}</svg>\n'
 
 
-def arguments() -> argparse.Namespace:
-    """Return the command's arguments."""
+def parse_flags() -> argparse.Namespace:
+    """Parse the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument('--patterns', default=','.join(PATTERNS), help='names, by commas')
-    parser.add_argument('--variants', default='ours', help='names, by commas, or all')
-    parser.add_argument('--shifted', action='store_true', help='on the fleet of the shifted work')
+    parser.add_argument('--patterns', default=','.join(PATTERNS), help='names, separated by commas')
+    parser.add_argument('--variants', default='ours', help='names, separated by commas, or all')
+    parser.add_argument('--shifted', action='store_true', help='use the fleet of the shifted work')
     parser.add_argument('--boxes', type=int, default=USUAL_BOXES)
     parser.add_argument('--workers', type=int, default=2)
-    parser.add_argument('--cost', action='store_true', help='only what a decision costs')
-    parser.add_argument('--picture', type=Path, help='where to draw the worth earned')
+    parser.add_argument('--cost', action='store_true', help='measure only the cost of a decision')
+    parser.add_argument('--picture', type=Path, help='SVG file for a chart of the worth')
     return parser.parse_args()
 
 
 def main() -> None:
-    """Run the command."""
-    options = arguments()
+    """Run the selected replays and print a table."""
+    options = parse_flags()
     if options.cost:
-        jobs = [Job('burst-all', 'ours', seed, boxes) for boxes in COST_BOXES for seed in SEEDS]
-        print(cost_table(run_all(jobs, options.workers)))
+        specs = [
+            RunSpec('burst-all', 'ours', seed, boxes) for boxes in COST_BOXES for seed in SEEDS
+        ]
+        print(cost_table(run_all(specs, options.workers)))
         return
     patterns = options.patterns.split(',')
     names = [item.name for item in VARIANTS]
     variants = names if options.variants == 'all' else options.variants.split(',')
-    jobs = [
-        Job(pattern, variant, seed, options.boxes, options.shifted)
+    specs = [
+        RunSpec(pattern, variant, seed, options.boxes, options.shifted)
         for pattern in patterns
         for variant in variants
         for seed in SEEDS
     ]
-    results = run_all(jobs, options.workers)
-    print(table(results, patterns, variants))
+    results = run_all(specs, options.workers)
+    print(comparison_table(results, patterns, variants))
     if options.picture is not None:
-        options.picture.write_text(picture(results, patterns, variants))
+        options.picture.write_text(draw_bars(results, patterns, variants))
 
 
 if __name__ == '__main__':
--- a/bench/selectors.py
+++ b/bench/selectors.py
@@ -1,4 +1,4 @@
-"""Hold ways of choosing an endpoint that were measured and not kept."""
+"""Define endpoint selectors that the bench compares with the one in use."""
 
 from __future__ import annotations
 
@@ -14,41 +14,41 @@
     from calicopath_core.routing.replicas import Replica
     from testkit.fake_endpoints import FakeFleet
 
-POLL_S = 0.5
-MAX_AGE_S = 2.0
+POLL_INTERVAL_S = 0.5
+MAX_REPORT_AGE_S = 2.0
 
 
 class RandomSelector(Selector):
-    """Choose at random."""
+    """Choose a candidate at random."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self.rng = rng
 
     def choose(self, candidates: Sequence[Replica], affinity: str | None) -> Replica:
-        """Return any candidate."""
+        """Return a random candidate."""
         return self.rng.choice(candidates)
 
 
-class Report(NamedTuple):
-    """Hold what an endpoint said of its load, and our own calls when it was read."""
+class LoadReport(NamedTuple):
+    """Hold an endpoint's reported load, and this box's calls in flight at `read_at`."""
 
     load: int
-    own: int
+    own_calls: int
     read_at: float
 
 
 class ReportedLoads:
-    """Read every endpoint's load now and then, as it was `lag_s` ago."""
+    """Poll the load of every endpoint, as it was `lag_s` ago."""
 
     def __init__(self, *, fleet: FakeFleet, lag_s: float) -> None:
         self.fleet = fleet
         self.lag_s = lag_s
         self.history: dict[str, list[tuple[float, int]]] = {}
-        self.reports: dict[str, Report] = {}
-        self.gap = False
+        self.reports: dict[str, LoadReport] = {}
+        self.drops_every_other = False
 
-    async def run(self, own: dict[str, Replica]) -> None:
-        """Poll until cancelled; every other read is left out while `gap` is on."""
+    async def run(self, replicas: dict[str, Replica]) -> None:
+        """Poll until cancelled; skip every other poll while `drops_every_other` is set."""
         reads = 0
         while True:
             reads += 1
@@ -57,41 +57,47 @@
                 waiting = sum(not future.done() for _, _, future in item.waiting)
                 self.history.setdefault(name, []).append((now, item.running + waiting))
                 old = [load for at, load in self.history[name] if at <= now - self.lag_s]
-                if old and name in own and not (self.gap and reads % 2):
-                    self.reports[name] = Report(old[-1], own[name].in_flight, now)
-            await asyncio.sleep(POLL_S)
+                if old and name in replicas and not (self.drops_every_other and reads % 2):
+                    self.reports[name] = LoadReport(old[-1], replicas[name].in_flight, now)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 class LeastLoadedSelector(Selector):
-    """Choose the least load reported; boxes that trust the same late report herd."""
+    """Choose the least reported load.
+
+    Boxes that use the same late report choose the same endpoint and overload it.
+    """
 
     def __init__(self, *, rng: random.Random, loads: ReportedLoads) -> None:
         self.rng = rng
-        self.loads = loads
+        self.reported_loads = loads
 
     def choose(self, candidates: Sequence[Replica], affinity: str | None) -> Replica:
-        """Return the candidate with the least reported load."""
-        return min(candidates, key=lambda replica: (self.load(replica), self.rng.random()))
+        """Return the candidate with the least reported load, at random among equals."""
+        return min(candidates, key=lambda replica: (self.load_of(replica), self.rng.random()))
 
-    def load(self, replica: Replica) -> float:
-        """Return the load as reported."""
-        report = self.loads.reports.get(replica.name)
+    def load_of(self, replica: Replica) -> float:
+        """Return the reported load, or this box's calls in flight without a report."""
+        report = self.reported_loads.reports.get(replica.name)
         return float(report.load if report else replica.in_flight)
 
 
 class TwoChoicesSelector(LeastLoadedSelector):
-    """Draw two candidates and take the less loaded, correcting the report by our own calls."""
+    """Choose the less loaded of two random candidates, by reports and this box's own calls."""
 
     def choose(self, candidates: Sequence[Replica], affinity: str | None) -> Replica:
-        """Return the better of two candidates."""
+        """Return the less loaded of two random candidates."""
         drawn = self.rng.sample(list(candidates), min(2, len(candidates)))
-        return min(drawn, key=self.load)
+        return min(drawn, key=self.load_of)
+
+    def load_of(self, replica: Replica) -> float:
+        """Return the calls of this box and an estimate of the others', scaled by slowness.
 
-    def load(self, replica: Replica) -> float:
-        """Return our calls and an ageing estimate of the other boxes'."""
-        report = self.loads.reports.get(replica.name)
+        The estimate falls to 0 as the report reaches `MAX_REPORT_AGE_S`.
+        """
+        report = self.reported_loads.reports.get(replica.name)
         if report is None:
             return replica.slowness.value * replica.in_flight
         age = asyncio.get_running_loop().time() - report.read_at
-        others = max(0, report.load - report.own) * max(0.0, 1.0 - age / MAX_AGE_S)
+        others = max(0, report.load - report.own_calls) * max(0.0, 1.0 - age / MAX_REPORT_AGE_S)
         return replica.slowness.value * (replica.in_flight + others + 1)
--- a/packages/core/calicopath_core/exchanges/plain.py
+++ b/packages/core/calicopath_core/exchanges/plain.py
@@ -12,7 +12,7 @@
     NotStarted,
     WrongAnswer,
 )
-from calicopath_core.crashes.fate import ReplicaCrashProbe
+from calicopath_core.crashes.probes import ReplicaCrashProbe
 from calicopath_core.exchanges.context import (
     SHORT_RETRY_AFTER_S,
     STATUS_BAD_GATEWAY,
@@ -72,7 +72,7 @@
         except BackendError as error:
             left_s = state.deadline_at - context.clock.monotonic()
             context.observer.on_attempt_failed(state, replica.id, error, left_s)
-            await note_crash(context, state, replica, error)
+            await check_for_crash(context, state, replica, error)
             check_retry_allowed(context, state, error)
             continue
         context.crashes.on_survived(state.content, state.service)
@@ -85,7 +85,7 @@
         return
 
 
-async def note_crash(
+async def check_for_crash(
     context: ExchangeContext,
     state: ExchangeState,
     replica: Replica,
@@ -97,7 +97,7 @@
     ran = not isinstance(error, NotStarted | WrongAnswer)
     if ran and not state.expired(context.clock.monotonic()):
         probe = ReplicaCrashProbe(
-            reach=context.replica_client, replicas=context.replicas, replica=replica
+            prober=context.replica_client, replicas=context.replicas, replica=replica
         )
         contents = [state.content]
         await context.crashes.on_failed(
--- a/packages/core/calicopath_core/execution/attempts.py
+++ b/packages/core/calicopath_core/execution/attempts.py
@@ -11,7 +11,7 @@
     NotStarted,
     WrongAnswer,
 )
-from calicopath_core.crashes.fate import EndpointCrashProbe
+from calicopath_core.crashes.probes import EndpointCrashProbe
 from calicopath_core.execution.requests import CallResult
 from calicopath_core.execution.run import PipelineRun, StageFailed
 from calicopath_core.routing.pools import NoEndpoint, NoFreeSlot, Slot, SlotRequest
@@ -124,11 +124,11 @@
     """Raise `StageFailed` if the request is blocked for crashing the stage's endpoints."""
     wait_s = context.crashes.blocked_s(run.content, [budget.stage.service])
     if wait_s is not None:
-        detail = f'this request is blocked: it crashes endpoints of stage {budget.stage.name!r}'
+        detail = f'endpoints of stage {budget.stage.name!r} end under this request'
         raise StageFailed(FailureReason.CRASHES_ENDPOINTS, detail, retry_after_s=wait_s)
 
 
-async def note_crash(
+async def check_for_crash(
     context: StageContext,
     run: PipelineRun,
     slot: Slot,
@@ -142,7 +142,7 @@
     `answered` tells whether part of the response had arrived.
     """
     if isinstance(error, ConnectionBroken):
-        probe = EndpointCrashProbe(reach=context.backends.prober, endpoint=slot.endpoint)
+        probe = EndpointCrashProbe(prober=context.backends.prober, endpoint=slot.endpoint)
         await context.crashes.on_failed(
             [run.content], service, probe, error, run_started_at=run.last_sent_at, answered=answered
         )
@@ -164,7 +164,7 @@
     if isinstance(last, NotStarted):
         detail = f'no endpoint of stage {budget.stage.name!r} could be reached'
     else:
-        detail = f'an endpoint of stage {budget.stage.name!r} gave no complete answer'
+        detail = f'an endpoint of stage {budget.stage.name!r} gave no whole answer'
     return StageFailed(reason, detail, retry_after_s=FAILED_STAGE_RETRY_S, cause=str(last))
 
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -25,14 +25,14 @@
 
 DEFAULT_MAX_TOKENS = 64
 TOKEN_SIZES = (3, 4, 2, 5)
-"""Bytes a token, in turn; characters outside ASCII take two or three."""
+"""Bytes per token, in rotation; tokens split the characters outside ASCII."""
 
 
 class EngineSettings(NamedTuple):
-    """Hold the engine's figures; times are in seconds."""
+    """Hold the engine's parameters; times are in seconds."""
 
     concurrency: int
-    queue: int
+    queue_limit: int
     first_token_s: float
     token_s: float
     report_lag_s: float
@@ -51,11 +51,11 @@
             break
         tokens.append(encoded[position : position + size])
         position += size
-    return whole_characters(tokens)
+    return trim_to_whole_characters(tokens)
 
 
-def whole_characters(tokens: list[bytes]) -> list[bytes]:
-    """Cut the last token so that the answer ends with a whole character."""
+def trim_to_whole_characters(tokens: list[bytes]) -> list[bytes]:
+    """Trim the last tokens so that the answer ends with a whole character."""
     joined = b''.join(tokens)
     whole = joined.decode(errors='ignore').encode()
     excess = len(joined) - len(whole)
@@ -69,7 +69,7 @@
 
 
 class EngineStandIn:
-    """Generate for a few calls at once; the others wait, by priority."""
+    """Generate for a limited number of calls at once; the others wait by priority."""
 
     def __init__(self, *, settings: EngineSettings) -> None:
         self.settings = settings
@@ -77,8 +77,8 @@
         self.waiting: list[tuple[int, int, str, asyncio.Future[None]]] = []
         self.numbers = itertools.count()
         self.cancelled: set[str] = set()
-        self.asked: dict[str, str] = {}
-        self.report = {'running': 0, 'waiting': 0, 'measured_at': 0.0}
+        self.answer_digests: dict[str, str] = {}
+        self.load_report = {'running': 0, 'waiting': 0, 'measured_at': 0.0}
         self.cut_after: int | None = None
 
     def app(self) -> web.Application:
@@ -89,21 +89,21 @@
         app.router.add_get('/v1/load', self.load)
         app.router.add_get('/admin/asked', self.get_asked)
         app.router.add_post('/admin/faults', self.set_faults)
-        app.cleanup_ctx.append(self.keep_report)
+        app.cleanup_ctx.append(self.run_load_reports)
         return app
 
-    async def keep_report(self, app: web.Application) -> Any:
-        """Measure the load from time to time, which makes reports lag."""
-        task = asyncio.create_task(self.measure())
+    async def run_load_reports(self, app: web.Application) -> Any:
+        """Refresh the load report in the background."""
+        task = asyncio.create_task(self.refresh_load_report())
         yield
         task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await task
 
-    async def measure(self) -> None:
-        """Refresh the report."""
+    async def refresh_load_report(self) -> None:
+        """Refresh the report every `report_lag_s` seconds, so that reports lag."""
         while True:
-            self.report = {
+            self.load_report = {
                 'running': len(self.running),
                 'waiting': len(self.waiting),
                 'measured_at': time.time(),
@@ -111,24 +111,24 @@
             await asyncio.sleep(self.settings.report_lag_s)
 
     async def generate(self, request: web.Request) -> web.StreamResponse:
-        """Stream one answer as lines of JSON."""
+        """Stream one response as lines of JSON."""
         body = await read_json(request)
         call = body['call']
-        if len(self.waiting) >= self.settings.queue:
+        if len(self.waiting) >= self.settings.queue_limit:
             return json_response({'error': 'queue full'}, 429, **{'Retry-After': '0.2'})
         tokens = answer_tokens(body['params'], body['input'])
         offset = body['offset']
         if b''.join(tokens[:offset]) != base64.b64decode(body['prefix']):
             return json_response({'error': 'prefix does not match'}, 400)
-        self.asked[call] = hashlib.sha256(b''.join(tokens)).hexdigest()
-        await self.enter(call, body['priority'])
+        self.answer_digests[call] = hashlib.sha256(b''.join(tokens)).hexdigest()
+        await self.acquire_slot(call, body['priority'])
         try:
             return await self.stream(request, call, tokens, offset)
         finally:
-            self.leave(call)
+            self.release_slot(call)
 
-    async def enter(self, call: str, priority: int) -> None:
-        """Wait for a place in the batch."""
+    async def acquire_slot(self, call: str, priority: int) -> None:
+        """Wait for a slot in the batch."""
         if len(self.running) >= self.settings.concurrency:
             future = asyncio.get_running_loop().create_future()
             entry = (-priority, next(self.numbers), call, future)
@@ -140,19 +140,19 @@
                     self.waiting.remove(entry)
                     heapq.heapify(self.waiting)
                 else:
-                    self.leave(call)
+                    self.release_slot(call)
                 raise
             return
         self.running.add(call)
 
-    def leave(self, call: str) -> None:
-        """Give the place to the next call."""
+    def release_slot(self, call: str) -> None:
+        """Give the slot to the next waiting call."""
         self.running.discard(call)
         self.cancelled.discard(call)
         while self.waiting:
-            _, _, heir, future = heapq.heappop(self.waiting)
+            _, _, next_call, future = heapq.heappop(self.waiting)
             if not future.done():
-                self.running.add(heir)
+                self.running.add(next_call)
                 future.set_result(None)
                 return
 
@@ -188,15 +188,15 @@
         return json_response({})
 
     async def load(self, request: web.Request) -> web.StreamResponse:
-        """Answer the lagging report."""
-        return json_response(self.report)
+        """Return the latest load report."""
+        return json_response(self.load_report)
 
     async def get_asked(self, request: web.Request) -> web.StreamResponse:
-        """Answer which calls came, with the digest of each one's whole answer."""
-        return json_response(self.asked)
+        """Return the received calls with the digest of each one's whole answer."""
+        return json_response(self.answer_digests)
 
     async def set_faults(self, request: web.Request) -> web.StreamResponse:
-        """Cut the next stream after so many tokens."""
+        """Set the number of tokens after which the next stream breaks."""
         self.cut_after = (await read_json(request)).get('cut_after')
         return json_response({'cut_after': self.cut_after})
 
@@ -205,7 +205,7 @@
     """Return the stand-in's application."""
     settings = EngineSettings(
         concurrency=args.concurrency,
-        queue=args.queue,
+        queue_limit=args.queue,
         first_token_s=args.first_token_ms / 1000,
         token_s=args.token_ms / 1000,
         report_lag_s=args.report_lag_ms / 1000,
--- a/testkit/crashing_fleet.py
+++ b/testkit/crashing_fleet.py
@@ -1,4 +1,4 @@
-"""Run gateway boxes before replicas that a request can end."""
+"""Run gateway boxes against replicas that requests can crash."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
     from testkit.gateway_replicas import FakeSink
 
 ENGINES = 9
-POISON = '/chat/poison'
-"""What a request asks that ends engines, in most tests."""
+POISON_TARGET = '/chat/poison'
+"""Target of the request that crashes engines in most tests."""
 
-CONTACT_S = 3.0
-"""How long after the third end a request must not be sent on any more, but for what follows."""
+BLOCKED_WITHIN_S = 3.0
+"""A request must be blocked this long after the third crash, apart from `MAX_LATE_SENDS`."""
 
-MOST_LATE = 3
-"""Sends later than that which the users' rules allow."""
+MAX_LATE_SENDS = 3
+"""Number of sends that the rules allow after `BLOCKED_WITHIN_S`."""
 
 WORKSPACES = (Workspace('hire', (KEY,), None), Workspace('other', ('key-2',), None))
 
 
 class CrashingFleet(GatewayFleet):
-    """Hold boxes before nine engines that a request can end, and four desks."""
+    """Run boxes with nine engines that requests can crash, and four plain replicas (desks)."""
 
     replicas: CrashingReplicas
     stages: CrashingStages
@@ -53,57 +53,57 @@
             self.add_replica('desk', number)
 
     def new_replicas(self) -> CrashingReplicas:
-        """Return replicas that can end."""
+        """Return engines and plain services that can crash."""
         return CrashingReplicas(store=self.store)
 
     def new_stages(self) -> CrashingStages:
-        """Return replicas of stages that can end."""
+        """Return stage replicas that can crash."""
         return CrashingStages(replicas=self.replicas)
 
     def add_replica(self, service: str, number: int) -> None:
-        """Add a replica."""
+        """Register a replica in the store."""
         name, failure_domain = f'{service}-{number}', FAILURE_DOMAINS[number % len(FAILURE_DOMAINS)]
         replica = Replica(name, service, f'{name}:1', failure_domain, 6, False)
         self.store.write(RecordKind.REPLICA, name, replica)
 
-    def ask(self, box: str, target: str, **changes: object) -> FakeSink:
-        """Have a box serve a request for a target, as a try of its own."""
+    def send_request(self, box: str, target: str, **changes: object) -> FakeSink:
+        """Send a box a new request for a target and return its reply sink."""
         name = target.split('/')[1]
         now = asyncio.get_running_loop().time()
         fields = {'target': target, 'path': target} | changes
         return self.serve(box, exchange(next(self.numbers), name, now, **fields))
 
     async def load(self, target: str, gap_s: float, for_s: float) -> list[FakeSink]:
-        """Ask for new things on a route, at all boxes in turn."""
+        """Send requests for distinct targets to all boxes in turn."""
         sinks = []
         boxes = itertools.cycle(sorted(self.boxes))
         for number in range(int(for_s / gap_s)):
-            sinks.append(self.ask(next(boxes), f'{target}{number}'))
+            sinks.append(self.send_request(next(boxes), f'{target}{number}'))
             await asyncio.sleep(gap_s)
         return sinks
 
-    async def repeat(
+    async def send_repeatedly(
         self, target: str, gap_s: float, for_s: float, **changes: object
     ) -> list[FakeSink]:
-        """Ask for the same again and again, at all boxes in turn."""
+        """Send requests for the same target to all boxes in turn."""
         sinks = []
         boxes = itertools.cycle(sorted(self.boxes))
         for _ in range(int(for_s / gap_s)):
-            sinks.append(self.ask(next(boxes), target, **changes))
+            sinks.append(self.send_request(next(boxes), target, **changes))
             await asyncio.sleep(gap_s)
         return sinks
 
 
 class CrashingCase(VirtualCase):
-    """Run boxes before replicas that a request can end."""
+    """Run scenarios on a `CrashingFleet`."""
 
-    def play(self, work: Callable[[CrashingFleet], Awaitable[None]]) -> None:
-        """Start a fleet, do some work with it, and stop it."""
+    def run_scenario(self, steps: Callable[[CrashingFleet], Awaitable[None]]) -> None:
+        """Start a fleet, run the steps against it, and stop it."""
 
         async def scenario() -> None:
             fleet = CrashingFleet()
             await fleet.start()
-            await work(fleet)
+            await steps(fleet)
             await fleet.stop()
 
         self.run_virtual(scenario())
--- a/testkit/fleet.py
+++ b/testkit/fleet.py
@@ -1,4 +1,4 @@
-"""Run the membership of many boxes in one process, on virtual time."""
+"""Run gossip and relay roles of many boxes in one process, on virtual time."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class FakeBoxList(BoxList):
-    """List boxes as the platform does, over one box's link."""
+    """Return the platform's box list over one box's link."""
 
     def __init__(self, *, records: list[BoxRecord], store: FakeStore) -> None:
         self.records = records
@@ -37,13 +37,13 @@
 
 
 class PeerBox:
-    """Hold one box's view and its exchange with platform and peers."""
+    """Run one box's view, store feed and gossip."""
 
     def __init__(
         self,
         *,
         name: str,
-        domain: str,
+        failure_domain: str,
         state: StoreState,
         network: FakeNetwork,
         records: list[BoxRecord],
@@ -56,14 +56,14 @@
         self.view = ConfigView()
         self.feed = StoreFeed(store=self.store, view=self.view, clock=self.clock)
         self.network = network
-        own = MemberInfo(name, domain, name, started_ms, 0, False)
+        own = MemberInfo(name, failure_domain, name, started_ms, 0, False)
         self.gossip = Gossip(
             view=self.view,
             members=MemberTable(own=own),
             transport=FakeTransport(network=network, address=name),
             clock=self.clock,
             rng=self.rng,
-            is_ready=lambda: self.synced,
+            is_ready=lambda: self.is_synced,
         )
         self.roles = RelayController(
             gossip=self.gossip,
@@ -75,8 +75,8 @@
         self.task: asyncio.Task[None] | None = None
 
     @property
-    def synced(self) -> bool:
-        """Tell whether the view was once whole."""
+    def is_synced(self) -> bool:
+        """Tell whether the view has been complete at least once."""
         return self.feed.synced or self.gossip.agreed_with_ready_peer
 
     def start(self) -> None:
@@ -84,7 +84,7 @@
         self.task = asyncio.get_running_loop().create_task(self.roles.run())
 
     async def kill(self) -> None:
-        """End the box without a word."""
+        """Stop the box without notifying its peers."""
         self.network.handlers.pop(self.name, None)
         assert self.task is not None
         self.task.cancel()
@@ -94,11 +94,13 @@
 class PeerFleet:
     """Hold boxes spread evenly over failure domains."""
 
-    def __init__(self, *, count: int, domains: int, seed: int = 1, loss: float = 0.0) -> None:
+    def __init__(
+        self, *, count: int, failure_domains: int, seed: int = 1, loss: float = 0.0
+    ) -> None:
         self.state = StoreState()
         self.network = FakeNetwork(seed=seed, loss=loss)
         self.records = [
-            BoxRecord(f'box-{n}', f'domain-{n % domains}', f'box-{n}', f'box-{n}', False)
+            BoxRecord(f'box-{n}', f'domain-{n % failure_domains}', f'box-{n}', f'box-{n}', False)
             for n in range(count)
         ]
         self.boxes = {record.name: self.new_box(record) for record in self.records}
@@ -107,7 +109,7 @@
         """Return a box that is not started yet."""
         return PeerBox(
             name=record.name,
-            domain=record.failure_domain,
+            failure_domain=record.failure_domain,
             state=self.state,
             network=self.network,
             records=self.records,
@@ -115,13 +117,13 @@
         )
 
     async def start(self, settle_s: float = 10.0) -> None:
-        """Start every box and let roles settle."""
+        """Start every box and wait `settle_s` seconds for roles to settle."""
         for box in self.boxes.values():
             box.start()
         await asyncio.sleep(settle_s)
 
     async def stop(self) -> None:
-        """End every box."""
+        """Kill every box."""
         await asyncio.gather(*(box.kill() for box in self.boxes.values()))
 
     def relays(self) -> list[str]:
@@ -134,15 +136,15 @@
         value = {'spec': {'n': content}, 'change': {}}
         return self.state.write(key, value, held.version if held else 0).version
 
-    async def in_force(
-        self, key: str, version: int, among: Iterable[str] | None = None, limit_s: float = 60.0
+    async def wait_in_force(
+        self, key: str, version: int, among: Iterable[str] | None = None, timeout_s: float = 60.0
     ) -> float:
         """Return the seconds until a version is in force on all boxes, or `limit_s`."""
         loop = asyncio.get_running_loop()
         started = loop.time()
         names = list(among if among is not None else self.boxes)
         while any(self.boxes[name].view.version(key) < version for name in names):
-            if loop.time() - started >= limit_s:
+            if loop.time() - started >= timeout_s:
                 break
             await asyncio.sleep(0.01)
         return loop.time() - started
--- a/testkit/gateway_replicas.py
+++ b/testkit/gateway_replicas.py
@@ -1,4 +1,4 @@
-"""Stand for the replicas that gateway boxes call, and for the caller that gets the answer."""
+"""Fake the replicas that gateway boxes call, and the sink of the reply to the caller."""
 
 from __future__ import annotations
 
@@ -22,83 +22,85 @@
 
 
 class FakeStages(StageCaller):
-    """Stand for every replica of stages; `broken` maps a replica to what it does instead."""
+    """Fake every stage replica; `faults` maps a replica's identifier to its fault."""
 
     def __init__(self) -> None:
-        self.numbers = itertools.count(1)
+        self.result_numbers = itertools.count(1)
         self.calls: list[tuple[str, list[PieceCall]]] = []
-        self.live: dict[str, str] = {}
-        self.broken: dict[str, str] = {}
-        self.at_work: dict[str, int] = {}
-        self.most_at_work = 0
+        self.live_results: dict[str, str] = {}
+        self.faults: dict[str, str] = {}
+        self.running_calls: dict[str, int] = {}
+        self.max_running_calls = 0
         self.wrong_inputs = 0
         self.reports = 0
-        self.freed_at: list[str] = []
+        self.freed_addresses: list[str] = []
 
     async def run(self, replica: Replica, calls: list[PieceCall]) -> list[PieceResult]:
         """Make one call."""
         self.calls.append((replica.id, calls))
-        fault = self.broken.get(replica.id)
+        fault = self.faults.get(replica.id)
         if fault == 'full':
             raise NotStarted('full')
         if fault == 'dead':
             raise MayHaveRun('reset')
         if fault == 'room':
             return [PieceResult(None, 'room') for _ in calls]
-        self.at_work[replica.id] = self.at_work.get(replica.id, 0) + 1
-        self.most_at_work = max(self.most_at_work, self.at_work[replica.id])
+        self.running_calls[replica.id] = self.running_calls.get(replica.id, 0) + 1
+        self.max_running_calls = max(self.max_running_calls, self.running_calls[replica.id])
         try:
             await asyncio.sleep(0.005)
-            gone = [self.missing(call) for call in calls]
+            gone = [self.has_missing_input(call) for call in calls]
             slow = 4 if fault == 'slow' else 1
             await asyncio.sleep(slow * (STAGE.call_s + STAGE.piece_s * len(calls)))
         finally:
-            self.at_work[replica.id] -= 1
+            self.running_calls[replica.id] -= 1
         if fault == 'mute':
             for _ in calls:
-                self.make(replica.id)
+                self.new_result(replica.id)
             await asyncio.sleep(3600)
         return [
-            PieceResult(None, 'gone') if lost else PieceResult(self.make(replica.id))
+            PieceResult(None, 'gone') if lost else PieceResult(self.new_result(replica.id))
             for lost in gone
         ]
 
     async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
-        """Tell that replicas live: what breaks here is the connection."""
+        """Return `OPEN`: the faults here break connections, the replicas keep running."""
         return ProbeResult.OPEN
 
-    def missing(self, call: PieceCall) -> bool:
-        """Tell whether an input is gone; none at all where some are due is a fault."""
+    def has_missing_input(self, call: PieceCall) -> bool:
+        """Tell whether an input is missing; count calls that lack all of their inputs."""
         if call.inputs is not None and not call.inputs:
             self.wrong_inputs += 1
-        return any(handle not in self.live for handle in call.inputs or ())
+        return any(handle not in self.live_results for handle in call.inputs or ())
 
-    def make(self, replica: str) -> str:
+    def new_result(self, replica: str) -> str:
         """Return a new result."""
-        handle = f'{replica}/{next(self.numbers)}'
-        self.live[handle] = replica
+        handle = f'{replica}/{next(self.result_numbers)}'
+        self.live_results[handle] = replica
         return handle
 
-    def lose(self, replica: str) -> None:
-        """Lose every result of a replica that died."""
-        self.live = {handle: maker for handle, maker in self.live.items() if maker != replica}
+    def lose_results(self, replica: str) -> None:
+        """Drop every result of a crashed replica."""
+        self.live_results = {
+            handle: maker for handle, maker in self.live_results.items() if maker != replica
+        }
 
     async def report(self, replica: Replica) -> StageReport:
-        """Return the room that is left, and whether a call is at work."""
+        """Return the free result space and whether the replica is idle."""
         self.reports += 1
-        held = sum(maker == replica.id for maker in self.live.values())
+        held = sum(maker == replica.id for maker in self.live_results.values())
         free_bytes = max(0.0, STAGE.result_capacity_bytes - held * RESULT_BYTES)
-        return StageReport(free_bytes, idle=not self.at_work.get(replica.id, 0))
+        return StageReport(free_bytes, idle=not self.running_calls.get(replica.id, 0))
 
     async def free(self, replica: Replica, handles: list[str]) -> None:
-        """Give results up."""
-        self.freed_at.append(replica.address)
+        """Free results."""
+        self.freed_addresses.append(replica.address)
         for handle in handles:
-            self.live.pop(handle, None)
+            self.live_results.pop(handle, None)
 
 
 class FakeStream(ReplicaAnswer):
-    """Give events, and break after `break_after` of them."""
+    """Stream events, and break after `break_after` of them (`None`: never)."""
 
     def __init__(
         self,
@@ -120,7 +122,7 @@
         """Return the next event."""
         await asyncio.sleep(EVENT_GAP_S)
         if self.break_after is not None and self.sent >= self.break_after:
-            if self.break_after == HANG:
+            if self.break_after == HANGS_BEFORE_EVENTS:
                 await asyncio.sleep(3600)
             raise MayHaveRun('broken')
         if self.next_id > EVENTS:
@@ -132,30 +134,30 @@
         return data
 
     def close(self) -> None:
-        """Stop the run."""
+        """Close the stream and stop its run."""
         self.closed = True
         self.engine.running.discard(self.outbound.exchange.call_id)
 
 
 BUSY_S = 1.0
-"""How long an engine with the fault `busy` reads before its first event."""
+"""Additional time to the first event of an engine with the fault `busy`."""
 
-ANY = '*'
-"""Names the faults of whichever replica is called next."""
+ANY_REPLICA = '*'
+"""Key of the faults that apply to whichever replica is called next."""
 
-HANG = 0
-"""A stream that breaks after no event hangs instead."""
+HANGS_BEFORE_EVENTS = 0
+"""Value of `break_after` with which a stream hangs before its first event."""
 
 
 class FakeBody(ReplicaAnswer):
-    """Give a whole body."""
+    """Return a whole body at once."""
 
     def __init__(self, *, head: AnswerHead, body: bytes | None) -> None:
         self.head = head
         self.body = body
 
     async def read(self) -> bytes | None:
-        """Return the body, then nothing."""
+        """Return the body, then `None`."""
         body, self.body = self.body, None
         return body
 
@@ -164,7 +166,7 @@
 
 
 class FakeReplicas(ReplicaClient):
-    """Stand for engines and plain services; `faults` holds what a replica does, call by call."""
+    """Fake engines and plain services; `faults` lists the faults of a replica, call by call."""
 
     def __init__(self) -> None:
         self.sent: list[OutboundRequest] = []
@@ -173,10 +175,10 @@
         self.running: set[str] = set()
 
     async def send(self, outbound: OutboundRequest) -> ReplicaAnswer:
-        """Answer as the replica's next fault says."""
+        """Respond with the replica's next fault, if any."""
         self.sent.append(outbound)
         await asyncio.sleep(0.01)
-        waiting = self.faults.get(ANY) or self.faults.get(outbound.replica.id, [])
+        waiting = self.faults.get(ANY_REPLICA) or self.faults.get(outbound.replica.id, [])
         fault = waiting.pop(0) if waiting else 'none'
         if fault == 'refused':
             raise NotStarted('refused')
@@ -199,13 +201,13 @@
         return FakeBody(head=AnswerHead(200, (), False, None), body=call_id.encode())
 
     async def probe(self, replica: Replica, watch_s: float) -> ProbeResult:
-        """Tell that replicas live: what breaks here is the connection."""
+        """Return `OPEN`: the faults here break connections, the replicas keep running."""
         await asyncio.sleep(0.001)
         return ProbeResult.OPEN
 
 
 class FakeSink(ReplySink):
-    """Keep what a caller gets."""
+    """Record the reply to a caller."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -215,33 +217,33 @@
         self.retry_after_s: float | None = None
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Keep a whole answer."""
+        """Record a whole response."""
         self.status, self.body, self.state = status, body, 'whole'
 
     def begin(self, status: int, headers: Headers) -> None:
-        """Keep a head."""
+        """Record the status."""
         self.status = status
 
     async def send(self, data: bytes) -> None:
-        """Keep some of a body."""
+        """Append data to the body."""
         self.body += data
 
     def finish(self) -> None:
-        """Note the end."""
+        """Record that the response is complete."""
         self.state = 'whole'
 
     def abort(self) -> None:
-        """Note a cut."""
+        """Record that an unfinished response was aborted."""
         if self.state == 'open':
             self.state = 'cut'
 
     def refuse(self, status: int, reason: str, retry_after_s: float | None) -> None:
-        """Keep an answer of the box's own."""
+        """Record a refusal by the box itself."""
         self.status, self.reason, self.state = status, reason, 'refused'
         self.retry_after_s = retry_after_s
 
     @property
     def event_ids(self) -> list[int]:
-        """Return the identifiers of the events that came."""
+        """Return the identifiers of the received events."""
         lines = self.body.decode().splitlines()
         return [int(line[3:]) for line in lines if line.startswith('id:')]
--- a/testkit/gateway_store.py
+++ b/testkit/gateway_store.py
@@ -1,4 +1,4 @@
-"""Stand for the store that gateway boxes follow."""
+"""Fake the store that gateway boxes follow."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     from calicopath_core.scheduling.election import BoxAddress
 
 
-WRITTEN_AGAIN = (RecordKind.DEPLOYMENT, RecordKind.REPLICA, RecordKind.EVACUATION)
-"""Kinds whose writers, operators and replicas, write again what the store has lost."""
+REWRITTEN_KINDS = (RecordKind.DEPLOYMENT, RecordKind.REPLICA, RecordKind.EVACUATION)
+"""Kinds whose writers (operators and replicas) rewrite records that the store has lost."""
 
 
-class StoreCopy(NamedTuple):
-    """Hold what the store held at some time."""
+class StoreSnapshot(NamedTuple):
+    """Hold the contents of the store at some time."""
 
     revision: int
     records: dict[RecordKind, dict[str, Record]]
@@ -37,17 +37,17 @@
 
 
 class FakeStore:
-    """Hold the platform's records; every change raises one revision.
+    """Hold the platform's records; every change increments one revision.
 
-    `era` counts how often the store came back from a copy, `down` says that it answers nobody.
+    `era` counts the restores from a snapshot; while `down` is set, every call fails.
     """
 
     def __init__(self) -> None:
         self.revision = 0
         self.records: dict[RecordKind, dict[str, Record]] = {kind: {} for kind in RecordKind}
         self.log: list[tuple[int, RecordKind, Change]] = []
-        self.forgotten = 0
-        self.deaf = False
+        self.compacted_revision = 0
+        self.watches_silent = False
         self.relays: tuple[BoxAddress, ...] | None = None
         self.blocked: tuple[StoredRequest, ...] = ()
         self.changed = asyncio.Event()
@@ -65,69 +65,71 @@
         self.wake_watches()
 
     def position(self) -> Position:
-        """Return up to where the store has come."""
+        """Return the store's current position."""
         return Position(self.era, self.revision)
 
     def wake_watches(self) -> None:
-        """Have every waiting watch look again."""
+        """Have every waiting watch check for changes."""
         changed, self.changed = self.changed, asyncio.Event()
         changed.set()
 
-    def copy(self) -> StoreCopy:
-        """Return what the store holds now."""
+    def snapshot(self) -> StoreSnapshot:
+        """Return a snapshot for `restore`."""
         records = {kind: dict(held) for kind, held in self.records.items()}
-        return StoreCopy(self.revision, records, list(self.log), self.relays, self.blocked)
+        return StoreSnapshot(self.revision, records, list(self.log), self.relays, self.blocked)
 
-    async def go_back(self, copy: StoreCopy, away_s: float, again_s: float = 0.0) -> None:
-        """Be away for a while and come back as a copy says.
+    async def restore(
+        self, snapshot: StoreSnapshot, down_s: float, rewrite_delay_s: float = 0.0
+    ) -> None:
+        """Be down for `down_s`, then restore a snapshot.
 
-        What operators and replicas wrote since is written again `again_s` after that, in order.
+        Writers rewrite the lost `REWRITTEN_KINDS` in order, `rewrite_delay_s` after the restore.
         """
         self.down = True
         self.wake_watches()
-        await asyncio.sleep(away_s)
-        lost = self.lost_since(copy)
-        self.revision, self.log = copy.revision, list(copy.log)
-        self.records = {kind: dict(held) for kind, held in copy.records.items()}
-        self.relays, self.blocked = copy.relays, copy.blocked
+        await asyncio.sleep(down_s)
+        lost = self.lost_since(snapshot)
+        self.revision, self.log = snapshot.revision, list(snapshot.log)
+        self.records = {kind: dict(held) for kind, held in snapshot.records.items()}
+        self.relays, self.blocked = snapshot.relays, snapshot.blocked
         self.era += 1
         self.down = False
-        await asyncio.sleep(again_s)
-        written = {(kind, item.name) for at, kind, item in self.log if at > copy.revision}
+        await asyncio.sleep(rewrite_delay_s)
+        written = {(kind, item.name) for at, kind, item in self.log if at > snapshot.revision}
         for kind, name, record in lost:
             if (kind, name) not in written and self.records[kind].get(name) != record:
                 self.write(kind, name, record)
 
-    def lost_since(self, copy: StoreCopy) -> list[tuple[RecordKind, str, Record | None]]:
-        """Return the newest state of what operators and replicas wrote since a copy."""
+    def lost_since(self, snapshot: StoreSnapshot) -> list[tuple[RecordKind, str, Record | None]]:
+        """Return the newest state of rewritable records changed after a snapshot."""
         found = {
             (kind, change.name): change.record
             for at, kind, change in self.log
-            if at > copy.revision and kind in WRITTEN_AGAIN
+            if at > snapshot.revision and kind in REWRITTEN_KINDS
         }
         return [(kind, name, record) for (kind, name), record in found.items()]
 
-    async def compact(self, deaf_s: float) -> None:
-        """Tell watches nothing for a while, then cut them and lose what has changed so far."""
-        self.deaf = True
-        await asyncio.sleep(deaf_s)
-        self.deaf = False
-        self.forget_history()
+    async def compact(self, silent_s: float) -> None:
+        """Send watches nothing for `silent_s`, then end them and drop the history."""
+        self.watches_silent = True
+        await asyncio.sleep(silent_s)
+        self.watches_silent = False
+        self.drop_history()
         self.wake_watches()
 
-    def forget_history(self) -> None:
-        """Lose what has changed so far."""
-        self.forgotten = self.revision
+    def drop_history(self) -> None:
+        """Drop the history of changes up to the current revision."""
+        self.compacted_revision = self.revision
 
 
 CALL_TIMEOUT_S = 0.8
-"""How long a call to a silent store hangs beyond what it was asked to wait, as the adapter's do."""
+"""Timeout of a call to a silent store, added to the call's own wait, as in the real adapter."""
 
 
 class FakeStoreClient(FleetStore):
-    """Give one box the store; `cut` keeps it away at once, `silent` after the time a call takes.
+    """Access the store from one box; with `cut` calls fail at once, with `silent` they time out.
 
-    `silent_watches` are kinds whose next watch hears no change: its connection went silent.
+    The next watch of a kind in `silent_watches` receives nothing and times out.
     """
 
     def __init__(self, *, store: FakeStore) -> None:
@@ -135,26 +137,26 @@
         self.cut = False
         self.silent = False
         self.silent_watches: set[RecordKind] = set()
-        self.blocked_cut = False
+        self.blocked_unreadable = False
         self.calls = 0
 
-    def check(self) -> None:
-        """Count a call, and fail it if the box is cut off."""
+    def check_reachable(self) -> None:
+        """Count a call; raise `FleetStoreError` if the store is unreachable."""
         self.calls += 1
         if self.cut or self.store.down:
             raise FleetStoreError('cut off')
 
-    async def hang(self, wait_s: float) -> None:
-        """Fail a call as a silent store does."""
+    async def time_out(self, wait_s: float) -> None:
+        """Time out a call, as with a silent store."""
         self.calls += 1
         await asyncio.sleep(wait_s + CALL_TIMEOUT_S)
         raise FleetStoreError('silent')
 
-    async def hear_nothing(self, wait_s: float) -> None:
-        """Wait as a watch does that is told nothing, until it is cut or overdue."""
+    async def wait_on_silent_watch(self, wait_s: float) -> None:
+        """Wait without changes until the watch is ended or times out."""
         try:
             async with asyncio.timeout(wait_s + CALL_TIMEOUT_S):
-                while self.store.deaf:
+                while self.store.watches_silent:
                     await asyncio.sleep(0.01)
         except TimeoutError:
             pass
@@ -164,29 +166,29 @@
         """Return every record."""
         await asyncio.sleep(0.004)
         if self.silent:
-            await self.hang(0.0)
-        self.check()
+            await self.time_out(0.0)
+        self.check_reachable()
         return Listing(dict(self.store.records[kind]), self.store.position())
 
     async def watch(self, kind: RecordKind, revision: int, wait_s: float) -> Changes:
-        """Return what has changed."""
-        self.check()
+        """Return the changes after a revision, waiting up to `wait_s` for one."""
+        self.check_reachable()
         began = asyncio.get_running_loop().time()
         ends_at = asyncio.get_running_loop().time() + wait_s
         while True:
-            if self.store.deaf:
-                await self.hear_nothing(wait_s)
+            if self.store.watches_silent:
+                await self.wait_on_silent_watch(wait_s)
             if self.store.down:
                 raise FleetStoreError('reset')
-            if not self.store.forgotten <= revision <= self.store.revision:
+            if not self.store.compacted_revision <= revision <= self.store.revision:
                 raise HistoryLost(kind.value)
             found = [item for at, of, item in self.store.log if at > revision and of is kind]
             left_s = ends_at - asyncio.get_running_loop().time()
             if self.silent or kind in self.silent_watches:
                 self.silent_watches.discard(kind)
-                await self.hang(wait_s - (asyncio.get_running_loop().time() - began))
+                await self.time_out(wait_s - (asyncio.get_running_loop().time() - began))
             if found or left_s <= 0:
-                self.check()
+                self.check_reachable()
                 return Changes(tuple(found), self.store.position())
             try:
                 async with asyncio.timeout(left_s):
@@ -195,44 +197,44 @@
                 continue
 
     async def read_relays(self) -> tuple[BoxAddress, ...] | None:
-        """Return the relays that are written down."""
+        """Return the relays that are recorded."""
         await asyncio.sleep(0.004)
         if self.silent:
-            await self.hang(0.0)
-        self.check()
+            await self.time_out(0.0)
+        self.check_reachable()
         return self.store.relays
 
     async def write_relays(self, relays: tuple[BoxAddress, ...]) -> int:
-        """Write down which boxes are relays."""
+        """Record which boxes are relays."""
         if self.silent:
-            await self.hang(0.0)
-        self.check()
+            await self.time_out(0.0)
+        self.check_reachable()
         self.store.relays = relays
         return self.store.era
 
     async def read_blocked(self) -> tuple[StoredRequest, ...]:
-        """Return the requests that are kept as blocked."""
+        """Return the stored blocked requests."""
         await asyncio.sleep(0.004)
-        if self.silent or self.blocked_cut:
-            await self.hang(0.0)
-        self.check()
+        if self.silent or self.blocked_unreadable:
+            await self.time_out(0.0)
+        self.check_reachable()
         return self.store.blocked
 
     async def write_blocked(self, kept: tuple[StoredRequest, ...]) -> int:
-        """Keep requests as blocked."""
+        """Store the blocked requests."""
         if self.silent:
-            await self.hang(0.0)
-        self.check()
+            await self.time_out(0.0)
+        self.check_reachable()
         self.store.blocked = kept
         return self.store.era
 
     async def register(self, box: BoxAddress) -> None:
         """Write the box's record."""
-        self.check()
+        self.check_reachable()
         record = box._replace(order=self.store.revision + 1)
         self.store.write(RecordKind.BOX, box.name, record)
 
     async def withdraw(self, box: BoxAddress) -> None:
         """Remove the box's record."""
-        self.check()
+        self.check_reachable()
         self.store.write(RecordKind.BOX, box.name, None)
--- a/tools/mutants/catalogue.py
+++ b/tools/mutants/catalogue.py
@@ -167,14 +167,14 @@
         f'{CORE}/scheduling/engines.py',
         'if self.start_limit is None or now >= self.exclusive_from:',
         'if True:',
-        f'{CORE}/scheduling/tests/starts_tests.py::Bound',
+        f'{CORE}/scheduling/tests/starts_tests.py::StartLimits',
     ),
     Mutant(
         'cold replicas',
         f'{CORE}/scheduling/engines.py',
         'if limit is None:',
         'if True:',
-        f'{CORE}/scheduling/tests/starts_tests.py::ZoneBackCold',
+        f'{CORE}/scheduling/tests/starts_tests.py::RestoredFailureDomain',
     ),
     Mutant(
         'replicas that end are told from resets',
